--- a/crates/decide/tests/decide/main.rs
+++ b/crates/decide/tests/decide/main.rs
@@ -1,3 +1,4 @@
+mod golden;
 mod plain;
 mod rules;
 mod world;
--- a/crates/decide/tests/decide/rules.rs
+++ b/crates/decide/tests/decide/rules.rs
@@ -5,7 +5,7 @@
 
 type Steps = Vec<(u8, u16, u16)>;
 
-fn set(choice: u16) -> Set {
+pub fn set(choice: u16) -> Set {
     Set {
         halting: [Halting::Drop, Halting::Never, Halting::Pause][choice as usize % 3],
         told: choice & 4 != 0,
@@ -18,7 +18,7 @@
     }
 }
 
-fn step(world: &mut World, (kind, a, b): (u8, u16, u16)) {
+pub fn step(world: &mut World, (kind, a, b): (u8, u16, u16)) {
     let pick = |ids: Vec<ReqId>| ids.get(a as usize % ids.len().max(1)).copied();
     match kind % 16 {
         0..=6 => {
--- a/crates/decide/tests/decide/world.rs
+++ b/crates/decide/tests/decide/world.rs
@@ -77,6 +77,8 @@
     pub most_passes: usize,
     pub advice: f64,
     pub caps: Vec<Time>,
+    /// All results in their order.
+    pub results: Vec<Results>,
     /// How long idle connections stay.
     pub trim: Time,
     /// Whose reqs arrive; else each customer's in turn.
@@ -134,6 +136,7 @@
             most_passes,
             advice,
             caps,
+            results: vec![],
             trim: IDLE,
             customer: None,
             caller: None,
@@ -258,6 +261,7 @@
 
     fn apply(&mut self, results: Results) {
         self.most_passes = self.most_passes.max(results.passes);
+        self.results.push(results.clone());
         let mut ended = Vec::new();
         for id in results.stop {
             let noted = self.reqs.get_mut(&id).unwrap();
