--- /dev/null
+++ b/crates/registry/tests/golden_storage.rs
@@ -0,0 +1,177 @@
+//! A registry's file as the versions in use wrote it, opened, read whole, written on and opened again.
+use cottondyke_registry::sqlite::Disk;
+use cottondyke_registry::{Effect, Keeper, KeeperId, Saved, State, Write};
+use protobuf::Message as _;
+use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+
+const FIXTURE: &str = "tests/fixtures/registry.sqlite";
+
+/// Commands in their order.
+struct Log(Vec<u8>);
+
+impl State for Log {
+    fn apply(&mut self, command: &[u8]) {
+        self.0.extend_from_slice(command);
+    }
+
+    fn save(&self) -> Vec<u8> {
+        self.0.clone()
+    }
+
+    fn restore(&mut self, bytes: &[u8]) -> bool {
+        self.0 = bytes.to_vec();
+        true
+    }
+}
+
+/// A copy of the fixture in a folder of its own, which goes with it.
+struct Copy(PathBuf);
+
+impl Copy {
+    fn new(name: &str) -> Self {
+        let folder = std::env::temp_dir().join(format!("golden-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join(FIXTURE);
+        std::fs::copy(fixture, folder.join("registry.db")).unwrap();
+        Copy(folder)
+    }
+
+    fn file(&self) -> PathBuf {
+        self.0.join("registry.db")
+    }
+
+    /// The number given is not taken where the file has one.
+    fn open(&self) -> (Disk, Saved) {
+        Disk::open(&self.file(), KeeperId(99)).unwrap()
+    }
+}
+
+impl Drop for Copy {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn founders() -> BTreeMap<KeeperId, String> {
+    BTreeMap::from([(KeeperId(u64::MAX - 1), "alone".to_string())])
+}
+
+/// Writes at once what is to be stored.
+fn carry(keeper: &mut Keeper<Log>, disk: &mut Disk, effects: Vec<Effect>) {
+    for effect in effects {
+        if let Effect::Store(write) = effect {
+            disk.write(std::slice::from_ref(&write)).unwrap();
+            let more = keeper.stored(write.number);
+            carry(keeper, disk, more);
+        }
+    }
+}
+
+fn leading(saved: &Saved, disk: &mut Disk) -> Keeper<Log> {
+    let mut keeper = Keeper::open(saved, Log(Vec::new()), 7).unwrap();
+    for _ in 0..100 {
+        let effects = keeper.tick();
+        carry(&mut keeper, disk, effects);
+    }
+    assert!(keeper.leads());
+    keeper
+}
+
+#[test]
+fn loads_every_field_when_an_older_build_wrote_the_file() {
+    let copy = Copy::new("fields");
+    let (_disk, saved) = copy.open();
+    assert!(saved.id == KeeperId(u64::MAX - 1));
+    assert!(saved.founders == Some(founders()));
+    let hard = HardState::parse_from_bytes(&saved.hard.unwrap()).unwrap();
+    assert_eq!((hard.term, hard.vote, hard.commit), (2, u64::MAX - 1, 4));
+    let (index, snapshot) = saved.snapshot.unwrap();
+    let snapshot = Snapshot::parse_from_bytes(&snapshot).unwrap();
+    let meta = snapshot.get_metadata();
+    assert_eq!((index, meta.index, meta.term), (1, 1, 1));
+    let conf = meta.get_conf_state();
+    assert_eq!(conf.voters, [u64::MAX - 1]);
+    assert!(conf.learners.is_empty() && conf.voters_outgoing.is_empty());
+    // The image: one number with its name, then the state.
+    let image = b"\x01\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01\x05alone\x04seed";
+    assert_eq!(snapshot.data[..], image[..]);
+    let entries = saved.entries.iter().map(|(index, bytes)| {
+        let entry = Entry::parse_from_bytes(bytes).unwrap();
+        assert!(entry.index == *index && entry.get_entry_type() == EntryType::EntryNormal);
+        (entry.index, entry.term, entry.data.to_vec())
+    });
+    let expected = [
+        (2, 2, vec![]),
+        (3, 2, b"-one".to_vec()),
+        (4, 2, b"-two".to_vec()),
+    ];
+    assert!(entries.eq(expected));
+}
+
+#[test]
+fn a_keeper_goes_on_when_an_older_build_wrote_the_file() {
+    let copy = Copy::new("keeper");
+    let (mut disk, saved) = copy.open();
+    let mut keeper = leading(&saved, &mut disk);
+    assert!(keeper.names() == &founders() && keeper.founders() == &founders());
+    assert!(keeper.id() == KeeperId(u64::MAX - 1) && keeper.voters() == [keeper.id()]);
+    assert_eq!(keeper.state.0, b"seed-one-two");
+    let effects = keeper.propose(b"-three".to_vec()).unwrap();
+    carry(&mut keeper, &mut disk, effects);
+    assert_eq!(keeper.state.0, b"seed-one-two-three");
+    drop((keeper, disk));
+    let (mut disk, saved) = copy.open();
+    assert_eq!(leading(&saved, &mut disk).state.0, b"seed-one-two-three");
+}
+
+#[test]
+fn keeps_what_is_written_when_the_file_is_opened_again() {
+    let copy = Copy::new("again");
+    let (mut disk, mut saved) = copy.open();
+    let write = Write {
+        number: 1,
+        hard: Some(vec![8, 9]),
+        snapshot: Some((2, vec![1, 2, 3])),
+        entries: vec![(4, vec![4]), (5, vec![5])],
+        founders: Some(BTreeMap::from([(KeeperId(3), "c".to_string())])),
+    };
+    disk.write(std::slice::from_ref(&write)).unwrap();
+    drop(disk);
+    let third = saved.entries[&3].clone();
+    let (_disk, again) = copy.open();
+    assert!(again.id == saved.id && again.hard == Some(vec![8, 9]));
+    assert!(again.snapshot == Some((2, vec![1, 2, 3])) && again.founders == write.founders);
+    let entries = [(3, third), (4, vec![4]), (5, vec![5])];
+    assert!(again.entries == BTreeMap::from(entries));
+    saved.apply(write);
+    assert!(saved == again);
+}
+
+#[test]
+fn makes_the_same_tables_when_the_file_is_new() {
+    let copy = Copy::new("tables");
+    let new = copy.0.join("new.db");
+    drop(Disk::open(&new, KeeperId(5)).unwrap());
+    drop(copy.open());
+    let all = vec!["founders", "hard", "id", "snapshot"];
+    for (file, rows) in [(new, vec!["id"]), (copy.file(), all)] {
+        let db = rusqlite::Connection::open(file).unwrap();
+        let read = |sql: &str| -> Vec<String> {
+            let mut rows = db.prepare(sql).unwrap();
+            let rows = rows.query_map([], |row| row.get(0)).unwrap();
+            rows.map(Result::unwrap).collect()
+        };
+        let tables = [
+            "CREATE TABLE entry (place INTEGER PRIMARY KEY, bytes BLOB NOT NULL)",
+            "CREATE TABLE one (name TEXT PRIMARY KEY, number INTEGER, bytes BLOB) WITHOUT ROWID",
+        ];
+        let schema = "SELECT sql FROM sqlite_master WHERE sql IS NOT NULL ORDER BY name";
+        assert_eq!(read(schema), tables);
+        let version = "SELECT CAST(user_version AS TEXT) FROM pragma_user_version";
+        assert_eq!(read(version), ["1"]);
+        assert_eq!(read("PRAGMA journal_mode"), ["wal"]);
+        assert_eq!(read("SELECT name FROM one ORDER BY name"), rows);
+    }
+}
