--- /dev/null
+++ b/crates/server/tests/golden_data.rs
@@ -0,0 +1,91 @@
+//! The folder of an instance as the versions in use wrote it, taken over by this one.
+use async_executor::LocalExecutor;
+use cottondyke::fleet::{self, look::look};
+use cottondyke::time::Clock;
+use cottondyke_fleet::View;
+use cottondyke_operator::{Operator, Peers};
+use std::path::Path;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/data");
+/// Far beyond any that the clock gives.
+const LIFE: u64 = 9_000_000_000_000_000_000;
+
+/// Runs the only keeper of a fleet from this folder until it leads; what it then knows.
+fn leads(folder: &Path) -> View {
+    let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let listen = port.local_addr().unwrap();
+    drop(port);
+    let peers = Peers {
+        at: Default::default(),
+        name: "alone".into(),
+        zone: "z".into(),
+        listen,
+        advertise: None,
+        probe: 1000,
+        keepers: vec![("alone".into(), listen)],
+        data: Some(folder.display().to_string()),
+        lease: 10_000,
+        longest_stop: 10_000,
+    };
+    let executor = Rc::new(LocalExecutor::new());
+    let operator = Operator::default();
+    let started = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1).unwrap();
+    let second = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1);
+    assert!(second.is_err());
+    let asking = std::thread::spawn(move || {
+        let end = Instant::now() + Duration::from_secs(20);
+        loop {
+            let view = look(listen).unwrap();
+            if view.leads || Instant::now() > end {
+                return view;
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    });
+    let running = executor.spawn(started.run());
+    async_io::block_on(executor.run(async {
+        while !asking.is_finished() {
+            async_io::Timer::after(Duration::from_millis(10)).await;
+        }
+        running.cancel().await;
+    }));
+    asking.join().unwrap()
+}
+
+fn names(folder: &Path) -> Vec<String> {
+    let entries = std::fs::read_dir(folder).unwrap();
+    let mut names: Vec<String> = entries
+        .map(|entry| entry.unwrap().file_name().into_string().unwrap())
+        .filter(|name| !name.ends_with("-wal") && !name.ends_with("-shm"))
+        .collect();
+    names.sort();
+    names
+}
+
+#[test]
+fn counts_on_and_keeps_the_table_when_an_older_build_wrote_the_folder() {
+    let folder = std::env::temp_dir().join(format!("golden-data-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    assert_eq!(names(Path::new(FIXTURE)), ["life", "lock", "registry.db"]);
+    for name in names(Path::new(FIXTURE)) {
+        std::fs::copy(Path::new(FIXTURE).join(&name), folder.join(&name)).unwrap();
+    }
+    let life = || std::fs::read_to_string(folder.join("life")).unwrap();
+    assert_eq!(life(), format!("{LIFE}\n"));
+    for next in 1..=2 {
+        let view = leads(&folder);
+        assert_eq!(names(&folder), ["life", "lock", "registry.db"]);
+        assert_eq!(life(), format!("{}\n", LIFE + next));
+        assert!(view.leads && view.keeps && view.life == LIFE + next);
+        assert!(view.name == "alone" && view.leader.as_deref() == Some("alone"));
+        let budget = &view.budgets[0];
+        assert!(view.budgets.len() == 1 && budget.name == "db" && budget.shares.len() == 1);
+        assert!(budget.whole == 200 && budget.linger_ms == 3_600_000);
+        let share = &budget.shares[0];
+        assert!(share.holder.starts_with('b') && share.amount == 9 && share.epoch == 1);
+        assert!(!share.fenced);
+    }
+    std::fs::remove_dir_all(&folder).unwrap();
+}
