--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -13,7 +13,11 @@
 }
 
 pub fn clock(batch: &Value) -> Result<Time, Wrong> {
-    Ok(Time((number(batch, "sim_time_ms")? * 10.0).ceil().clamp(-1e15, 1e15) as i64))
+    Ok(Time(
+        (number(batch, "sim_time_ms")? * 10.0)
+            .ceil()
+            .clamp(-1e15, 1e15) as i64,
+    ))
 }
 
 pub fn req(event: &Value) -> Result<ReqId, Wrong> {
@@ -27,7 +31,10 @@
 pub fn arrival(event: &Value, handlers: usize) -> Result<Arrival, Wrong> {
     let flags = present(event, "flags").and_then(Value::as_u64).unwrap_or(0);
     let hint = maybe_number(event, "cost_ms")?.filter(|ms| flags & 1 != 0 && *ms > 0.0);
-    let repeats = present(event, "same_as").map(|_| whole(event, "same_as")).transpose()?.filter(|n| *n != 0);
+    let repeats = present(event, "same_as")
+        .map(|_| whole(event, "same_as"))
+        .transpose()?
+        .filter(|n| *n != 0);
     let handler = whole(event, "category")? as usize;
     if handler >= handlers {
         return Err(format!("category {handler} is past the list of classes"));
@@ -38,7 +45,9 @@
     Ok(Arrival {
         id: req(event)?,
         handler: HandlerId(handler),
-        customer: present(event, "client_group").and_then(Value::as_u64).map(|n| CustomerId(n as usize)),
+        customer: present(event, "client_group")
+            .and_then(Value::as_u64)
+            .map(|n| CustomerId(n as usize)),
         caller: present(event, "by").and_then(Value::as_u64).map(CallerId),
         hint: hint.map(tenths),
         retry: flags & 2 != 0,
@@ -46,7 +55,9 @@
         kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
         lay,
         unread: lay,
-        wait: maybe_number(event, "grace_ms")?.filter(|ms| *ms > 0.0).map(tenths),
+        wait: maybe_number(event, "grace_ms")?
+            .filter(|ms| *ms > 0.0)
+            .map(tenths),
     })
 }
 
@@ -71,7 +82,13 @@
 }
 
 pub fn gauges(event: &Value, places: &Places) -> Result<Gauges, Wrong> {
-    let row = event.get("usage").and_then(Value::as_array).ok_or("usage is missing or not a row")?;
+    let row = event
+        .get("usage")
+        .and_then(Value::as_array)
+        .ok_or("usage is missing or not a row")?;
     let at = |place: Option<usize>| row.get(place?).and_then(Value::as_f64);
-    Ok(Gauges { busy: at(places.busy), runnable: at(places.runnable) })
+    Ok(Gauges {
+        busy: at(places.busy),
+        runnable: at(places.runnable),
+    })
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod decode;
 mod encode;
 
-use cottondyke_decide::decide::Decider;
+use cottondyke_decide::policy::Decider;
 use cottondyke_decide::types::{Results, Time};
 use cottondyke_settings::{self as settings, Places, Wrong};
 use serde_json::{json, Value};
@@ -12,13 +12,19 @@
 
 type Instances = BTreeMap<String, (Decider, Places)>;
 
-fn event(instances: &mut Instances, now: Time, event: &Value) -> Result<Option<(String, Results)>, Wrong> {
+fn event(
+    instances: &mut Instances,
+    now: Time,
+    event: &Value,
+) -> Result<Option<(String, Results)>, Wrong> {
     let who = settings::text(event, "who")?;
     let word = settings::text(event, "cmd")?;
     let results = match word {
         "Create" => {
-            let conf =
-                event.get("conf").filter(|c| c.is_object()).ok_or("Create without its settings (conf)")?;
+            let conf = event
+                .get("conf")
+                .filter(|c| c.is_object())
+                .ok_or("Create without its settings (conf)")?;
             let mut decider = settings::decider(now, settings::whole(event, "salt")?, conf)?;
             let results = decider.wake(now, Default::default());
             instances.insert(who.to_string(), (decider, settings::places(conf)));
@@ -36,7 +42,9 @@
                 "Incoming" => decider.arrival(now, decode::arrival(event, places.handlers.len())?),
                 "Ended" => decider.run_ended(now, decode::req(event)?, decode::run_end(event)?),
                 "NeedsDep" => decider.call_wanted(now, decode::req(event)?),
-                "CallResult" => decider.call_ended(now, decode::req(event)?, decode::call_end(event)?),
+                "CallResult" => {
+                    decider.call_ended(now, decode::req(event)?, decode::call_end(event)?)
+                }
                 "Abandoned" => decider.caller_gone(now, decode::req(event)?),
                 "Leaving" => decider.leaving(now, decode::span(event, "grace_ms")?),
                 "Wake" => decider.wake(now, decode::gauges(event, places)?),
@@ -50,8 +58,10 @@
 fn batch(instances: &mut Instances, line: &str) -> Result<Value, Wrong> {
     let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
     let now = decode::clock(&batch)?;
-    let events =
-        batch.get("arrivals").and_then(Value::as_array).ok_or("a batch without its list of arrivals")?;
+    let events = batch
+        .get("arrivals")
+        .and_then(Value::as_array)
+        .ok_or("a batch without its list of arrivals")?;
     let mut actions = Vec::new();
     for one in events {
         if let Some((who, results)) = event(instances, now, one)? {
@@ -66,9 +76,12 @@
     let mut out = io::BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
         let line = line.map_err(|e| format!("standard input: {e}"))?;
-        let reply = batch(&mut instances, &line).map_err(|wrong| format!("line {}: {wrong}", number + 1))?;
+        let reply = batch(&mut instances, &line)
+            .map_err(|wrong| format!("line {}: {wrong}", number + 1))?;
         serde_json::to_writer(&mut out, &reply).map_err(|e| format!("standard output: {e}"))?;
-        writeln!(out).and_then(|_| out.flush()).map_err(|e| format!("standard output: {e}"))?;
+        writeln!(out)
+            .and_then(|_| out.flush())
+            .map_err(|e| format!("standard output: {e}"))?;
     }
     Ok(())
 }
--- a/crates/budget/src/divide.rs
+++ b/crates/budget/src/divide.rs
@@ -19,7 +19,13 @@
     if count == 0 {
         return Vec::new();
     }
-    let weight = |c: &Claim| if c.weight.is_finite() && c.weight > 0.0 { c.weight } else { 1.0 };
+    let weight = |c: &Claim| {
+        if c.weight.is_finite() && c.weight > 0.0 {
+            c.weight
+        } else {
+            1.0
+        }
+    };
     let floor = (f64::from(whole) / count as f64 * FLOOR).floor();
     let mut parts = vec![floor; count];
     let mut left = f64::from(whole) - floor * count as f64;
@@ -31,23 +37,33 @@
         if hungry.is_empty() || left <= 0.0 {
             break;
         }
-        let level = hungry.iter().map(|k| lacks(&parts, *k) / weight(&claims[*k])).fold(left / sum, f64::min);
+        let level = hungry
+            .iter()
+            .map(|k| lacks(&parts, *k) / weight(&claims[*k]))
+            .fold(left / sum, f64::min);
         for k in hungry {
             parts[k] += level * weight(&claims[k]);
         }
         left -= level * sum;
     }
-    parts.iter_mut().for_each(|part| *part += left.max(0.0) / count as f64);
+    parts
+        .iter_mut()
+        .for_each(|part| *part += left.max(0.0) / count as f64);
     rounded(whole, &parts)
 }
 
 /// Whole units, by the largest remainders; the earlier of two that are alike.
 fn rounded(whole: u32, parts: &[f64]) -> Vec<u32> {
     // What differs from a whole number by the error of the sums above is that number.
-    let mut units: Vec<u32> = parts.iter().map(|part| (part + 1e-6).floor() as u32).collect();
+    let mut units: Vec<u32> = parts
+        .iter()
+        .map(|part| (part + 1e-6).floor() as u32)
+        .collect();
     let mut over = whole.saturating_sub(units.iter().sum());
     let mut order: Vec<usize> = (0..parts.len()).collect();
-    order.sort_by(|a, b| (parts[*b] - f64::from(units[*b])).total_cmp(&(parts[*a] - f64::from(units[*a]))));
+    order.sort_by(|a, b| {
+        (parts[*b] - f64::from(units[*b])).total_cmp(&(parts[*a] - f64::from(units[*a])))
+    });
     for k in order {
         if over == 0 {
             break;
@@ -65,7 +81,13 @@
     fn of(whole: u32, claims: &[(u32, f64)]) -> Vec<u32> {
         divide(
             whole,
-            &claims.iter().map(|(need, weight)| Claim { need: *need, weight: *weight }).collect::<Vec<_>>(),
+            &claims
+                .iter()
+                .map(|(need, weight)| Claim {
+                    need: *need,
+                    weight: *weight,
+                })
+                .collect::<Vec<_>>(),
         )
     }
 
@@ -88,7 +110,10 @@
         for _ in 0..20_000 {
             let whole = random.u32(0..200);
             let claims: Vec<Claim> = (0..random.usize(1..40))
-                .map(|_| Claim { need: random.u32(0..80), weight: random.f64() * 10.0 - 1.0 })
+                .map(|_| Claim {
+                    need: random.u32(0..80),
+                    weight: random.f64() * 10.0 - 1.0,
+                })
                 .collect();
             let parts = divide(whole, &claims);
             assert_eq!(parts.iter().sum::<u32>(), whole, "{whole} by {claims:?}");
--- a/crates/budget/src/granter.rs
+++ b/crates/budget/src/granter.rs
@@ -5,7 +5,8 @@
 //! answers an asking only once a majority confirmed, after it came, that it still leads; so a later leader began
 //! after that, and it waits a whole lease from there before it takes a share whose holder it has not heard itself.
 use crate::{
-    divide, Ask, Claim, Command, Epoch, Holder, Nonce, Reply, Share, Table, Terms, Told, Want, Whole, DRIFT,
+    divide, Ask, Claim, Command, Epoch, Holder, Nonce, Reply, Share, Table, Terms, Told, Want,
+    Whole, DRIFT,
 };
 use cottondyke_decide::types::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -95,7 +96,11 @@
     /// Leadership began or ended: nothing that an earlier one knew counts.
     pub fn lead(&mut self, since: Option<Time>) {
         let round = self.round + 1;
-        *self = Granter { since, round, ..Granter::new(self.terms) };
+        *self = Granter {
+            since,
+            round,
+            ..Granter::new(self.terms)
+        };
     }
 
     /// An asking came. It is answered by `confirmed`.
@@ -107,19 +112,33 @@
             return;
         }
         if let Some(former) = ask.former.filter(|life| *life != ask.holder.life) {
-            let former = Holder { name: ask.holder.name.clone(), life: former };
+            let former = Holder {
+                name: ask.holder.name.clone(),
+                life: former,
+            };
             if self.members.contains_key(&former) || self.members.len() < MOST_MEMBERS {
-                self.members.entry(former).or_default().over.get_or_insert(now);
+                self.members
+                    .entry(former)
+                    .or_default()
+                    .over
+                    .get_or_insert(now);
             }
         }
         self.stirred = true;
         let member = self.members.entry(ask.holder.clone()).or_default();
         for want in &ask.wants {
-            let told = member.budgets.get(&want.budget).and_then(|heard| heard.told);
+            let told = member
+                .budgets
+                .get(&want.budget)
+                .and_then(|heard| heard.told);
             // What it holds by its own word, it was told to hold at least.
             let told = told.filter(|(epoch, _)| *epoch == want.epoch);
             let told = told.map_or(want.holds, |(_, amount)| amount.min(want.holds));
-            let heard = Heard { at: now, want: want.clone(), told: Some((want.epoch, told)) };
+            let heard = Heard {
+                at: now,
+                want: want.clone(),
+                told: Some((want.epoch, told)),
+            };
             member.budgets.insert(want.budget.clone(), heard);
         }
         // A round that is under way began before this asking came: it waits for the next one.
@@ -150,18 +169,29 @@
             return Vec::new();
         }
         (self.round, self.asking) = (round, false);
-        let (ready, waits) = std::mem::take(&mut self.waiting).into_iter().partition(|(at, _)| *at <= round);
+        let (ready, waits) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|(at, _)| *at <= round);
         self.waiting = waits;
         let ready: Vec<(u64, Ask)> = ready;
-        ready.into_iter().map(|(_, ask)| self.answer(&ask, table)).collect()
+        ready
+            .into_iter()
+            .map(|(_, ask)| self.answer(&ask, table))
+            .collect()
     }
 
     fn answer(&mut self, ask: &Ask, table: &Table) -> Reply {
         // A share that is gone is told as nothing: the lease that this answer brings must not revive what its holder
         // had before, when it was silent for so long that nothing is kept back of it any more.
-        let gone = |want: &Want| Told { budget: want.budget.clone(), epoch: want.epoch, amount: 0 };
-        let amount =
-            |want: &Want| self.amount(&want.budget, &ask.holder, table).unwrap_or_else(|| gone(want));
+        let gone = |want: &Want| Told {
+            budget: want.budget.clone(),
+            epoch: want.epoch,
+            amount: 0,
+        };
+        let amount = |want: &Want| {
+            self.amount(&want.budget, &ask.holder, table)
+                .unwrap_or_else(|| gone(want))
+        };
         let amounts: Vec<Told> = ask.wants.iter().map(amount).collect();
         if let Some(member) = self.members.get_mut(&ask.holder) {
             member.answered = member.answered.max(Some(ask.nonce));
@@ -171,16 +201,36 @@
                 }
             }
         }
-        Reply { holder: ask.holder.clone(), nonce: ask.nonce, told: amounts }
+        Reply {
+            holder: ask.holder.clone(),
+            nonce: ask.nonce,
+            told: amounts,
+        }
     }
 
     /// What a holder may use: its share, or less where it is to shrink.
     fn amount(&self, budget: &str, holder: &Holder, table: &Table) -> Option<Told> {
-        let Share { amount, epoch, fenced } = *table.budgets.get(budget)?.shares.get(holder)?;
-        let lost = fenced || self.condemned.contains_key(&(budget.to_string(), holder.clone()));
-        let target = self.targets.get(budget).and_then(|of| of.get(holder)).copied().unwrap_or(amount);
+        let Share {
+            amount,
+            epoch,
+            fenced,
+        } = *table.budgets.get(budget)?.shares.get(holder)?;
+        let lost = fenced
+            || self
+                .condemned
+                .contains_key(&(budget.to_string(), holder.clone()));
+        let target = self
+            .targets
+            .get(budget)
+            .and_then(|of| of.get(holder))
+            .copied()
+            .unwrap_or(amount);
         let amount = if lost { 0 } else { amount.min(target) };
-        Some(Told { budget: budget.to_string(), epoch, amount })
+        Some(Told {
+            budget: budget.to_string(),
+            epoch,
+            amount,
+        })
     }
 
     /// Words to holders that were answered and whose share differs now from what they know.
@@ -189,13 +239,18 @@
         let holders: Vec<Holder> = self.members.keys().cloned().collect();
         for holder in holders {
             let member = &self.members[&holder];
-            let Some(nonce) = member.answered else { continue };
+            let Some(nonce) = member.answered else {
+                continue;
+            };
             let differs = |heard: &Heard, told: &Told| match heard.told {
-                Some((epoch, amount)) => told.epoch > epoch || (told.epoch == epoch && told.amount < amount),
+                Some((epoch, amount)) => {
+                    told.epoch > epoch || (told.epoch == epoch && told.amount < amount)
+                }
                 None => true,
             };
             let now = member.budgets.iter().filter_map(|(budget, heard)| {
-                self.amount(budget, &holder, table).filter(|told| differs(heard, told))
+                self.amount(budget, &holder, table)
+                    .filter(|told| differs(heard, told))
             });
             let told: Vec<Told> = now.collect();
             if told.is_empty() {
@@ -204,10 +259,16 @@
             if let Some(member) = self.members.get_mut(&holder) {
                 for told in &told {
                     let heard = member.budgets.get_mut(&told.budget);
-                    heard.into_iter().for_each(|heard| heard.told = Some((told.epoch, told.amount)));
+                    heard
+                        .into_iter()
+                        .for_each(|heard| heard.told = Some((told.epoch, told.amount)));
                 }
             }
-            out.push(Reply { holder, nonce, told });
+            out.push(Reply {
+                holder,
+                nonce,
+                told,
+            });
         }
         out
     }
@@ -216,13 +277,19 @@
     pub fn applied(&mut self, table: &Table) {
         (self.busy, self.stirred) = (None, true);
         self.condemned.retain(|(budget, holder), was| {
-            let share = table.budgets.get(budget).and_then(|whole| whole.shares.get(holder));
+            let share = table
+                .budgets
+                .get(budget)
+                .and_then(|whole| whole.shares.get(holder));
             // A raise may have come in between: then the taking is void.
             share.is_some_and(|share| share.epoch == *was)
         });
         let condemned = &self.condemned;
         self.fenced.retain(|of, _| {
-            let share = table.budgets.get(&of.0).and_then(|whole| whole.shares.get(&of.1));
+            let share = table
+                .budgets
+                .get(&of.0)
+                .and_then(|whole| whole.shares.get(&of.1));
             // Commands proposed with the fence may be applied before it.
             condemned.contains_key(of) || share.is_some_and(|share| share.fenced)
         });
@@ -234,16 +301,33 @@
     }
 
     /// When a holder's share is free again, and how much of it stays back then.
-    fn ends(&self, since: Time, budget: &str, whole: &Whole, holder: &Holder, share: &Share) -> (Time, u32) {
-        let linger = if self.terms.defences.linger { whole.linger() } else { Time(0) };
+    fn ends(
+        &self,
+        since: Time,
+        budget: &str,
+        whole: &Whole,
+        holder: &Holder,
+        share: &Share,
+    ) -> (Time, u32) {
+        let linger = if self.terms.defences.linger {
+            whole.linger()
+        } else {
+            Time(0)
+        };
         let member = self.members.get(holder);
-        let heard = member.and_then(|m| m.budgets.get(budget)).map_or(since, |heard| heard.at);
+        let heard = member
+            .and_then(|m| m.budgets.get(budget))
+            .map_or(since, |heard| heard.at);
         let lease = heard + self.lease_here() + linger;
         match member.and_then(|m| m.over) {
             // Its connections ended with it: only what lingers is left.
             Some(over) => (lease.min(over + linger), 0),
             None if share.fenced => {
-                let from = self.fenced.get(&(budget.to_string(), holder.clone())).copied().unwrap_or(since);
+                let from = self
+                    .fenced
+                    .get(&(budget.to_string(), holder.clone()))
+                    .copied()
+                    .unwrap_or(since);
                 (from + self.terms.slip, 0)
             }
             None => (lease, 1),
@@ -252,13 +336,16 @@
 
     /// What is kept back of all budgets, and until when by this leader's clock.
     pub fn held_back(&self, now: Time, table: &Table) -> Vec<Holdback> {
-        let Some(since) = self.since else { return Vec::new() };
+        let Some(since) = self.since else {
+            return Vec::new();
+        };
         let all = table
             .budgets
             .iter()
             .flat_map(|(budget, whole)| whole.shares.iter().map(move |s| (budget, whole, s)));
-        let silent =
-            all.filter(|(budget, _, (holder, share))| share.fenced || !self.live(now, since, budget, holder));
+        let silent = all.filter(|(budget, _, (holder, share))| {
+            share.fenced || !self.live(now, since, budget, holder)
+        });
         silent
             .map(|(budget, whole, (holder, share))| Holdback {
                 budget: budget.clone(),
@@ -272,12 +359,19 @@
     /// What each live member is to have.
     pub fn targets(&self, budget: &str) -> Vec<(String, u32)> {
         let of = self.targets.get(budget);
-        of.into_iter().flatten().map(|(holder, units)| (holder.name.clone(), *units)).collect()
+        of.into_iter()
+            .flatten()
+            .map(|(holder, units)| (holder.name.clone(), *units))
+            .collect()
     }
 
     /// Whether a holder was heard of a budget within a lease.
     fn live(&self, now: Time, since: Time, budget: &str, holder: &Holder) -> bool {
-        let heard = self.members.get(holder).filter(|m| m.over.is_none()).and_then(|m| m.budgets.get(budget));
+        let heard = self
+            .members
+            .get(holder)
+            .filter(|m| m.over.is_none())
+            .and_then(|m| m.budgets.get(budget));
         heard.is_some_and(|heard| heard.at >= since && now < heard.at + self.terms.lease)
     }
 
@@ -288,24 +382,43 @@
     }
 
     /// What to propose now; `wholes` are the leader's file: name, units, linger.
-    pub fn commands(&mut self, now: Time, table: &Table, wholes: &[(String, u32, Time)]) -> Vec<Command> {
-        let Some(since) = self.since else { return Vec::new() };
+    pub fn commands(
+        &mut self,
+        now: Time,
+        table: &Table,
+        wholes: &[(String, u32, Time)],
+    ) -> Vec<Command> {
+        let Some(since) = self.since else {
+            return Vec::new();
+        };
         (self.divided, self.stirred) = (now, false);
-        if self.busy.is_some_and(|at| now < at + self.terms.lease.times(AGAIN)) {
+        if self
+            .busy
+            .is_some_and(|at| now < at + self.terms.lease.times(AGAIN))
+        {
             return Vec::new();
         }
         let mut out = Vec::new();
         for (budget, units, linger) in wholes {
             let stands = table.budgets.get(budget);
             let same = |w: &Whole| {
-                w.units == *units && (w.linger() == *linger || w.linger() > *linger && !w.shares.is_empty())
+                w.units == *units
+                    && (w.linger() == *linger || w.linger() > *linger && !w.shares.is_empty())
             };
             if !stands.is_some_and(same) {
-                out.push(Command::Whole { budget: budget.clone(), units: *units, linger: linger.0 });
+                out.push(Command::Whole {
+                    budget: budget.clone(),
+                    units: *units,
+                    linger: linger.0,
+                });
             }
         }
         if !table.open {
-            let linger = wholes.iter().map(|(_, _, linger)| *linger).max().unwrap_or_default();
+            let linger = wholes
+                .iter()
+                .map(|(_, _, linger)| *linger)
+                .max()
+                .unwrap_or_default();
             if now >= since + self.lease_here() + linger {
                 out.push(Command::Open);
             }
@@ -316,8 +429,15 @@
         }
         out.truncate(MOST_COMMANDS);
         for command in &out {
-            if let Command::Fence { budget, holder, keep, was } = command {
-                self.condemned.insert((budget.clone(), holder.clone()), *was);
+            if let Command::Fence {
+                budget,
+                holder,
+                keep,
+                was,
+            } = command
+            {
+                self.condemned
+                    .insert((budget.clone(), holder.clone()), *was);
                 if *keep > 0 {
                     self.fenced.insert((budget.clone(), holder.clone()), now);
                 }
@@ -329,45 +449,95 @@
     }
 
     /// Shares that ran out, and those whose holders said that they hold less.
-    fn take_back(&self, now: Time, since: Time, budget: &str, whole: &Whole, out: &mut Vec<Command>) {
+    fn take_back(
+        &self,
+        now: Time,
+        since: Time,
+        budget: &str,
+        whole: &Whole,
+        out: &mut Vec<Command>,
+    ) {
         for (holder, share) in &whole.shares {
             let (at, keep) = self.ends(since, budget, whole, holder, share);
             let heard = self.members.get(holder).and_then(|m| m.budgets.get(budget));
             // One that was condemned is told of nothing until that is settled, though it may have asked meanwhile.
-            let condemned = self.condemned.get(&(budget.to_string(), holder.clone())) == Some(&share.epoch);
+            let condemned =
+                self.condemned.get(&(budget.to_string(), holder.clone())) == Some(&share.epoch);
             if now >= at || condemned {
                 let (budget, holder) = (budget.to_string(), holder.clone());
-                out.push(Command::Fence { budget, holder, keep, was: share.epoch });
+                out.push(Command::Fence {
+                    budget,
+                    holder,
+                    keep,
+                    was: share.epoch,
+                });
             } else if let Some(want) = heard.map(|heard| &heard.want).filter(|_| !share.fenced) {
                 let fits = want.epoch == share.epoch || !self.terms.defences.fence;
                 if fits && want.holds < share.amount {
                     let (budget, holder) = (budget.to_string(), holder.clone());
-                    out.push(Command::Lower { budget, holder, to: want.holds, was: share.epoch });
+                    out.push(Command::Lower {
+                        budget,
+                        holder,
+                        to: want.holds,
+                        was: share.epoch,
+                    });
                 }
             }
         }
     }
 
     /// Divides anew what the live members may have, and raises those that have less, as far as units are free.
-    fn raise(&mut self, now: Time, since: Time, budget: &str, whole: &Whole, out: &mut Vec<Command>) {
+    fn raise(
+        &mut self,
+        now: Time,
+        since: Time,
+        budget: &str,
+        whole: &Whole,
+        out: &mut Vec<Command>,
+    ) {
         let mut live: Vec<(Holder, Claim)> = Vec::new();
         for (holder, member) in &self.members {
-            if let Some(heard) = member.budgets.get(budget).filter(|_| self.live(now, since, budget, holder))
+            if let Some(heard) = member
+                .budgets
+                .get(budget)
+                .filter(|_| self.live(now, since, budget, holder))
             {
-                let need = if self.terms.defences.need { heard.want.need } else { 1 };
-                let weight = if self.terms.defences.need { heard.want.weight } else { 1.0 };
+                let need = if self.terms.defences.need {
+                    heard.want.need
+                } else {
+                    1
+                };
+                let weight = if self.terms.defences.need {
+                    heard.want.weight
+                } else {
+                    1.0
+                };
                 live.push((holder.clone(), Claim { need, weight }));
             }
         }
         let there: BTreeSet<&Holder> = live.iter().map(|(holder, _)| holder).collect();
         let silent = |holder: &Holder| !there.contains(holder);
-        let kept: u32 = whole.shares.iter().filter(|(h, _)| silent(h)).map(|(_, s)| s.amount).sum();
+        let kept: u32 = whole
+            .shares
+            .iter()
+            .filter(|(h, _)| silent(h))
+            .map(|(_, s)| s.amount)
+            .sum();
         let claims: Vec<Claim> = live.iter().map(|(_, claim)| *claim).collect();
         let parts = divide(whole.units.saturating_sub(kept), &claims);
         let before = self.targets.remove(budget).unwrap_or_default();
-        let amount = |holder: &Holder| whole.shares.get(holder).filter(|s| !s.fenced).map_or(0, |s| s.amount);
+        let amount = |holder: &Holder| {
+            whole
+                .shares
+                .get(holder)
+                .filter(|s| !s.fenced)
+                .map_or(0, |s| s.amount)
+        };
         let over = whole.taken() > whole.units;
-        let hungry = live.iter().zip(&parts).any(|((h, claim), part)| claim.need.min(*part) > amount(h));
+        let hungry = live
+            .iter()
+            .zip(&parts)
+            .any(|((h, claim), part)| claim.need.min(*part) > amount(h));
         let same = before.len() == live.len() && live.iter().all(|(h, _)| before.contains_key(h));
         // What fell free since is spread as well.
         let all = before.values().sum::<u32>() == whole.units.saturating_sub(kept);
@@ -375,30 +545,52 @@
             before
         } else {
             let steady = |holder: &Holder, part: u32| match before.get(holder) {
-                Some(old) if !over && part < *old && f64::from(old - part) < f64::from(*old) * STEADY => *old,
+                Some(old)
+                    if !over && part < *old && f64::from(old - part) < f64::from(*old) * STEADY =>
+                {
+                    *old
+                }
                 _ => part,
             };
-            live.iter().zip(&parts).map(|((h, _), part)| (h.clone(), steady(h, *part))).collect()
+            live.iter()
+                .zip(&parts)
+                .map(|((h, _), part)| (h.clone(), steady(h, *part)))
+                .collect()
         };
         let mut free = whole.free();
         // Those that lack most come first.
-        let mut wanting: Vec<(&Holder, u32)> = targets.iter().map(|(h, target)| (h, *target)).collect();
+        let mut wanting: Vec<(&Holder, u32)> =
+            targets.iter().map(|(h, target)| (h, *target)).collect();
         wanting.sort_by_key(|(h, target)| std::cmp::Reverse(target.saturating_sub(amount(h))));
         for (holder, target) in wanting {
             let share = whole.shares.get(holder).copied();
-            let told =
-                self.members.get(holder).and_then(|m| m.budgets.get(budget)).and_then(|heard| heard.told);
+            let told = self
+                .members
+                .get(holder)
+                .and_then(|m| m.budgets.get(budget))
+                .and_then(|heard| heard.told);
             let knows = match (share, told) {
-                (Some(share), Some((epoch, amount))) if epoch == share.epoch && !share.fenced => amount,
+                (Some(share), Some((epoch, amount))) if epoch == share.epoch && !share.fenced => {
+                    amount
+                }
                 (Some(share), _) if !share.fenced => share.amount,
                 _ => 0,
             };
             let had = share.map_or(0, |s| s.amount);
             let to = target.min(had + free);
-            if to > knows && !self.condemned.contains_key(&(budget.to_string(), holder.clone())) {
+            if to > knows
+                && !self
+                    .condemned
+                    .contains_key(&(budget.to_string(), holder.clone()))
+            {
                 free -= to.saturating_sub(had);
                 let was = share.map(|s| s.epoch);
-                out.push(Command::Raise { budget: budget.to_string(), holder: holder.clone(), to, was });
+                out.push(Command::Raise {
+                    budget: budget.to_string(),
+                    holder: holder.clone(),
+                    to,
+                    was,
+                });
             }
         }
         self.targets.insert(budget.to_string(), targets);
@@ -407,10 +599,20 @@
     /// Members of whom nothing is left are forgotten.
     fn forget(&mut self, now: Time, since: Time, table: &Table) {
         let span = self.terms.lease.times(2.0);
-        let holds = |h: &Holder| table.budgets.values().any(|whole| whole.shares.contains_key(h));
+        let holds = |h: &Holder| {
+            table
+                .budgets
+                .values()
+                .any(|whole| whole.shares.contains_key(h))
+        };
         self.members.retain(|holder, member| {
-            let last =
-                member.budgets.values().map(|heard| heard.at).chain(member.over).max().unwrap_or(since);
+            let last = member
+                .budgets
+                .values()
+                .map(|heard| heard.at)
+                .chain(member.over)
+                .max()
+                .unwrap_or(since);
             now < last + span || holds(holder)
         });
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -51,7 +51,12 @@
 
 impl Default for Defences {
     fn default() -> Self {
-        Defences { lease: true, fence: true, linger: true, need: true }
+        Defences {
+            lease: true,
+            fence: true,
+            linger: true,
+            need: true,
+        }
     }
 }
 
--- a/crates/budget/src/shares.rs
+++ b/crates/budget/src/shares.rs
@@ -38,7 +38,14 @@
 impl Default for Mine {
     fn default() -> Self {
         let (usage, never) = (Usage::default(), Time(i64::MIN / 4));
-        Mine { epoch: Epoch::default(), cap: 0, until: never, usage, allowed: 0, said: Default::default() }
+        Mine {
+            epoch: Epoch::default(),
+            cap: 0,
+            until: never,
+            usage,
+            allowed: 0,
+            said: Default::default(),
+        }
     }
 }
 
@@ -102,13 +109,18 @@
 
     /// Units that may be in use now, lingering ones among them.
     pub fn ceiling(&self, now: Time, budget: &str) -> u32 {
-        self.mine.get(budget).filter(|_| now < self.until(budget)).map_or(0, |mine| mine.cap)
+        self.mine
+            .get(budget)
+            .filter(|_| now < self.until(budget))
+            .map_or(0, |mine| mine.cap)
     }
 
     /// When what `ceiling` says ends by itself.
     pub fn until(&self, budget: &str) -> Time {
         if self.terms.defences.lease {
-            self.mine.get(budget).map_or(Time(i64::MIN / 4), |mine| mine.until)
+            self.mine
+                .get(budget)
+                .map_or(Time(i64::MIN / 4), |mine| mine.until)
         } else {
             Time::MAX
         }
@@ -116,22 +128,34 @@
 
     /// When the last of its leases ends.
     pub fn last(&self) -> Time {
-        self.mine.keys().map(|budget| self.until(budget)).max().unwrap_or(Time(i64::MIN / 4))
+        self.mine
+            .keys()
+            .map(|budget| self.until(budget))
+            .max()
+            .unwrap_or(Time(i64::MIN / 4))
     }
 
     pub fn epoch(&self, budget: &str) -> Epoch {
-        self.mine.get(budget).map_or(Epoch::default(), |mine| mine.epoch)
+        self.mine
+            .get(budget)
+            .map_or(Epoch::default(), |mine| mine.epoch)
     }
 
     /// All that it was ever granted is back.
     pub fn empty(&self) -> bool {
-        self.mine.values().all(|mine| mine.cap == 0 && mine.usage.held == 0)
+        self.mine
+            .values()
+            .all(|mine| mine.cap == 0 && mine.usage.held == 0)
     }
 
     fn want(&self, name: &str, mine: &Mine) -> Want {
         Want {
             budget: name.to_string(),
-            need: if self.leaving { 0 } else { mine.usage.need.max(mine.usage.held) },
+            need: if self.leaving {
+                0
+            } else {
+                mine.usage.need.max(mine.usage.held)
+            },
             weight: mine.usage.weight,
             holds: mine.cap.max(mine.usage.held).max(mine.allowed),
             epoch: mine.epoch,
@@ -145,7 +169,9 @@
 
     /// When the next asking is due; it may be earlier where use changes.
     pub fn next(&self) -> Time {
-        let Some(last) = self.last else { return Time(i64::MIN / 4) };
+        let Some(last) = self.last else {
+            return Time(i64::MIN / 4);
+        };
         let part = match self.asked.is_empty() {
             _ if self.hurried => SOON,
             true => RENEW,
@@ -159,7 +185,11 @@
         if self.mine.is_empty() {
             return None;
         }
-        let wants: Vec<Want> = self.mine.iter().map(|(name, mine)| self.want(name, mine)).collect();
+        let wants: Vec<Want> = self
+            .mine
+            .iter()
+            .map(|(name, mine)| self.want(name, mine))
+            .collect();
         let changed = self.mine.values().zip(&wants).any(|(mine, want)| {
             let (need, holds, epoch) = mine.said;
             // Under a new epoch nothing that was given back before counts.
@@ -168,7 +198,9 @@
                 || want.need > need.max(mine.cap)
                 || (want.need == 0) != (need == 0)
         });
-        let soon = self.last.is_none_or(|last| now >= last + self.terms.lease.times(SOON));
+        let soon = self
+            .last
+            .is_none_or(|last| now >= last + self.terms.lease.times(SOON));
         if now < self.next() && !(changed && soon) {
             return None;
         }
@@ -182,7 +214,12 @@
         if self.asked.len() > MOST_ASKED {
             self.asked.pop_front();
         }
-        Some(Ask { holder: self.me.clone(), nonce: self.nonce, former: self.former, wants })
+        Some(Ask {
+            holder: self.me.clone(),
+            nonce: self.nonce,
+            former: self.former,
+            wants,
+        })
     }
 
     /// What the leader told. A late, repeated or foreign word changes nothing for the worse: an answer counts once and
@@ -203,7 +240,9 @@
         }
         let until = self.answered.1 + self.terms.lease;
         for told in &reply.told {
-            let Some(mine) = self.mine.get_mut(&told.budget) else { continue };
+            let Some(mine) = self.mine.get_mut(&told.budget) else {
+                continue;
+            };
             if told.epoch > mine.epoch {
                 (mine.epoch, mine.cap) = (told.epoch, told.amount);
                 mine.allowed = mine.allowed.max(mine.cap);
@@ -223,16 +262,31 @@
     use crate::{Defences, Told};
 
     fn shares() -> Shares {
-        let me = Holder { name: "a".into(), life: 1 };
-        let terms = Terms { lease: Time(30_000), slip: Time(0), defences: Defences::default() };
+        let me = Holder {
+            name: "a".into(),
+            life: 1,
+        };
+        let terms = Terms {
+            lease: Time(30_000),
+            slip: Time(0),
+            defences: Defences::default(),
+        };
         let mut shares = Shares::new(me, None, terms);
         shares.name(["calls".to_string()].into_iter());
         shares
     }
 
     fn told(shares: &mut Shares, nonce: Nonce, epoch: u64, amount: u32) {
-        let told = vec![Told { budget: "calls".into(), epoch: Epoch(epoch), amount }];
-        shares.told(&Reply { holder: shares.me().clone(), nonce, told });
+        let told = vec![Told {
+            budget: "calls".into(),
+            epoch: Epoch(epoch),
+            amount,
+        }];
+        shares.told(&Reply {
+            holder: shares.me().clone(),
+            nonce,
+            told,
+        });
     }
 
     /// Guards the ceiling: calls begun after use was last told, and before the share shrank, are not given back.
@@ -241,12 +295,26 @@
         let mut shares = shares();
         let first = shares.ask(Time(0)).unwrap().nonce;
         told(&mut shares, first, 1, 8);
-        shares.used("calls", Usage { held: 2, need: 8, weight: 1.0 });
+        shares.used(
+            "calls",
+            Usage {
+                held: 2,
+                need: 8,
+                weight: 1.0,
+            },
+        );
         // Six more begin here, and before they are told of the share shrinks.
         told(&mut shares, first, 1, 2);
         assert_eq!(shares.ceiling(Time(1), "calls"), 2);
         assert_eq!(shares.ask(Time(29_000)).unwrap().wants[0].holds, 8);
-        shares.used("calls", Usage { held: 5, need: 8, weight: 1.0 });
+        shares.used(
+            "calls",
+            Usage {
+                held: 5,
+                need: 8,
+                weight: 1.0,
+            },
+        );
         assert_eq!(shares.ask(Time(59_000)).unwrap().wants[0].holds, 5);
     }
 
@@ -275,9 +343,23 @@
         let first = shares.ask(Time(0)).unwrap().nonce;
         told(&mut shares, first, 1, 8);
         let second = shares.ask(Time(60_000)).unwrap().nonce;
-        let beside = Told { budget: "beside".into(), epoch: Epoch(2), amount: 3 };
-        shares.told(&Reply { holder: shares.me().clone(), nonce: second, told: vec![beside] });
-        assert_eq!((shares.ceiling(Time(60_001), "beside"), shares.ceiling(Time(60_001), "calls")), (3, 0));
+        let beside = Told {
+            budget: "beside".into(),
+            epoch: Epoch(2),
+            amount: 3,
+        };
+        shares.told(&Reply {
+            holder: shares.me().clone(),
+            nonce: second,
+            told: vec![beside],
+        });
+        assert_eq!(
+            (
+                shares.ceiling(Time(60_001), "beside"),
+                shares.ceiling(Time(60_001), "calls")
+            ),
+            (3, 0)
+        );
         told(&mut shares, second, 4, 5);
         assert_eq!(shares.ceiling(Time(60_001), "calls"), 5);
     }
--- a/crates/budget/src/table.rs
+++ b/crates/budget/src/table.rs
@@ -54,13 +54,32 @@
     /// Nothing that was promised before this table began is in force any longer.
     Open,
     /// A whole is this much from now on. Made smaller, nothing is raised until shares are given back.
-    Whole { budget: String, units: u32, linger: i64 },
+    Whole {
+        budget: String,
+        units: u32,
+        linger: i64,
+    },
     /// A holder gets more: refused where that would pass the whole, or another change came first.
-    Raise { budget: String, holder: Holder, to: u32, was: Option<Epoch> },
+    Raise {
+        budget: String,
+        holder: Holder,
+        to: u32,
+        was: Option<Epoch>,
+    },
     /// A holder said that it holds no more than this.
-    Lower { budget: String, holder: Holder, to: u32, was: Epoch },
+    Lower {
+        budget: String,
+        holder: Holder,
+        to: u32,
+        was: Epoch,
+    },
     /// A lease ran out, with all that can linger: `keep` units of it stay back.
-    Fence { budget: String, holder: Holder, keep: u32, was: Epoch },
+    Fence {
+        budget: String,
+        holder: Holder,
+        keep: u32,
+        was: Epoch,
+    },
 }
 
 /// Why a command changed nothing.
@@ -95,18 +114,33 @@
                 self.open = true;
                 Ok(())
             }
-            Command::Whole { budget, units, linger } => {
+            Command::Whole {
+                budget,
+                units,
+                linger,
+            } => {
                 if !self.budgets.contains_key(budget) && self.budgets.len() >= MOST_BUDGETS {
                     return Err(Refused::Bound);
                 }
                 let whole = self.budgets.entry(budget.clone()).or_default();
                 // Calls in hand may have been sent under the longer one.
                 let in_use = !whole.shares.is_empty();
-                (whole.units, whole.linger) =
-                    (*units, if in_use { (*linger).max(whole.linger) } else { (*linger).max(0) });
+                (whole.units, whole.linger) = (
+                    *units,
+                    if in_use {
+                        (*linger).max(whole.linger)
+                    } else {
+                        (*linger).max(0)
+                    },
+                );
                 Ok(())
             }
-            Command::Raise { budget, holder, to, was } => {
+            Command::Raise {
+                budget,
+                holder,
+                to,
+                was,
+            } => {
                 if !self.open {
                     return Err(Refused::NotOpen);
                 }
@@ -124,26 +158,53 @@
                     return Err(Refused::OverWhole);
                 }
                 let amount = (*to).max(now.map_or(0, |share| share.amount));
-                whole.shares.insert(holder.clone(), Share { amount, epoch, fenced: false });
+                whole.shares.insert(
+                    holder.clone(),
+                    Share {
+                        amount,
+                        epoch,
+                        fenced: false,
+                    },
+                );
                 Ok(())
             }
-            Command::Lower { budget, holder, to, was } => {
+            Command::Lower {
+                budget,
+                holder,
+                to,
+                was,
+            } => {
                 let whole = self.budgets.get_mut(budget).ok_or(Refused::NoBudget)?;
-                let share = whole.shares.get_mut(holder).filter(|share| share.epoch == *was);
+                let share = whole
+                    .shares
+                    .get_mut(holder)
+                    .filter(|share| share.epoch == *was);
                 let share = share.ok_or(Refused::Outrun)?;
                 share.amount = share.amount.min(*to);
                 Ok(())
             }
-            Command::Fence { budget, holder, keep, was } => {
+            Command::Fence {
+                budget,
+                holder,
+                keep,
+                was,
+            } => {
                 let epoch = self.next();
                 let whole = self.budgets.get_mut(budget).ok_or(Refused::NoBudget)?;
-                let share = whole.shares.get_mut(holder).filter(|share| share.epoch == *was);
+                let share = whole
+                    .shares
+                    .get_mut(holder)
+                    .filter(|share| share.epoch == *was);
                 let share = share.ok_or(Refused::Outrun)?;
                 let amount = share.amount.min(*keep);
                 if amount == 0 {
                     whole.shares.remove(holder);
                 } else {
-                    *share = Share { amount, epoch, fenced: true };
+                    *share = Share {
+                        amount,
+                        epoch,
+                        fenced: true,
+                    };
                 }
                 Ok(())
             }
--- a/crates/budget/tests/granter.rs
+++ b/crates/budget/tests/granter.rs
@@ -5,16 +5,40 @@
 use cottondyke_decide::types::Time;
 
 fn ask(nonce: u64, epoch: Epoch) -> Ask {
-    let want = Want { budget: "calls".into(), need: 8, weight: 1.0, holds: 0, epoch };
-    Ask { holder: Holder { name: "a".into(), life: 1 }, nonce: Nonce(nonce), former: None, wants: vec![want] }
+    let want = Want {
+        budget: "calls".into(),
+        need: 8,
+        weight: 1.0,
+        holds: 0,
+        epoch,
+    };
+    Ask {
+        holder: Holder {
+            name: "a".into(),
+            life: 1,
+        },
+        nonce: Nonce(nonce),
+        former: None,
+        wants: vec![want],
+    }
 }
 
 fn leader() -> (Granter, Table) {
-    let terms = Terms { lease: Time(30_000), slip: Time(50_000), defences: Defences::default() };
+    let terms = Terms {
+        lease: Time(30_000),
+        slip: Time(50_000),
+        defences: Defences::default(),
+    };
     let (mut granter, mut table) = (Granter::new(terms), Table::default());
     granter.lead(Some(Time(0)));
     table.apply(&Command::Open).unwrap();
-    table.apply(&Command::Whole { budget: "calls".into(), units: 8, linger: 0 }).unwrap();
+    table
+        .apply(&Command::Whole {
+            budget: "calls".into(),
+            units: 8,
+            linger: 0,
+        })
+        .unwrap();
     (granter, table)
 }
 
@@ -43,8 +67,18 @@
     let was = table.budgets["calls"].shares.values().next().unwrap().epoch;
     let fence = granter.commands(Time(40_000), &table, &wholes);
     assert!(matches!(fence[..], [Command::Fence { .. }]), "{fence:?}");
-    let holder = Holder { name: "a".into(), life: 1 };
-    table.apply(&Command::Raise { budget: "calls".into(), holder, to: 8, was: Some(was) }).unwrap();
+    let holder = Holder {
+        name: "a".into(),
+        life: 1,
+    };
+    table
+        .apply(&Command::Raise {
+            budget: "calls".into(),
+            holder,
+            to: 8,
+            was: Some(was),
+        })
+        .unwrap();
     assert!(table.apply(&fence[0]).is_err());
     granter.applied(&table);
     granter.ask(Time(40_001), ask(2, was));
@@ -59,10 +93,15 @@
     let (mut granter, mut table) = leader();
     let wholes = [("calls".to_string(), 8, Time(0))];
     granter.ask(Time(1), ask(1, Epoch(0)));
-    table.apply(&granter.commands(Time(1), &table, &wholes)[0]).unwrap();
+    table
+        .apply(&granter.commands(Time(1), &table, &wholes)[0])
+        .unwrap();
     granter.applied(&table);
     let fence = granter.commands(Time(40_000), &table, &wholes);
-    assert!(matches!(fence[..], [Command::Fence { keep: 1, .. }]), "{fence:?}");
+    assert!(
+        matches!(fence[..], [Command::Fence { keep: 1, .. }]),
+        "{fence:?}"
+    );
     granter.applied(&table);
     // Should it be lost, it is made again, though its holder is back: until then that is told of nothing.
     granter.ask(Time(40_001), ask(2, Epoch(0)));
@@ -71,7 +110,10 @@
     granter.applied(&table);
     assert_eq!(granter.commands(Time(90_001), &table, &wholes), []);
     let last = granter.commands(Time(90_002), &table, &wholes);
-    assert!(matches!(last[..], [Command::Fence { keep: 0, .. }]), "{last:?}");
+    assert!(
+        matches!(last[..], [Command::Fence { keep: 0, .. }]),
+        "{last:?}"
+    );
 }
 
 /// Guards the ceiling: a holder comes back when nothing is left of its share, which may be with others by then. The
@@ -79,25 +121,64 @@
 #[test]
 fn a_share_that_is_gone_does_not_come_back_with_a_new_lease() {
     let (mut granter, mut table) = leader();
-    let holder = Holder { name: "a".into(), life: 1 };
-    let terms = Terms { lease: Time(30_000), slip: Time(50_000), defences: Defences::default() };
+    let holder = Holder {
+        name: "a".into(),
+        life: 1,
+    };
+    let terms = Terms {
+        lease: Time(30_000),
+        slip: Time(50_000),
+        defences: Defences::default(),
+    };
     let mut shares = Shares::new(holder.clone(), None, terms);
     shares.name(["calls".to_string()].into_iter());
-    shares.used("calls", Usage { held: 0, need: 8, weight: 1.0 });
+    shares.used(
+        "calls",
+        Usage {
+            held: 0,
+            need: 8,
+            weight: 1.0,
+        },
+    );
     let mut exchange = |granter: &mut Granter, table: &Table, now: Time| {
         granter.ask(now, shares.ask(now).unwrap());
         let round = granter.confirm().unwrap();
-        granter.confirmed(round, table).iter().for_each(|reply| shares.told(reply));
+        granter
+            .confirmed(round, table)
+            .iter()
+            .for_each(|reply| shares.told(reply));
         shares.ceiling(now, "calls")
     };
     table
-        .apply(&Command::Raise { budget: "calls".into(), holder: holder.clone(), to: 8, was: None })
+        .apply(&Command::Raise {
+            budget: "calls".into(),
+            holder: holder.clone(),
+            to: 8,
+            was: None,
+        })
         .unwrap();
     assert_eq!(exchange(&mut granter, &table, Time(1)), 8);
     let was = table.budgets["calls"].shares[&holder].epoch;
-    table.apply(&Command::Fence { budget: "calls".into(), holder: holder.clone(), keep: 0, was }).unwrap();
-    let other = Holder { name: "b".into(), life: 1 };
-    table.apply(&Command::Raise { budget: "calls".into(), holder: other, to: 8, was: None }).unwrap();
+    table
+        .apply(&Command::Fence {
+            budget: "calls".into(),
+            holder: holder.clone(),
+            keep: 0,
+            was,
+        })
+        .unwrap();
+    let other = Holder {
+        name: "b".into(),
+        life: 1,
+    };
+    table
+        .apply(&Command::Raise {
+            budget: "calls".into(),
+            holder: other,
+            to: 8,
+            was: None,
+        })
+        .unwrap();
     granter.applied(&table);
     assert_eq!(exchange(&mut granter, &table, Time(100_000)), 0);
 }
--- a/crates/budget/tests/model.rs
+++ b/crates/budget/tests/model.rs
@@ -85,19 +85,30 @@
 
 impl Lease {
     fn terms(&self) -> Terms {
-        Terms { lease: LEASE, slip: SLIP, defences: self.defences }
+        Terms {
+            lease: LEASE,
+            slip: SLIP,
+            defences: self.defences,
+        }
     }
 
     fn member(&self, place: usize, life: u64, former: Option<u64>) -> Member {
         let name = ["a", "b"][place].to_string();
         let mut shares = Shares::new(Holder { name, life }, former, self.terms());
         shares.name([BUDGET.to_string()].into_iter());
-        Member { life, shares, calls: Vec::new(), stopped: None }
+        Member {
+            life,
+            shares,
+            calls: Vec::new(),
+            stopped: None,
+        }
     }
 
     fn lead(&self, world: &mut World, kept: usize) {
         let wholes = [(BUDGET.to_string(), WHOLE, LINGER)];
-        world.proposed.extend(world.granter.commands(world.now, &world.table, &wholes));
+        world
+            .proposed
+            .extend(world.granter.commands(world.now, &world.table, &wholes));
         let agreed = world.proposed.len().saturating_sub(kept);
         for command in world.proposed.drain(..agreed).collect::<Vec<_>>() {
             let _ = world.table.apply(&command);
@@ -108,15 +119,28 @@
             replies = world.granter.confirmed(round, &world.table);
         }
         replies.extend(world.granter.news(&world.table));
-        replies.into_iter().for_each(|reply| say(world, Word::Reply(reply)));
+        replies
+            .into_iter()
+            .for_each(|reply| say(world, Word::Reply(reply)));
     }
 }
 
 fn asks(member: &mut Member, place: usize, now: Time) -> Option<Ask> {
     let held = member.calls.len() as u32;
     // The first needs much at first, the other later.
-    let need = if (place == 0) == (now < Time(STEP)) { WHOLE } else { 0 };
-    member.shares.used(BUDGET, Usage { held, need, weight: 1.0 });
+    let need = if (place == 0) == (now < Time(STEP)) {
+        WHOLE
+    } else {
+        0
+    };
+    member.shares.used(
+        BUDGET,
+        Usage {
+            held,
+            need,
+            weight: 1.0,
+        },
+    );
     member.shares.ask(now)
 }
 
@@ -130,7 +154,10 @@
     match word {
         Word::Ask(ask) => world.granter.ask(world.now, ask),
         Word::Reply(reply) => {
-            let to = world.members.iter_mut().find(|m| *m.shares.me() == reply.holder && m.stopped.is_none());
+            let to = world
+                .members
+                .iter_mut()
+                .find(|m| *m.shares.me() == reply.holder && m.stopped.is_none());
             to.into_iter().for_each(|member| member.shares.told(&reply));
         }
     }
@@ -140,7 +167,11 @@
 fn used(world: &World) -> u32 {
     let of = |m: &Member| {
         let held = m.calls.len() as u32 + u32::from(m.stopped.is_some());
-        held.max(if m.stopped.is_none() { m.shares.ceiling(world.now, BUDGET) } else { 0 })
+        held.max(if m.stopped.is_none() {
+            m.shares.ceiling(world.now, BUDGET)
+        } else {
+            0
+        })
     };
     world.members.iter().map(of).sum::<u32>() + world.ghosts.len() as u32
 }
@@ -164,7 +195,11 @@
         world.granter.lead(Some(Time(-10 * STEP)));
         let first = [
             Command::Open,
-            Command::Whole { budget: BUDGET.into(), units: WHOLE, linger: LINGER.0 },
+            Command::Whole {
+                budget: BUDGET.into(),
+                units: WHOLE,
+                linger: LINGER.0,
+            },
             Command::Raise {
                 budget: BUDGET.into(),
                 holder: world.members[0].shares.me().clone(),
@@ -172,9 +207,21 @@
                 was: None,
             },
         ];
-        first.iter().for_each(|command| world.table.apply(command).expect("the first commands fit"));
-        world.members[0].shares.used(BUDGET, Usage { held: 0, need: WHOLE, weight: 1.0 });
-        let ask = world.members[0].shares.ask(world.now).expect("the first asking is due");
+        first
+            .iter()
+            .for_each(|command| world.table.apply(command).expect("the first commands fit"));
+        world.members[0].shares.used(
+            BUDGET,
+            Usage {
+                held: 0,
+                need: WHOLE,
+                weight: 1.0,
+            },
+        );
+        let ask = world.members[0]
+            .shares
+            .ask(world.now)
+            .expect("the first asking is due");
         world.granter.ask(world.now, ask);
         self.lead(&mut world, 0);
         while let Some(word) = world.words.pop() {
@@ -185,7 +232,10 @@
 
     fn actions(&self, world: &World, out: &mut Vec<Step>) {
         // One that is stopped wakes in time.
-        let overslept = world.members.iter().any(|m| m.stopped.is_some_and(|at| world.now >= at + SLIP));
+        let overslept = world
+            .members
+            .iter()
+            .any(|m| m.stopped.is_some_and(|at| world.now >= at + SLIP));
         if world.now < Time(STEPS * STEP) && !overslept {
             out.push(Step::Clock);
         }
@@ -219,7 +269,9 @@
             Step::Clock => {
                 next.now = now + Time(STEP);
                 let goes_on = |began: &Time| *began + LINGER > next.now;
-                next.members.iter_mut().for_each(|m| m.calls.retain(goes_on));
+                next.members
+                    .iter_mut()
+                    .for_each(|m| m.calls.retain(goes_on));
                 next.ghosts.retain(goes_on);
             }
             Step::Ask(place) => {
@@ -264,7 +316,10 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("never over the whole", |_, world: &World| used(world) <= WHOLE)]
+        vec![Property::always(
+            "never over the whole",
+            |_, world: &World| used(world) <= WHOLE,
+        )]
     }
 }
 
@@ -272,10 +327,16 @@
 const STATES: usize = 200_000;
 
 fn searched(defences: Defences, seed: Option<u64>) -> Option<Vec<Step>> {
-    let model = Lease { defences }.checker().threads(4).target_state_count(STATES);
+    let model = Lease { defences }
+        .checker()
+        .threads(4)
+        .target_state_count(STATES);
     let found = match seed {
         None => model.spawn_bfs().join().discovery("never over the whole"),
-        Some(seed) => model.spawn_simulation(seed, UniformChooser).join().discovery("never over the whole"),
+        Some(seed) => model
+            .spawn_simulation(seed, UniformChooser)
+            .join()
+            .discovery("never over the whole"),
     };
     found.map(|path| path.into_actions())
 }
@@ -292,11 +353,30 @@
 fn the_search_finds_planted_faults() {
     let all = Defences::default();
     for (name, planted) in [
-        ("lease", Defences { lease: false, ..all }),
-        ("fence", Defences { fence: false, ..all }),
-        ("linger", Defences { linger: false, ..all }),
+        (
+            "lease",
+            Defences {
+                lease: false,
+                ..all
+            },
+        ),
+        (
+            "fence",
+            Defences {
+                fence: false,
+                ..all
+            },
+        ),
+        (
+            "linger",
+            Defences {
+                linger: false,
+                ..all
+            },
+        ),
     ] {
-        let found = searched(planted, None).or_else(|| (1..4).find_map(|seed| searched(planted, Some(seed))));
+        let found = searched(planted, None)
+            .or_else(|| (1..4).find_map(|seed| searched(planted, Some(seed))));
         assert!(found.is_some(), "nothing found without {name}");
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,3 +1,6 @@
 //! Joins the decision module and the types it speaks in. Nothing is decided here.
-pub mod decide;
+
+// The policy has a `rustfmt.toml` of its own beside it; `.ci/run` checks it with that.
+#[rustfmt::skip]
+pub mod policy;
 pub mod types;
--- a/crates/decide/src/decide.rs
+++ b/crates/decide/src/policy/mod.rs
@@ -51,7 +51,7 @@
 const GAPS: usize = 10; // bins of the gaps between a caller's reqs, each twice as wide as the one before
 const FEW: f64 = 256.0; // connections that any server bears: where no more callers are, all stay open
 const MID_BIN: f64 = 0.75; // of a bin's edge, its middle
-const DEAR_PART: f64 = 0.15; // of the time callers leave connections idle, for which a kept one costs a new one
+const DEAR_PART: f64 = 0.15; // of the time callers leave connections idle: price of a new connection
 
 type Sums<const K: usize> = Ring<K, SLOTS>;
 
--- a/crates/decide/src/types.rs
+++ b/crates/decide/src/types.rs
@@ -208,7 +208,11 @@
 
 impl Beat {
     pub fn new(resolution: Time) -> Self {
-        Beat { resolution, next_look: Time(i64::MIN), woken: None }
+        Beat {
+            resolution,
+            next_look: Time(i64::MIN),
+            woken: None,
+        }
     }
 }
 
@@ -260,7 +264,10 @@
             base,
             arrived,
             target: arrived + target.min(handler.client_timeout),
-            due: new.wait.map_or(arrived + handler.client_timeout, |wait| now + wait).max(now),
+            due: new
+                .wait
+                .map_or(arrived + handler.client_timeout, |wait| now + wait)
+                .max(now),
             phase: Phase::Held,
             answered: false,
             started: now,
@@ -292,7 +299,11 @@
 
 impl<const K: usize, const SLOTS: usize> Ring<K, SLOTS> {
     pub fn new(span: Time) -> Self {
-        Ring { width: (span.0 / SLOTS as i64).max(1), turn: 0, slots: [[0.0; K]; SLOTS] }
+        Ring {
+            width: (span.0 / SLOTS as i64).max(1),
+            turn: 0,
+            slots: [[0.0; K]; SLOTS],
+        }
     }
 
     pub fn span(&self) -> f64 {
@@ -305,8 +316,12 @@
 
     pub fn sums(&self, now: Time) -> [f64; K] {
         let oldest = now.0.div_euclid(self.width) - SLOTS as i64;
-        let live = (0..SLOTS as i64).map(|back| self.turn - back).filter(|turn| *turn > oldest);
-        live.fold([0.0; K], |sums, turn| std::array::from_fn(|k| sums[k] + self.slots[Self::slot(turn)][k]))
+        let live = (0..SLOTS as i64)
+            .map(|back| self.turn - back)
+            .filter(|turn| *turn > oldest);
+        live.fold([0.0; K], |sums, turn| {
+            std::array::from_fn(|k| sums[k] + self.slots[Self::slot(turn)][k])
+        })
     }
 
     /// The first place up to which a part of the sums' total lies.
@@ -317,7 +332,10 @@
     }
 
     pub fn add_all(&mut self, now: Time, amounts: [f64; K]) {
-        amounts.into_iter().enumerate().for_each(|(k, amount)| self.add(now, k, amount));
+        amounts
+            .into_iter()
+            .enumerate()
+            .for_each(|(k, amount)| self.add(now, k, amount));
     }
 
     pub fn add(&mut self, now: Time, k: usize, amount: f64) {
--- a/crates/decide/tests/decide/plain.rs
+++ b/crates/decide/tests/decide/plain.rs
@@ -1,6 +1,6 @@
 //! Plain cases: boundary values, and one small case for each failure found.
 use crate::world::*;
-use cottondyke_decide::decide::*;
+use cottondyke_decide::policy::*;
 use cottondyke_decide::types::*;
 
 fn arrive(world: &mut World, count: usize, lay: Time) {
@@ -18,7 +18,10 @@
 
 /// Runs that take so many looks, with so little of the cores.
 fn runs(world: &mut World, handlers: &[usize], count: usize, step: Time, busy: f64) {
-    let ids: Vec<_> = handlers.iter().map(|h| world.arrive(*h, Time(0), TIMEOUT, None)).collect();
+    let ids: Vec<_> = handlers
+        .iter()
+        .map(|h| world.arrive(*h, Time(0), TIMEOUT, None))
+        .collect();
     looks(world, count, step, busy);
     ids.into_iter().for_each(|id| world.end(id, RunEnd::Done));
 }
@@ -37,14 +40,27 @@
     while world.now < end {
         if world.count(State::Wanting) == 0 {
             arrive(world, 1, Time(0));
-            world.ids(State::OnCore).into_iter().for_each(|id| world.want_call(id));
+            world
+                .ids(State::OnCore)
+                .into_iter()
+                .for_each(|id| world.want_call(id));
         }
         let (began, call) = (world.now, world.ids(State::Calling).first().copied());
         let cap = call.map_or(Time(100), |_| *world.caps.last().unwrap());
         world.pass(time.min(cap));
         if let Some(id) = call {
-            world.end_call(id, if time < cap { CallEnd::Done } else { CallEnd::Unknown });
-            world.ids(State::OnCore).into_iter().for_each(|id| world.end(id, RunEnd::Done));
+            world.end_call(
+                id,
+                if time < cap {
+                    CallEnd::Done
+                } else {
+                    CallEnd::Unknown
+                },
+            );
+            world
+                .ids(State::OnCore)
+                .into_iter()
+                .for_each(|id| world.end(id, RunEnd::Done));
             spans.push((began, world.now));
         }
     }
@@ -113,10 +129,16 @@
 #[test]
 fn calls_in_hand_stay_under_the_told_share() {
     // A mean over the told time let twice the share out for moments, and the dependency fell over.
-    let mut world = World::new(Set { share: Some(3.0), ..PLAIN });
+    let mut world = World::new(Set {
+        share: Some(3.0),
+        ..PLAIN
+    });
     for _ in 0..6 {
         world.arrive(0, Time(0), TIMEOUT, None);
-        world.ids(State::OnCore).into_iter().for_each(|id| world.want_call(id));
+        world
+            .ids(State::OnCore)
+            .into_iter()
+            .for_each(|id| world.want_call(id));
     }
     assert_eq!(world.count(State::Calling), 2);
     assert!(world.count(State::Wanting) > 0);
@@ -127,47 +149,90 @@
     // The mean in hand was looked at as a call began; calls that then hung took it to three times the share,
     // and only that callers obeyed and calls were cut early kept what all share from falling.
     let (share, linger) = (0.4, Time(2000));
-    let mut world = World::new(Set { share: Some(share), ..PLAIN });
+    let mut world = World::new(Set {
+        share: Some(share),
+        ..PLAIN
+    });
     let spans = calls_in_a_row(&mut world, TIMEOUT, TARGET.times(12.0));
     let held = |from: Time| {
-        let part = |(began, ended): &(Time, Time)| (*ended + linger).min(from + TARGET) - (*began).max(from);
+        let part = |(began, ended): &(Time, Time)| {
+            (*ended + linger).min(from + TARGET) - (*began).max(from)
+        };
         spans.iter().map(|s| part(s).num().max(0.0)).sum::<f64>()
     };
-    let most = spans.iter().map(|(began, _)| held(*began)).fold(0.0, f64::max);
-    assert!(spans.len() > 3 && most <= share * TARGET.num(), "{most} in hand over the window: {spans:?}");
+    let most = spans
+        .iter()
+        .map(|(began, _)| held(*began))
+        .fold(0.0, f64::max);
+    assert!(
+        spans.len() > 3 && most <= share * TARGET.num(),
+        "{most} in hand over the window: {spans:?}"
+    );
     // Three hundred servers with one call each were ten times what the shared database had slots for; its
     // calls took forty times their time and ten in eleven were given up, long after the trouble had ended.
-    let mut world = World::new(Set { share: Some(0.8), ..PLAIN });
+    let mut world = World::new(Set {
+        share: Some(0.8),
+        ..PLAIN
+    });
     calls_in_a_row(&mut world, Time(100), TARGET.times(3.0));
     let slow = calls_in_a_row(&mut world, Time(2500), TARGET.times(6.0));
     let late = &slow[slow.len() / 2..];
-    let part = late.iter().map(|(b, e)| (*e - *b).num()).sum::<f64>() / (world.now - late[0].0).num();
-    assert!((0.1..0.35).contains(&part), "{part} of the time with a call in hand: {slow:?}");
+    let part =
+        late.iter().map(|(b, e)| (*e - *b).num()).sum::<f64>() / (world.now - late[0].0).num();
+    assert!(
+        (0.1..0.35).contains(&part),
+        "{part} of the time with a call in hand: {slow:?}"
+    );
     // While calls queued nothing started, not even what never calls.
-    world.ids(State::Wanting).into_iter().for_each(|id| world.gone(id));
+    world
+        .ids(State::Wanting)
+        .into_iter()
+        .for_each(|id| world.gone(id));
     for _ in 0..4 {
         arrive(&mut world, 1, Time(0));
-        world.ids(State::OnCore).into_iter().for_each(|id| world.want_call(id));
+        world
+            .ids(State::OnCore)
+            .into_iter()
+            .for_each(|id| world.want_call(id));
     }
     let ids = [0, 2].map(|kind| world.arrive(kind, Time(0), TIMEOUT, None));
-    assert_eq!(ids.map(|id| world.reqs[&id].state == State::OnCore), [false, true]);
+    assert_eq!(
+        ids.map(|id| world.reqs[&id].state == State::OnCore),
+        [false, true]
+    );
 }
 
 #[test]
 fn a_call_is_given_up_early_where_another_may_end_well() {
     // Machines that were cut off, and single calls that were never answered, took the whole time that a req had
     // left. Where many calls to what all share fail, the next would lie there beside those given up.
-    for (share, failed, early) in [(None, 4, true), (Some(30.0), 0, true), (Some(30.0), 4, false)] {
+    for (share, failed, early) in [
+        (None, 4, true),
+        (Some(30.0), 0, true),
+        (Some(30.0), 4, false),
+    ] {
         let mut world = World::new(Set { share, ..PLAIN });
         for n in 0..failed + 2 {
             let id = world.arrive(0, Time(0), TIMEOUT, None);
             world.want_call(id);
             world.pass(Time(200));
-            world.end_call(id, if n > 0 && n <= failed { CallEnd::Unknown } else { CallEnd::Done });
+            world.end_call(
+                id,
+                if n > 0 && n <= failed {
+                    CallEnd::Unknown
+                } else {
+                    CallEnd::Done
+                },
+            );
             world.end(id, RunEnd::Done);
             world.pass(Time(3_000));
         }
-        assert_eq!(*world.caps.last().unwrap() < world.caps[0].times(0.5), early, "{:?}", world.caps);
+        assert_eq!(
+            *world.caps.last().unwrap() < world.caps[0].times(0.5),
+            early,
+            "{:?}",
+            world.caps
+        );
     }
 }
 
@@ -184,11 +249,17 @@
 fn a_call_that_ended_without_a_reply_is_made_again_at_once_where_that_is_safe() {
     // Its reply was spoilt on the way: nothing lies below, so its place there is free, shared or not.
     for (kind, calls) in [(0, 2), (1, 1)] {
-        let mut world = World::new(Set { share: Some(6.0), ..PLAIN });
+        let mut world = World::new(Set {
+            share: Some(6.0),
+            ..PLAIN
+        });
         let id = world.arrive(kind, Time(0), TIMEOUT, None);
         world.want_call(id);
         world.end_call(id, CallEnd::Spoilt);
-        assert_eq!((world.caps.len(), world.reqs[&id].answered), (calls, kind == 1));
+        assert_eq!(
+            (world.caps.len(), world.reqs[&id].answered),
+            (calls, kind == 1)
+        );
     }
 }
 
@@ -227,7 +298,10 @@
         world.want_call(id);
         while !world.reqs[&id].answered {
             world.pass(Time(10));
-            world.ids(State::Calling).into_iter().for_each(|id| world.end_call(id, CallEnd::NeverRan));
+            world
+                .ids(State::Calling)
+                .into_iter()
+                .for_each(|id| world.end_call(id, CallEnd::NeverRan));
         }
     }
     for _ in 0..3 {
@@ -243,7 +317,11 @@
 #[test]
 fn a_call_that_cannot_be_made_again_is_not_given_up_early_while_calls_end_well() {
     // On a quiet day one answer in eight went out without its call.
-    let mut world = World::new(Set { share: Some(3.0), skip: 0.5, ..PLAIN });
+    let mut world = World::new(Set {
+        share: Some(3.0),
+        skip: 0.5,
+        ..PLAIN
+    });
     for _ in 0..3 {
         let id = world.arrive(2, Time(0), TIMEOUT, None);
         world.want_call(id);
@@ -251,13 +329,20 @@
         world.end_call(id, CallEnd::Done);
         world.end(id, RunEnd::Done);
     }
-    assert!(world.caps.iter().all(|cap| *cap >= TARGET.times(0.5)), "{:?}", world.caps);
+    assert!(
+        world.caps.iter().all(|cap| *cap >= TARGET.times(0.5)),
+        "{:?}",
+        world.caps
+    );
 }
 
 #[test]
 fn a_customer_whose_share_is_filled_gives_way() {
     // One customer sent three times its share, and as many of the others' reqs were shed as of its excess.
-    let mut world = World::new(Set { told: true, ..PLAIN });
+    let mut world = World::new(Set {
+        told: true,
+        ..PLAIN
+    });
     for n in 0..33 {
         world.customer = Some(usize::from(n % 11 == 0));
         let id = world.arrive(0, Time(0), TIMEOUT, None);
@@ -278,7 +363,11 @@
 fn a_call_that_can_be_skipped_leaves_time_for_the_rest_of_its_req() {
     // A slow call was given up at the response target, and the answer without it came late.
     for (skip, leaves) in [(0.5, true), (0.0, false)] {
-        let mut world = World::new(Set { share: Some(3.0), skip, ..PLAIN });
+        let mut world = World::new(Set {
+            share: Some(3.0),
+            skip,
+            ..PLAIN
+        });
         let id = world.arrive(0, Time(0), TIMEOUT, None);
         world.want_call(id);
         assert_eq!(world.caps[0] < TARGET, leaves, "{:?}", world.caps);
@@ -308,14 +397,21 @@
 #[test]
 fn a_req_that_can_skip_its_call_does_not_wait_long_for_it() {
     // With a slow dependency each waited up to a quarter of its time and then came late without the call.
-    let mut world = World::new(Set { share: Some(3.0), skip: 0.5, ..PLAIN });
+    let mut world = World::new(Set {
+        share: Some(3.0),
+        skip: 0.5,
+        ..PLAIN
+    });
     for _ in 0..3 {
         let id = world.arrive(0, Time(0), TIMEOUT, None);
         world.want_call(id);
     }
     assert_eq!(world.count(State::Wanting), 1);
     world.pass(TARGET.times(0.08));
-    assert_eq!((world.count(State::Wanting), world.count(State::OnCore)), (0, 1));
+    assert_eq!(
+        (world.count(State::Wanting), world.count(State::OnCore)),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -324,7 +420,12 @@
     let one = [handler(Kind::Replayable, 0.5)];
     let (none, late) = (Time(0), Time(0) + TIMEOUT);
     for scale in [0.0, 1.0, 1e9] {
-        for reading in [Reading::Share, Reading::Credit, Reading::Rank, Reading::Unused] {
+        for reading in [
+            Reading::Share,
+            Reading::Credit,
+            Reading::Rank,
+            Reading::Unused,
+        ] {
             let span = Time(scale as i64);
             let mut decider = Decider::new(
                 Time(1),
@@ -332,10 +433,20 @@
                 Pool::new(none, scale.min(1e3) as usize, scale, scale.min(1.0), span),
                 Threshold::new(span, Halting::Drop, &one),
                 Costs::new(none, &one, scale.min(1.0)),
-                Memory { limit: scale, blowup: scale, per_key: scale },
+                Memory {
+                    limit: scale,
+                    blowup: scale,
+                    per_key: scale,
+                },
                 Calls::new(Some(scale), span, span, scale.min(1e3) as usize),
                 span,
-                Advice::new(reading, Callers::new(none, scale, span, span), span, span, u64::MAX),
+                Advice::new(
+                    reading,
+                    Callers::new(none, scale, span, span),
+                    span,
+                    span,
+                    u64::MAX,
+                ),
             );
             let mut all = vec![decider.wake(none, Gauges::default())];
             for id in 0..40 {
@@ -359,11 +470,23 @@
                 all.push(decider.call_wanted(Time(id.0 as i64 * 5), id));
             }
             for at in [late, late + span, late + span + TIMEOUT] {
-                all.push(decider.wake(at, Gauges { busy: Some(scale), runnable: None }));
+                all.push(decider.wake(
+                    at,
+                    Gauges {
+                        busy: Some(scale),
+                        runnable: None,
+                    },
+                ));
             }
-            let answers = all.iter().map(|r| r.shed.len() + r.fail.len()).sum::<usize>();
+            let answers = all
+                .iter()
+                .map(|r| r.shed.len() + r.fail.len())
+                .sum::<usize>();
             assert_eq!(answers, 40, "scale {scale}, {reading:?}");
-            assert!(all.iter().filter_map(|r| r.advice).all(|level| level.is_finite() && level >= 0.0));
+            assert!(all
+                .iter()
+                .filter_map(|r| r.advice)
+                .all(|level| level.is_finite() && level >= 0.0));
         }
     }
 }
@@ -375,7 +498,11 @@
         let mut world = World::new(PLAIN);
         arrive(&mut world, 6, Time(0));
         looks(&mut world, count, TARGET.times(0.06), 0.5);
-        assert_eq!(world.count(State::OnCore) > CORES, more, "after {count} looks");
+        assert_eq!(
+            world.count(State::OnCore) > CORES,
+            more,
+            "after {count} looks"
+        );
     }
 }
 
@@ -383,7 +510,11 @@
 fn runs_at_the_disk_leave_room_past_the_ceiling_for_what_can_be_stopped() {
     // No more ran than may be on the cores at once: with long waits on the disk fast cores stood half idle.
     let ceiling = (CORES as f64 * FACTOR * 0.85) as usize;
-    for (handler, seen, past) in [(0, Some(1.0), true), (0, None, false), (2, Some(1.0), false)] {
+    for (handler, seen, past) in [
+        (0, Some(1.0), true),
+        (0, None, false),
+        (2, Some(1.0), false),
+    ] {
         let mut world = World::new(PLAIN);
         world.seen = seen;
         for _ in 0..10 {
@@ -391,12 +522,23 @@
             looks(&mut world, 1, TARGET.times(0.06), 0.1);
         }
         let running = world.count(State::OnCore);
-        assert_eq!(running > ceiling, past, "{running} of handler {handler}, seen {seen:?}");
-        assert!(running >= ceiling, "{running} of handler {handler}, seen {seen:?}");
+        assert_eq!(
+            running > ceiling,
+            past,
+            "{running} of handler {handler}, seen {seen:?}"
+        );
+        assert!(
+            running >= ceiling,
+            "{running} of handler {handler}, seen {seen:?}"
+        );
         // All come back to the cores: at the next look those past the ceiling are stopped.
         world.seen = seen.map(|_| running as f64);
         looks(&mut world, 1, TARGET.times(0.06), 1.0);
-        assert_eq!(world.count(State::OnCore), ceiling, "handler {handler}, seen {seen:?}");
+        assert_eq!(
+            world.count(State::OnCore),
+            ceiling,
+            "handler {handler}, seen {seen:?}"
+        );
     }
 }
 
@@ -409,23 +551,43 @@
     arrive(&mut world, 2, Time(0));
     looks(&mut world, 4, Time(500), 0.1);
     arrive(&mut world, 1, Time(0));
-    assert!(world.shed.is_empty(), "a newcomer beside two runs at the disk was shed: {:?}", world.shed);
+    assert!(
+        world.shed.is_empty(),
+        "a newcomer beside two runs at the disk was shed: {:?}",
+        world.shed
+    );
     // They passed for use of the cores: one handler, its runs once slow, was turned away for good.
     let mut world = World::new(PLAIN);
     (0..8).for_each(|_| runs(&mut world, &[0; 4], 17, Time(500), 0.2));
     world.shed.clear();
     (0..8).for_each(|_| runs(&mut world, &[0, 0, 2], 30, Time(500), 0.2));
-    assert!(world.shed.is_empty(), "shed beside two runs at the disk: {:?}", world.shed);
+    assert!(
+        world.shed.is_empty(),
+        "shed beside two runs at the disk: {:?}",
+        world.shed
+    );
 }
 
 #[test]
 fn credit_is_spread_over_the_callers_that_send_here() {
     // Told a thousand callers at start, a node said a five-hundredth of a req each, which reads as: stay away;
     // told one, as on sockets, the table of callers heard held no more than four.
-    for (told, named, most, least) in [(1000.0, 2, 1.0, 0.5), (1000.0, 0, 0.01, 0.0), (1.0, 10, 0.2, 0.0)] {
-        let mut world = World::new(Set { reading: Reading::Credit, callers: told, ..PLAIN });
+    for (told, named, most, least) in [
+        (1000.0, 2, 1.0, 0.5),
+        (1000.0, 0, 0.01, 0.0),
+        (1.0, 10, 0.2, 0.0),
+    ] {
+        let mut world = World::new(Set {
+            reading: Reading::Credit,
+            callers: told,
+            ..PLAIN
+        });
         in_turn(&mut world, named, named.max(1), Time(100));
-        assert!((least..=most).contains(&world.advice), "credit {} for {named} of {told}", world.advice);
+        assert!(
+            (least..=most).contains(&world.advice),
+            "credit {} for {named} of {told}",
+            world.advice
+        );
     }
 }
 
@@ -437,8 +599,14 @@
         let mut world = World::new(PLAIN);
         world.wake(1.0);
         arrive(&mut world, 40, Time(lay));
-        let (last, all) = (world.shed.iter().filter(|s| s.last).count(), world.shed.len());
-        assert!(all > 0 && if dear { last * 2 > all } else { last == 0 }, "{last} of {all}, lay {lay}");
+        let (last, all) = (
+            world.shed.iter().filter(|s| s.last).count(),
+            world.shed.len(),
+        );
+        assert!(
+            all > 0 && if dear { last * 2 > all } else { last == 0 },
+            "{last} of {all}, lay {lay}"
+        );
     }
     // On sockets the first reqs come where nothing is proven yet, and count as not unread: that taught that reading
     // takes no time, for some 600 reqs, and a rush that came before ended no walk.
@@ -446,8 +614,14 @@
     world.wake(1.0);
     arrive(&mut world, 3, Time(0));
     arrive(&mut world, 40, Time(500));
-    let (last, all) = (world.shed.iter().filter(|s| s.last).count(), world.shed.len());
-    assert!(all > 0 && last * 2 > all, "{last} of {all} after reqs that taught nothing");
+    let (last, all) = (
+        world.shed.iter().filter(|s| s.last).count(),
+        world.shed.len(),
+    );
+    assert!(
+        all > 0 && last * 2 > all,
+        "{last} of {all} after reqs that taught nothing"
+    );
     // On a quiet day every shed asked for no further try: one shed among four arrivals passed a fifth of them.
     let mut world = World::new(PLAIN);
     world.wake(1.0);
@@ -455,20 +629,36 @@
         arrive(&mut world, 1, Time(0));
         world.pass(Time(4000));
     }
-    assert!(!world.shed.first().expect("no shed at all").last, "{:?}", world.shed);
+    assert!(
+        !world.shed.first().expect("no shed at all").last,
+        "{:?}",
+        world.shed
+    );
 }
 
 #[test]
 fn a_req_that_cannot_be_won_is_shed_at_once_with_a_time_to_come_back() {
     // Held toward its client timeout, a lost req kept its caller from asking elsewhere and named no time; a
     // server that refused quickly and named no time drew the traffic of callers that pick the least busy.
-    for reading in [Reading::Share, Reading::Credit, Reading::Rank, Reading::Unused] {
+    for reading in [
+        Reading::Share,
+        Reading::Credit,
+        Reading::Rank,
+        Reading::Unused,
+    ] {
         let mut world = World::new(Set { reading, ..PLAIN });
         world.wake(1.0);
         arrive(&mut world, 40, Time(500));
         let held = world.count(State::Held);
-        assert!(world.shed.len() + held + world.count(State::OnCore) == 40 && held < 10, "{held} held");
-        assert!(world.shed.iter().all(|s| s.pause > Time(0)), "{reading:?}: {:?}", world.shed);
+        assert!(
+            world.shed.len() + held + world.count(State::OnCore) == 40 && held < 10,
+            "{held} held"
+        );
+        assert!(
+            world.shed.iter().all(|s| s.pause > Time(0)),
+            "{reading:?}: {:?}",
+            world.shed
+        );
     }
 }
 
@@ -483,8 +673,15 @@
         (4.0, 4, IDLE.0, IDLE.0),
         (1000.0, 0, IDLE.0, IDLE.0),
     ] {
-        let mut world = World::new(Set { callers: told, ..PLAIN });
+        let mut world = World::new(Set {
+            callers: told,
+            ..PLAIN
+        });
         in_turn(&mut world, named, 120, Time(1500));
-        assert!((least..=most).contains(&world.trim.0), "{named} of {told} callers: {:?}", world.trim);
+        assert!(
+            (least..=most).contains(&world.trim.0),
+            "{named} of {told} callers: {:?}",
+            world.trim
+        );
     }
 }
--- a/crates/decide/tests/decide/rules.rs
+++ b/crates/decide/tests/decide/rules.rs
@@ -10,7 +10,12 @@
         halting: [Halting::Drop, Halting::Never, Halting::Pause][choice as usize % 3],
         told: choice & 4 != 0,
         cold: choice & 8 != 0,
-        reading: [Reading::Share, Reading::Credit, Reading::Rank, Reading::Unused][choice as usize / 16 % 4],
+        reading: [
+            Reading::Share,
+            Reading::Credit,
+            Reading::Rank,
+            Reading::Unused,
+        ][choice as usize / 16 % 4],
         share: (choice & 64 != 0).then_some([0.8, 2.5][choice as usize / 512 % 2]),
         skip: if choice & 128 != 0 { 0.5 } else { 0.0 },
         limit_kb: if choice & 256 != 0 { 600.0 } else { 1e6 },
@@ -27,7 +32,14 @@
         }
         7 | 8 => {
             if let Some(id) = pick(world.ids(State::OnCore)).filter(|_| !world.frozen) {
-                world.end(id, if b % 8 == 0 { RunEnd::Errored } else { RunEnd::Done });
+                world.end(
+                    id,
+                    if b % 8 == 0 {
+                        RunEnd::Errored
+                    } else {
+                        RunEnd::Done
+                    },
+                );
             }
         }
         9 => {
@@ -39,7 +51,12 @@
             if let Some(id) = pick(world.ids(State::Calling)) {
                 world.end_call(
                     id,
-                    [CallEnd::Done, CallEnd::NeverRan, CallEnd::Unknown, CallEnd::Spoilt][b as usize % 4],
+                    [
+                        CallEnd::Done,
+                        CallEnd::NeverRan,
+                        CallEnd::Unknown,
+                        CallEnd::Spoilt,
+                    ][b as usize % 4],
                 );
             }
         }
@@ -52,7 +69,10 @@
         12 if b % 64 == 0 && world.left.is_none() => world.leave(Time(20_000)),
         13 if b % 8 == 0 => world.frozen = !world.frozen,
         _ => {
-            if world.left.is_none_or(|(_, stop)| world.now + Time(b as i64 % 3000) < stop) {
+            if world
+                .left
+                .is_none_or(|(_, stop)| world.now + Time(b as i64 % 3000) < stop)
+            {
                 world.pass(Time(b as i64 % 3000));
             }
         }
@@ -63,7 +83,9 @@
     let mut world = World::new(set(choice));
     steps.into_iter().for_each(|s| step(&mut world, s));
     // Whatever is still open gets its answer in time.
-    let end = world.left.map_or(Time(40_000), |(_, stop)| stop - world.now - Time(1));
+    let end = world
+        .left
+        .map_or(Time(40_000), |(_, stop)| stop - world.now - Time(1));
     world.pass(end.max(Time(0)));
     // The passes are bounded: each firing moves one req one phase on.
     world.most_passes <= 2 * world.reqs.len() + 2
@@ -72,5 +94,8 @@
 #[test]
 fn random_runs_keep_the_rules() {
     let rng = Gen::from_size_and_seed(160, 1);
-    QuickCheck::new().rng(rng).tests(1000).quickcheck(keeps_rules as fn(u16, Steps) -> bool);
+    QuickCheck::new()
+        .rng(rng)
+        .tests(1000)
+        .quickcheck(keeps_rules as fn(u16, Steps) -> bool);
 }
--- a/crates/decide/tests/decide/world.rs
+++ b/crates/decide/tests/decide/world.rs
@@ -1,6 +1,6 @@
 //! A small honest model of a server: what runs, is held, kept and answered. It carries out results in their
 //! documented order and fails the test at the first broken rule.
-use cottondyke_decide::decide::*;
+use cottondyke_decide::policy::*;
 use cottondyke_decide::types::*;
 use std::collections::BTreeMap;
 
@@ -111,11 +111,22 @@
         let first = if set.cold { FIRST } else { 1.0 };
         let decider = Decider::new(
             Time(20),
-            Hold::new(&handlers, &[50.0, 50.0, 50.0], 10.0, 0.1, false, [0.6, 0.2, 0.2]),
+            Hold::new(
+                &handlers,
+                &[50.0, 50.0, 50.0],
+                10.0,
+                0.1,
+                false,
+                [0.6, 0.2, 0.2],
+            ),
             Pool::new(now, CORES, FACTOR, first, WARM),
             Threshold::new(TARGET, set.halting, &handlers),
             Costs::new(now, &handlers, first),
-            Memory { limit: set.limit_kb, blowup: BLOWUP, per_key: PER_KEY },
+            Memory {
+                limit: set.limit_kb,
+                blowup: BLOWUP,
+                per_key: PER_KEY,
+            },
             Calls::new(set.share, TARGET, Time(2000), CORES),
             GRACE,
             Advice::new(set.reading, callers, TARGET, TARGET, 7),
@@ -155,13 +166,34 @@
         let mark = mark.filter(|_| kind == Kind::Uniqued);
         // A repeat is known by the entry that lived when it reached the machine.
         let same = |(other, n): &(&ReqId, &Noted)| {
-            n.mark.is_some() && n.mark == mark && self.keys.get(other).is_some_and(|end| *end > arrived)
+            n.mark.is_some()
+                && n.mark == mark
+                && self.keys.get(other).is_some_and(|end| *end > arrived)
+        };
+        let repeats = self
+            .reqs
+            .iter()
+            .filter(same)
+            .map(|(other, _)| *other)
+            .next_back();
+        let due = if self.set.told {
+            self.now + wait
+        } else {
+            (arrived + TIMEOUT).max(self.now)
         };
-        let repeats = self.reqs.iter().filter(same).map(|(other, _)| *other).next_back();
-        let due = if self.set.told { self.now + wait } else { (arrived + TIMEOUT).max(self.now) };
         let wait = self.set.told.then_some(wait);
         let (state, answered, ran) = (State::Held, false, false);
-        let noted = Noted { arrived, due, kind, kb: 10.0, mark, state, answered, ran, calls_unknown: false };
+        let noted = Noted {
+            arrived,
+            due,
+            kind,
+            kb: 10.0,
+            mark,
+            state,
+            answered,
+            ran,
+            calls_unknown: false,
+        };
         self.reqs.insert(id, noted);
         let place = kinds.iter().position(|k| *k == kind).unwrap_or(0);
         let customer = Some(CustomerId(self.customer.unwrap_or(id.0 as usize % 4)));
@@ -207,7 +239,11 @@
 
     pub fn end_call(&mut self, id: ReqId, end: CallEnd) {
         let noted = self.reqs.get_mut(&id).unwrap();
-        noted.state = if end == CallEnd::Done { State::OnCore } else { State::Wanting };
+        noted.state = if end == CallEnd::Done {
+            State::OnCore
+        } else {
+            State::Wanting
+        };
         noted.calls_unknown |= matches!(end, CallEnd::Unknown | CallEnd::Spoilt);
         let results = self.decider.call_ended(self.now, id, end);
         self.apply(results);
@@ -234,7 +270,10 @@
     }
 
     pub fn wake(&mut self, busy: f64) {
-        let gauges = Gauges { busy: Some(busy), runnable: self.seen };
+        let gauges = Gauges {
+            busy: Some(busy),
+            runnable: self.seen,
+        };
         let results = self.decider.wake(self.now, gauges);
         self.apply(results);
     }
@@ -245,7 +284,11 @@
         while let Some(next) = self.wakes.iter().min().copied().filter(|at| *at <= end) {
             self.now = self.now.max(next);
             self.wakes.retain(|at| *at > next);
-            self.wake(if self.frozen || self.count(State::OnCore) >= CORES { 1.0 } else { 0.5 });
+            self.wake(if self.frozen || self.count(State::OnCore) >= CORES {
+                1.0
+            } else {
+                0.5
+            });
         }
         self.now = end;
         self.check();
@@ -256,7 +299,11 @@
     }
 
     pub fn ids(&self, state: State) -> Vec<ReqId> {
-        self.reqs.iter().filter(|(_, n)| n.state == state).map(|(id, _)| *id).collect()
+        self.reqs
+            .iter()
+            .filter(|(_, n)| n.state == state)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     fn apply(&mut self, results: Results) {
@@ -266,9 +313,17 @@
         for id in results.stop {
             let noted = self.reqs.get_mut(&id).unwrap();
             assert_ne!(self.set.halting, Halting::Never, "a stop where none may be");
-            assert_eq!(noted.kind, Kind::Replayable, "effect twice: a run that may not repeat was stopped");
+            assert_eq!(
+                noted.kind,
+                Kind::Replayable,
+                "effect twice: a run that may not repeat was stopped"
+            );
             if noted.state == State::OnCore && !self.frozen {
-                noted.state = if noted.answered { State::Over } else { State::Paused };
+                noted.state = if noted.answered {
+                    State::Over
+                } else {
+                    State::Paused
+                };
                 ended.push(id);
             }
         }
@@ -285,7 +340,10 @@
         for shed in results.shed {
             let noted = self.reqs.get_mut(&shed.id).unwrap();
             assert!(!noted.answered, "lost: {shed:?} answered twice");
-            assert!(!noted.ran && noted.state == State::Held, "a req that ran was turned away");
+            assert!(
+                !noted.ran && noted.state == State::Held,
+                "a req that ran was turned away"
+            );
             (noted.answered, noted.state) = (true, State::Over);
             self.shed.push(shed);
         }
@@ -293,16 +351,28 @@
             self.keys.insert(id, self.now + span);
         }
         for id in results.release {
-            assert!(self.keys.remove(&id).is_some(), "released what was not kept");
+            assert!(
+                self.keys.remove(&id).is_some(),
+                "released what was not kept"
+            );
         }
         for id in results.start {
             let (noted, left) = (&self.reqs[&id], self.left);
             assert_eq!(noted.state, State::Held, "started what is not held");
             assert!(!noted.ran, "effect twice: {id:?} started again");
-            assert!(left.is_none_or(|(at, _)| noted.arrived <= at + GRACE), "drain: ran what came late");
-            let twin = self.reqs.values().find(|n| n.ran && n.mark.is_some() && n.mark == noted.mark);
+            assert!(
+                left.is_none_or(|(at, _)| noted.arrived <= at + GRACE),
+                "drain: ran what came late"
+            );
+            let twin = self
+                .reqs
+                .values()
+                .find(|n| n.ran && n.mark.is_some() && n.mark == noted.mark);
             let clear = twin.is_none_or(|n| noted.arrived - n.arrived > WINDOW);
-            assert!(clear || noted.kind != Kind::Uniqued, "effect twice: a repeat ran within its window");
+            assert!(
+                clear || noted.kind != Kind::Uniqued,
+                "effect twice: a repeat ran within its window"
+            );
             let noted = self.reqs.get_mut(&id).unwrap();
             (noted.state, noted.ran) = (State::OnCore, true);
         }
@@ -322,7 +392,10 @@
         }
         for id in results.skip {
             let noted = self.reqs.get_mut(&id).unwrap();
-            assert!(self.set.skip > 0.0 && noted.state == State::Wanting, "a skip that is not allowed");
+            assert!(
+                self.set.skip > 0.0 && noted.state == State::Wanting,
+                "a skip that is not allowed"
+            );
             noted.state = State::OnCore;
         }
         self.advice = results.advice.unwrap_or(self.advice);
@@ -338,17 +411,36 @@
         let now = self.now;
         let slack = Time(400);
         for (id, noted) in &self.reqs {
-            assert!(noted.answered || noted.due + slack >= now, "lost: {id:?} {noted:?} at {now:?}");
+            assert!(
+                noted.answered || noted.due + slack >= now,
+                "lost: {id:?} {noted:?} at {now:?}"
+            );
             let stop = self.left.map_or(Time::MAX, |(_, stop)| stop);
-            assert!(noted.answered || now < stop, "drain: {id:?} unanswered when stopped");
+            assert!(
+                noted.answered || now < stop,
+                "drain: {id:?} unanswered when stopped"
+            );
         }
-        let warm = if self.set.cold { (now - Time(50_000)).num() / WARM.num() } else { 1.0 };
+        let warm = if self.set.cold {
+            (now - Time(50_000)).num() / WARM.num()
+        } else {
+            1.0
+        };
         let ceiling = 1.0 + (FACTOR - 1.0) * (FIRST + (1.0 - FIRST) * warm).min(1.0);
-        let on_core = self.seen.unwrap_or(f64::MAX).min(self.count(State::OnCore) as f64);
-        assert!(on_core <= CORES as f64 * ceiling, "fall-over: {on_core} on the cores");
+        let on_core = self
+            .seen
+            .unwrap_or(f64::MAX)
+            .min(self.count(State::OnCore) as f64);
+        assert!(
+            on_core <= CORES as f64 * ceiling,
+            "fall-over: {on_core} on the cores"
+        );
         // What all call dies when the shares add up; one call may pass a share below one.
         let calling = self.count(State::Calling) as f64;
-        assert!(self.set.share.is_none_or(|s| calling <= s.max(1.0)), "fall-over: {calling} calls in hand");
+        assert!(
+            self.set.share.is_none_or(|s| calling <= s.max(1.0)),
+            "fall-over: {calling} calls in hand"
+        );
         let need = |n: &Noted| match n.state {
             State::Over => 0.0,
             State::Held | State::Joined => n.kb,
--- a/crates/depend/src/breaker.rs
+++ b/crates/depend/src/breaker.rs
@@ -46,7 +46,15 @@
 impl Breaker {
     pub fn new(now: Time, enabled: bool) -> Self {
         let ends = Ring::new(SECOND);
-        Breaker { stage: Stage::Closed, ends, row: 0, probes: 0, openings: 0, closed: now, enabled }
+        Breaker {
+            stage: Stage::Closed,
+            ends,
+            row: 0,
+            probes: 0,
+            openings: 0,
+            closed: now,
+            enabled,
+        }
     }
 
     pub fn enable(&mut self, enabled: bool) {
@@ -131,7 +139,9 @@
     }
 
     fn open(&mut self, now: Time, draw: f64) {
-        let rest = FIRST_REST.times(GROWTH.powi(self.openings.min(16) as i32)).min(LONGEST_REST);
+        let rest = FIRST_REST
+            .times(GROWTH.powi(self.openings.min(16) as i32))
+            .min(LONGEST_REST);
         let rest = rest.times(1.0 + SPREAD * (2.0 * draw.clamp(0.0, 1.0) - 1.0));
         self.openings += 1;
         self.stage = Stage::Open { until: now + rest };
--- a/crates/depend/src/gate.rs
+++ b/crates/depend/src/gate.rs
@@ -102,7 +102,11 @@
         // What a former life may have left is kept back of a share that is lent before it is lent again.
         let blind = restarted && defences.limit && defences.restart && spec.lent.is_none();
         let former = restarted && defences.restart && spec.lent_rate.is_none();
-        let ghosts = if blind { (spec.share, now + spec.linger) } else { (0, now) };
+        let ghosts = if blind {
+            (spec.share, now + spec.linger)
+        } else {
+            (0, now)
+        };
         Gate {
             limit: Limit::new(spec.floor, spec.share, defences.adapt),
             breaker: Breaker::new(now, defences.breaker),
@@ -138,7 +142,11 @@
 
     pub fn held(&self, now: Time) -> usize {
         let lingering = self.lingering.iter().filter(|end| **end > now).count();
-        let ghosts = if self.ghosts.1 > now { self.ghosts.0 } else { 0 };
+        let ghosts = if self.ghosts.1 > now {
+            self.ghosts.0
+        } else {
+            0
+        };
         self.in_hand + lingering + ghosts
     }
 
@@ -184,8 +192,17 @@
 
     /// When the next held call is over by itself.
     pub fn frees(&self, now: Time) -> Option<Time> {
-        let sent = self.sent.iter().map(|stamp| stamp.until()).filter(|end| *end < Time::MAX);
-        let ends = self.lingering.iter().copied().chain([self.ghosts.1]).chain(sent);
+        let sent = self
+            .sent
+            .iter()
+            .map(|stamp| stamp.until())
+            .filter(|end| *end < Time::MAX);
+        let ends = self
+            .lingering
+            .iter()
+            .copied()
+            .chain([self.ghosts.1])
+            .chain(sent);
         ends.filter(|end| *end > now).min()
     }
 
@@ -195,7 +212,11 @@
             pass => pass == Pass::Probe,
         };
         let held = self.held(now);
-        let lent = self.spec.lent.as_ref().map_or(usize::MAX, |lent| lent.units(now));
+        let lent = self
+            .spec
+            .lent
+            .as_ref()
+            .map_or(usize::MAX, |lent| lent.units(now));
         if self.sent_lately(now) + 1 > self.rate(now) {
             return Verdict::Full;
         }
@@ -207,7 +228,9 @@
 
     /// Whether a call may be made again: nobody waits, the breaker is closed, and the retry budget pays.
     pub fn again(&mut self, now: Time) -> bool {
-        self.waiting.is_empty() && self.verdict(now) == (Verdict::Go { probe: false }) && self.retries.take()
+        self.waiting.is_empty()
+            && self.verdict(now) == (Verdict::Go { probe: false })
+            && self.retries.take()
     }
 
     /// A call goes out; true if the breaker changed its stage by it.
@@ -270,7 +293,11 @@
     /// The time that a call must be given to be worth making: what nearly all need. A call sent with less fails by
     /// its sender's fault and teaches nothing, and a queue of such calls keeps a low limit low for ever.
     pub fn needs(&mut self) -> Time {
-        let nearly = self.latency.quantile(NEARLY).or(self.latency.usual()).unwrap_or(Time(1));
+        let nearly = self
+            .latency
+            .quantile(NEARLY)
+            .or(self.latency.usual())
+            .unwrap_or(Time(1));
         nearly.min(self.spec.budget.times(MOST_NEEDED))
     }
 
--- a/crates/depend/src/kept.rs
+++ b/crates/depend/src/kept.rs
@@ -43,14 +43,17 @@
         // Replaced entries leave their places in the order behind.
         if self.order.len() > 2 * self.entries.len() + 16 {
             let entries = &self.entries;
-            self.order.retain(|(number, key)| entries.get(key).is_some_and(|e| e.1 == *number));
+            self.order
+                .retain(|(number, key)| entries.get(key).is_some_and(|e| e.1 == *number));
         }
         self.shrink();
     }
 
     fn shrink(&mut self) {
         while self.bytes > self.most {
-            let Some((number, key)) = self.order.pop_front() else { break };
+            let Some((number, key)) = self.order.pop_front() else {
+                break;
+            };
             if self.entries.get(&key).is_some_and(|e| e.1 == number) {
                 let body = self.entries.remove(&key).map(|e| e.2).unwrap_or_default();
                 self.bytes -= size(&key, &body);
--- a/crates/depend/src/latency.rs
+++ b/crates/depend/src/latency.rs
@@ -32,7 +32,14 @@
     pub fn new(now: Time) -> Self {
         // Two significant digits suffice, and the bounds are constants that fit.
         let new = || Histogram::new_with_bounds(1, LONGEST, 2).expect("constant bounds");
-        Latency { newer: new(), older: new(), turned: now, cached: Vec::new(), recent: 0.0, usual: 0.0 }
+        Latency {
+            newer: new(),
+            older: new(),
+            turned: now,
+            cached: Vec::new(),
+            recent: 0.0,
+            usual: 0.0,
+        }
     }
 
     /// Learns of a call that ended well. Quantiles are of those that ended `in_time`: those of a slow spell would
@@ -45,7 +52,8 @@
             self.cached.clear();
         }
         if in_time {
-            self.newer.saturating_record(time.0.clamp(1, LONGEST as i64) as u64);
+            self.newer
+                .saturating_record(time.0.clamp(1, LONGEST as i64) as u64);
         }
         let t = time.num().max(1.0);
         if self.usual == 0.0 {
--- a/crates/depend/src/lib.rs
+++ b/crates/depend/src/lib.rs
@@ -16,4 +16,6 @@
 pub mod retry;
 
 pub use pages::{Action, Answer, CallId, Outcome, Pages, PartEnd, Start, State, Use};
-pub use plan::{Defences, Dependency, Fallback, Lent, Page, Part, Plan, Stamp, RATE_WINDOW, RESERVE};
+pub use plan::{
+    Defences, Dependency, Fallback, Lent, Page, Part, Plan, Stamp, RATE_WINDOW, RESERVE,
+};
--- a/crates/depend/src/limit.rs
+++ b/crates/depend/src/limit.rs
@@ -41,7 +41,11 @@
     pub fn set(&mut self, floor: usize, most: usize, adapts: bool) {
         self.most = most.max(1) as f64;
         self.floor = (floor as f64).clamp(1.0, self.most);
-        self.now = if adapts { self.now.clamp(self.floor, self.most) } else { self.most };
+        self.now = if adapts {
+            self.now.clamp(self.floor, self.most)
+        } else {
+            self.most
+        };
         self.adapts = adapts;
     }
 
@@ -71,7 +75,11 @@
         if gradient > GRADIENT {
             self.fall(now, QUEUE, round);
         } else if self.adapts && held as f64 >= self.now * USED {
-            let step = if self.now < self.slow_start { 1.0 } else { 1.0 / self.now };
+            let step = if self.now < self.slow_start {
+                1.0
+            } else {
+                1.0 / self.now
+            };
             self.now = (self.now + step).min(self.most);
         }
     }
--- a/crates/depend/src/pages.rs
+++ b/crates/depend/src/pages.rs
@@ -173,7 +173,11 @@
 
 fn gate_changed(gate: &Gate) -> Action {
     let (dependency, stage, limit) = (gate.spec.name.clone(), gate.stage(), gate.limit.calls());
-    Action::Changed { dependency, stage, limit }
+    Action::Changed {
+        dependency,
+        stage,
+        limit,
+    }
 }
 
 /// A plan, and the gates of its dependencies.
@@ -202,7 +206,10 @@
     /// `restarted`: whether a former life of this instance may have left calls at the dependencies.
     pub fn new(now: Time, plan: Plan, seed: u64, restarted: bool) -> Self {
         let mut pages = Pages {
-            force: Rc::new(Force { plan: Plan::default(), gates: Vec::new() }),
+            force: Rc::new(Force {
+                plan: Plan::default(),
+                gates: Vec::new(),
+            }),
             gates: BTreeMap::new(),
             next_gate: 0,
             runs: BTreeMap::new(),
@@ -230,33 +237,46 @@
 
     fn take(&mut self, now: Time, plan: Plan, restarted: bool) {
         let gates = plan.dependencies.iter().map(|spec| {
-            let known = self.gates.iter_mut().find(|(_, g)| g.spec.name == spec.name);
+            let known = self
+                .gates
+                .iter_mut()
+                .find(|(_, g)| g.spec.name == spec.name);
             if let Some((id, gate)) = known {
                 gate.renew(now, spec.clone(), plan.defences);
                 return *id;
             }
             let id = self.next_gate;
             self.next_gate += 1;
-            self.gates.insert(id, Gate::new(now, spec.clone(), plan.defences, restarted));
+            self.gates
+                .insert(id, Gate::new(now, spec.clone(), plan.defences, restarted));
             if let Some(at) = self.gates[&id].frees(now) {
                 self.timers.insert((at, Timer::Frees(id)));
             }
             id
         });
         let gates = gates.collect();
-        self.kept.bound(if plan.defences.kept { plan.kept_bytes } else { 0 });
+        self.kept.bound(if plan.defences.kept {
+            plan.kept_bytes
+        } else {
+            0
+        });
         self.force = Rc::new(Force { plan, gates });
         let in_use = |id: &GateId| {
-            self.force.gates.contains(id) || self.runs.values().any(|run| run.force.gates.contains(id))
+            self.force.gates.contains(id)
+                || self.runs.values().any(|run| run.force.gates.contains(id))
         };
-        self.gates.retain(|id, gate| in_use(id) || gate.held(now) > 0 || gate.sent_lately(now) > 0);
+        self.gates
+            .retain(|id, gate| in_use(id) || gate.held(now) > 0 || gate.sent_lately(now) > 0);
     }
 
     pub fn start(&mut self, now: Time, start: Start) -> Vec<Action> {
         let mut out = Vec::new();
         let (id, force) = (start.run, self.force.clone());
         let Some(page) = force.plan.pages.get(start.page) else {
-            return vec![Action::Ended { run: id, answer: Answer::Errored }];
+            return vec![Action::Ended {
+                run: id,
+                answer: Answer::Errored,
+            }];
         };
         let step = |part: &Part| Step {
             number: 0,
@@ -267,7 +287,14 @@
             phase: Phase::Waiting,
         };
         let steps = page.parts.iter().map(step).collect();
-        self.runs.insert(id, Run { start, force: force.clone(), steps });
+        self.runs.insert(
+            id,
+            Run {
+                start,
+                force: force.clone(),
+                steps,
+            },
+        );
         for (place, part) in page.parts.iter().enumerate() {
             if !self.begin(now, id, place, part.dependency, &mut out) {
                 self.fall_back(now, id, place, &mut out);
@@ -290,12 +317,16 @@
     pub fn leaving(&mut self, until: Time) {
         self.leave = until;
         let cut = self.runs.iter_mut().flat_map(|(id, run)| {
-            run.steps.iter_mut().enumerate().map(move |(place, step)| (*id, place, step))
+            run.steps
+                .iter_mut()
+                .enumerate()
+                .map(move |(place, step)| (*id, place, step))
         });
         for (id, place, step) in cut {
             if step.until > until {
                 step.until = until;
-                self.timers.insert((until, Timer::Step(id, place, step.number)));
+                self.timers
+                    .insert((until, Timer::Step(id, place, step.number)));
             }
         }
     }
@@ -310,8 +341,12 @@
         while let Some((_, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
             match timer {
-                Timer::Step(id, place, number) => self.out_of_time(now, id, place, number, &mut out),
-                Timer::Wait(id, place, number) => self.waits_no_longer(now, id, place, number, &mut out),
+                Timer::Step(id, place, number) => {
+                    self.out_of_time(now, id, place, number, &mut out)
+                }
+                Timer::Wait(id, place, number) => {
+                    self.waits_no_longer(now, id, place, number, &mut out)
+                }
                 Timer::Hedge(call) => self.hedge(now, call, &mut out),
                 Timer::Frees(gate) => self.drain(now, gate, &mut out),
             }
@@ -322,7 +357,9 @@
     /// A call has ended, or is listened to no longer.
     pub fn ended(&mut self, now: Time, id: CallId, outcome: Outcome) -> Vec<Action> {
         let mut out = Vec::new();
-        let Some(call) = self.calls.remove(&id) else { return out };
+        let Some(call) = self.calls.remove(&id) else {
+            return out;
+        };
         call.stamp.over();
         let goes_on = outcome == Outcome::Lost;
         let took = now - call.since;
@@ -352,27 +389,55 @@
         out
     }
 
-    fn learn(&mut self, now: Time, gate: GateId, probe: bool, learnt: Learnt, out: &mut Vec<Action>) {
+    fn learn(
+        &mut self,
+        now: Time,
+        gate: GateId,
+        probe: bool,
+        learnt: Learnt,
+        out: &mut Vec<Action>,
+    ) {
         let draw = self.random.f64();
-        let Some(gate) = self.gates.get_mut(&gate) else { return };
+        let Some(gate) = self.gates.get_mut(&gate) else {
+            return;
+        };
         if gate.learn(now, probe, learnt, draw) {
             out.push(gate_changed(gate));
         }
     }
 
     /// What the end of a call means for the part that waits for it.
-    fn settle_call(&mut self, now: Time, id: CallId, call: &Call, outcome: Outcome, out: &mut Vec<Action>) {
-        let Some(run) = self.runs.get_mut(&call.run) else { return };
+    fn settle_call(
+        &mut self,
+        now: Time,
+        id: CallId,
+        call: &Call,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(run) = self.runs.get_mut(&call.run) else {
+            return;
+        };
         let (force, may_repeat) = (run.force.clone(), run.start.may_repeat);
-        let Some(step) = run.steps.get_mut(call.part) else { return };
+        let Some(step) = run.steps.get_mut(call.part) else {
+            return;
+        };
         step.calls.retain(|other| *other != id);
         match outcome {
             Outcome::Good(body) => {
                 let spec = &self.gates[&call.gate].spec;
-                let state = if step.number == 0 { State::Whole } else { State::Other(spec.name.clone()) };
+                let state = if step.number == 0 {
+                    State::Whole
+                } else {
+                    State::Other(spec.name.clone())
+                };
                 if let Some(place) = force.gates.iter().position(|g| *g == call.gate) {
                     if force.plan.keeps(place) {
-                        let key = (spec.name.clone(), run.start.customer, run.start.body.clone());
+                        let key = (
+                            spec.name.clone(),
+                            run.start.customer,
+                            run.start.body.clone(),
+                        );
                         self.kept.keep(now, key, body.clone());
                     }
                 }
@@ -387,7 +452,9 @@
                 let (tries, until) = (step.tries, step.until);
                 let again = safe && tries < TRIES && until - now > usual;
                 if again && self.gates.get_mut(&call.gate).is_some_and(|g| g.again(now)) {
-                    self.gates.entry(call.gate).and_modify(|g| g.sums.repeats += 1);
+                    self.gates
+                        .entry(call.gate)
+                        .and_modify(|g| g.sums.repeats += 1);
                     self.call(now, call.run, call.part, false, out);
                 } else {
                     self.fall_back(now, call.run, call.part, out);
@@ -409,25 +476,40 @@
         let last = if target > now { target.min(due) } else { due };
         let own = plan.dependencies[place].budget;
         let later = part.fallbacks.iter().skip(number).filter_map(|f| match f {
-            Fallback::Other(place) if plan.defences.fallback => Some(plan.dependencies[*place].budget),
+            Fallback::Other(place) if plan.defences.fallback => {
+                Some(plan.dependencies[*place].budget)
+            }
             _ => None,
         });
         let all = later.fold(own, |sum, budget| sum + budget);
         let left = last - now;
-        now + if all > left { own.times((left.num() / all.num()).max(0.0)) } else { own }
+        now + if all > left {
+            own.times((left.num() / all.num()).max(0.0))
+        } else {
+            own
+        }
     }
 
     /// Begins a step on a dependency: a call, or a place in its queue. False where neither can be had.
     fn begin(
-        &mut self, now: Time, id: ReqId, place: usize, dependency: usize, out: &mut Vec<Action>,
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        dependency: usize,
+        out: &mut Vec<Action>,
     ) -> bool {
-        let Some(run) = self.runs.get(&id) else { return false };
+        let Some(run) = self.runs.get(&id) else {
+            return false;
+        };
         let force = run.force.clone();
         let part = &force.plan.pages[run.start.page].parts[place];
         let number = run.steps[place].number;
         let until = self.step_end(now, run, part, number, dependency);
         let gate_id = force.gates[dependency];
-        let Some(gate) = self.gates.get_mut(&gate_id) else { return false };
+        let Some(gate) = self.gates.get_mut(&gate_id) else {
+            return false;
+        };
         if until <= now {
             return false;
         }
@@ -445,11 +527,14 @@
             }
             Verdict::Full => {
                 gate.waiting.push_back((id, place));
-                self.timers.insert((last_start, Timer::Wait(id, place, number)));
+                self.timers
+                    .insert((last_start, Timer::Wait(id, place, number)));
             }
             Verdict::Go { .. } => {}
         }
-        let Some(run) = self.runs.get_mut(&id) else { return false };
+        let Some(run) = self.runs.get_mut(&id) else {
+            return false;
+        };
         let step = &mut run.steps[place];
         (step.gate, step.until, step.tries, step.phase) = (gate_id, until, 0, Phase::Waiting);
         self.timers.insert((until, Timer::Step(id, place, number)));
@@ -459,7 +544,14 @@
         true
     }
 
-    fn first_call(&mut self, now: Time, id: ReqId, place: usize, probe: bool, out: &mut Vec<Action>) {
+    fn first_call(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        probe: bool,
+        out: &mut Vec<Action>,
+    ) {
         let gate = self.runs[&id].steps[place].gate;
         if let Some(gate) = self.gates.get_mut(&gate) {
             gate.retries.first();
@@ -477,7 +569,14 @@
         }
     }
 
-    fn call(&mut self, now: Time, id: ReqId, place: usize, probe: bool, out: &mut Vec<Action>) -> CallId {
+    fn call(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        probe: bool,
+        out: &mut Vec<Action>,
+    ) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         if let Some(run) = self.runs.get_mut(&id) {
@@ -488,16 +587,36 @@
             let (within, gate_id) = (step.until - now, step.gate);
             let (body, reuse) = (run.start.body.clone(), run.start.may_repeat);
             let since = now;
-            let Some(gate) = self.gates.get_mut(&gate_id) else { return call };
+            let Some(gate) = self.gates.get_mut(&gate_id) else {
+                return call;
+            };
             let to = run.force.gates.iter().position(|g| *g == gate_id);
-            let to = to.map_or(gate.spec.clone(), |at| run.force.plan.dependencies[at].clone());
+            let to = to.map_or(gate.spec.clone(), |at| {
+                run.force.plan.dependencies[at].clone()
+            });
             let stamp = Rc::new(Stamp::new(&to));
             if gate.sent(now, probe, &stamp) {
                 out.push(gate_changed(gate));
             }
-            out.push(Action::Call { call, run: id, to, body, within, reuse, stamp: stamp.clone() });
-            let call_of =
-                Call { run: id, part: place, gate: gate_id, since, within, probe, stamp, left: false };
+            out.push(Action::Call {
+                call,
+                run: id,
+                to,
+                body,
+                within,
+                reuse,
+                stamp: stamp.clone(),
+            });
+            let call_of = Call {
+                run: id,
+                part: place,
+                gate: gate_id,
+                since,
+                within,
+                probe,
+                stamp,
+                left: false,
+            };
             self.calls.insert(call, call_of);
         }
         call
@@ -506,18 +625,25 @@
     /// A second call for one that takes longer than nearly all; where the limit is reached, as soon as there is a
     /// place: what takes long is itself what fills it, and has less time left than what waits.
     fn hedge(&mut self, now: Time, id: CallId, out: &mut Vec<Action>) {
-        let Some(gate) = self.calls.get(&id).filter(|c| !c.left).map(|c| c.gate) else { return };
-        self.gates.entry(gate).and_modify(|g| g.hedging.push_back(id));
+        let Some(gate) = self.calls.get(&id).filter(|c| !c.left).map(|c| c.gate) else {
+            return;
+        };
+        self.gates
+            .entry(gate)
+            .and_modify(|g| g.hedging.push_back(id));
         self.drain(now, gate, out);
     }
 
     /// Makes the second call, where the first is still alone, there is time for it, and the retry budget pays.
     fn second(&mut self, now: Time, id: CallId, out: &mut Vec<Action>) {
-        let Some(call) = self.calls.get(&id).filter(|c| !c.left) else { return };
+        let Some(call) = self.calls.get(&id).filter(|c| !c.left) else {
+            return;
+        };
         let (run, part) = (call.run, call.part);
-        let (Some(step), Some(gate)) =
-            (self.runs.get(&run).map(|r| &r.steps[part]), self.gates.get_mut(&call.gate))
-        else {
+        let (Some(step), Some(gate)) = (
+            self.runs.get(&run).map(|r| &r.steps[part]),
+            self.gates.get_mut(&call.gate),
+        ) else {
             return;
         };
         let in_time = step.until - now > gate.needs();
@@ -528,8 +654,17 @@
     }
 
     /// A step's time is over: what waits leaves the queue, what is out is listened to a little longer.
-    fn out_of_time(&mut self, now: Time, id: ReqId, place: usize, number: usize, out: &mut Vec<Action>) {
-        let Some(run) = self.runs.get(&id) else { return };
+    fn out_of_time(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        number: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(run) = self.runs.get(&id) else {
+            return;
+        };
         let step = &run.steps[place];
         let open = matches!(step.phase, Phase::Waiting | Phase::Calling);
         if !open || step.number != number || step.until > now {
@@ -545,8 +680,17 @@
         self.drain(now, gate, out);
     }
 
-    fn waits_no_longer(&mut self, now: Time, id: ReqId, place: usize, number: usize, out: &mut Vec<Action>) {
-        let Some(step) = self.runs.get(&id).map(|run| &run.steps[place]) else { return };
+    fn waits_no_longer(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        number: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(step) = self.runs.get(&id).map(|run| &run.steps[place]) else {
+            return;
+        };
         if step.number == number && matches!(step.phase, Phase::Waiting) {
             let gate = step.gate;
             self.gates.entry(gate).and_modify(|g| g.sums.full += 1);
@@ -564,33 +708,55 @@
 
     /// A call got no answer in its time.
     fn late(&mut self, now: Time, id: CallId, out: &mut Vec<Action>) {
-        let Some((gate, within)) = self.calls.get(&id).map(|c| (c.gate, c.within)) else { return };
+        let Some((gate, within)) = self.calls.get(&id).map(|c| (c.gate, c.within)) else {
+            return;
+        };
         let fair = self.gates.get_mut(&gate).is_some_and(|g| {
             g.sums.late += 1;
             g.fair(within)
         });
-        let learnt = if fair { Learnt::Overload } else { Learnt::Nothing };
+        let learnt = if fair {
+            Learnt::Overload
+        } else {
+            Learnt::Nothing
+        };
         self.give_up(now, id, learnt, within.times(LISTEN), out);
     }
 
     /// A call is not needed any more, which says nothing of its dependency: it is listened to for what is left of
     /// its time, since one that ends frees its place at once.
     fn drop_call(&mut self, now: Time, id: CallId, listens: bool, out: &mut Vec<Action>) {
-        let Some(left) = self.calls.get(&id).map(|c| c.since + c.within - now) else { return };
+        let Some(left) = self.calls.get(&id).map(|c| c.since + c.within - now) else {
+            return;
+        };
         let listen = if listens { left.max(Time(0)) } else { Time(0) };
         self.give_up(now, id, Learnt::Nothing, listen, out);
     }
 
     /// A call's part waits no longer. Where it is not listened to, its connection is closed: it may go on unseen.
-    fn give_up(&mut self, now: Time, id: CallId, learnt: Learnt, listen: Time, out: &mut Vec<Action>) {
-        let Some(call) = self.calls.get_mut(&id).filter(|c| !c.left) else { return };
+    fn give_up(
+        &mut self,
+        now: Time,
+        id: CallId,
+        learnt: Learnt,
+        listen: Time,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(call) = self.calls.get_mut(&id).filter(|c| !c.left) else {
+            return;
+        };
         call.left = true;
         let (gate, probe) = (call.gate, call.probe);
-        self.gates.entry(gate).and_modify(|g| g.hedging.retain(|call| *call != id));
+        self.gates
+            .entry(gate)
+            .and_modify(|g| g.hedging.retain(|call| *call != id));
         self.learn(now, gate, probe, learnt, out);
         out.push(Action::GiveUp { call: id, listen });
         if listen <= Time(0) {
-            self.calls.remove(&id).into_iter().for_each(|call| call.stamp.over());
+            self.calls
+                .remove(&id)
+                .into_iter()
+                .for_each(|call| call.stamp.over());
             self.gates.entry(gate).and_modify(|g| g.over(now, true));
             self.frees(now, gate);
         }
@@ -605,13 +771,18 @@
     /// Takes the part's next fall-backs until one brings something or is begun.
     fn fall_back(&mut self, now: Time, id: ReqId, place: usize, out: &mut Vec<Action>) {
         loop {
-            let Some(run) = self.runs.get_mut(&id) else { return };
+            let Some(run) = self.runs.get_mut(&id) else {
+                return;
+            };
             let force = run.force.clone();
             let part = &force.plan.pages[run.start.page].parts[place];
             let step = &mut run.steps[place];
             step.number += 1;
             step.calls.clear();
-            let fallback = part.fallbacks.get(step.number - 1).filter(|_| force.plan.defences.fallback);
+            let fallback = part
+                .fallbacks
+                .get(step.number - 1)
+                .filter(|_| force.plan.defences.fallback);
             match fallback {
                 None | Some(Fallback::LeaveOut) => {
                     return self.settle(now, id, place, State::Missing, None, out);
@@ -636,10 +807,17 @@
     }
 
     fn settle(
-        &mut self, now: Time, id: ReqId, place: usize, state: State, body: Option<Rc<[u8]>>,
+        &mut self,
+        now: Time,
+        id: ReqId,
+        place: usize,
+        state: State,
+        body: Option<Rc<[u8]>>,
         out: &mut Vec<Action>,
     ) {
-        let Some(run) = self.runs.get_mut(&id) else { return };
+        let Some(run) = self.runs.get_mut(&id) else {
+            return;
+        };
         let step = &mut run.steps[place];
         step.phase = Phase::Settled(state, body);
         for call in std::mem::take(&mut step.calls) {
@@ -649,7 +827,9 @@
 
     /// Ends a run once all its parts are settled, or one that it cannot do without is missing.
     fn finish(&mut self, now: Time, id: ReqId, out: &mut Vec<Action>) {
-        let Some(run) = self.runs.get(&id) else { return };
+        let Some(run) = self.runs.get(&id) else {
+            return;
+        };
         let page = &run.force.plan.pages[run.start.page];
         let needs_all = !run.force.plan.defences.fallback;
         let settled = |step: &Step| match &step.phase {
@@ -658,7 +838,10 @@
         };
         let ends: Vec<_> = run.steps.iter().map(settled).collect();
         let lacks = |(part, end): (&Part, &Option<(State, _)>)| {
-            (part.required || needs_all) && end.as_ref().is_some_and(|(state, _)| *state == State::Missing)
+            (part.required || needs_all)
+                && end
+                    .as_ref()
+                    .is_some_and(|(state, _)| *state == State::Missing)
         };
         if page.parts.iter().zip(&ends).any(lacks) {
             return self.end(now, id, Answer::Errored, out);
@@ -674,7 +857,12 @@
                     }
                     _ => own.json,
                 };
-                Some(PartEnd { name: part.name.clone(), state, body, json })
+                Some(PartEnd {
+                    name: part.name.clone(),
+                    state,
+                    body,
+                    json,
+                })
             });
             let answer = Answer::Parts(parts.collect());
             self.end(now, id, answer, out);
@@ -682,7 +870,9 @@
     }
 
     fn end(&mut self, now: Time, id: ReqId, answer: Answer, out: &mut Vec<Action>) {
-        let Some(run) = self.runs.remove(&id) else { return };
+        let Some(run) = self.runs.remove(&id) else {
+            return;
+        };
         let stopped = answer == Answer::Stopped;
         out.push(Action::Ended { run: id, answer });
         for (place, step) in run.steps.iter().enumerate() {
@@ -692,7 +882,9 @@
             }
         }
         let gates: BTreeSet<_> = run.steps.iter().map(|step| step.gate).collect();
-        gates.into_iter().for_each(|gate| self.drain(now, gate, out));
+        gates
+            .into_iter()
+            .for_each(|gate| self.drain(now, gate, out));
     }
 
     /// Lets what waits for a dependency go, as far as there is room: second calls first, then the oldest.
@@ -756,10 +948,20 @@
             if gate.spec.lent_rate.is_some() {
                 let held = gate.sent_lately(now);
                 let need = held + gate.waiting.len();
-                uses.push(Use { dependency: dependency.clone(), rate: true, held, need });
+                uses.push(Use {
+                    dependency: dependency.clone(),
+                    rate: true,
+                    held,
+                    need,
+                });
             }
             if gate.spec.lent.is_some() {
-                uses.push(Use { dependency, rate: false, held: gate.held(now), need: gate.need(now) });
+                uses.push(Use {
+                    dependency,
+                    rate: false,
+                    held: gate.held(now),
+                    need: gate.need(now),
+                });
             }
         }
         (out, uses)
@@ -768,7 +970,11 @@
     /// The dependencies that a page's parts ask first.
     pub fn dependencies(&self, page: usize) -> impl Iterator<Item = &str> {
         let plan = &self.force.plan;
-        let parts = plan.pages.get(page).into_iter().flat_map(|page| &page.parts);
+        let parts = plan
+            .pages
+            .get(page)
+            .into_iter()
+            .flat_map(|page| &page.parts);
         parts.map(|part| &*plan.dependencies[part.dependency].name)
     }
 
@@ -791,14 +997,25 @@
             let of = |c: &&Call| c.gate == *id;
             let in_hand = self.calls.values().filter(of).count();
             if in_hand != gate.in_hand() {
-                return Err(format!("{}: {in_hand} calls, {} counted", gate.spec.name, gate.in_hand()));
+                return Err(format!(
+                    "{}: {in_hand} calls, {} counted",
+                    gate.spec.name,
+                    gate.in_hand()
+                ));
             }
             if gate.waiting.len() > gate.most_waiting() {
                 return Err(format!("{}: {} wait", gate.spec.name, gate.waiting.len()));
             }
-            let out = |call: &CallId| self.calls.get(call).is_some_and(|c| c.gate == *id && !c.left);
+            let out = |call: &CallId| {
+                self.calls
+                    .get(call)
+                    .is_some_and(|c| c.gate == *id && !c.left)
+            };
             if !gate.hedging.iter().all(out) {
-                return Err(format!("{}: a second call waits for one that is not out", gate.spec.name));
+                return Err(format!(
+                    "{}: a second call waits for one that is not out",
+                    gate.spec.name
+                ));
             }
             for (run, place) in &gate.waiting {
                 let step = self.runs.get(run).map(|r| &r.steps[*place]);
@@ -810,11 +1027,15 @@
         for (id, run) in &self.runs {
             let mut open = false;
             for (place, step) in run.steps.iter().enumerate() {
-                let calls = step.calls.iter().all(|c| self.calls.get(c).is_some_and(|c| !c.left));
+                let calls = step
+                    .calls
+                    .iter()
+                    .all(|c| self.calls.get(c).is_some_and(|c| !c.left));
                 let sound = match &step.phase {
                     Phase::Waiting => {
                         let gate = self.gates.get(&step.gate);
-                        step.calls.is_empty() && gate.is_some_and(|g| g.waiting.contains(&(*id, place)))
+                        step.calls.is_empty()
+                            && gate.is_some_and(|g| g.waiting.contains(&(*id, place)))
                     }
                     Phase::Calling => calls && !step.calls.is_empty() && step.calls.len() <= 2,
                     Phase::Settled(..) => step.calls.is_empty(),
@@ -824,10 +1045,19 @@
                 }
                 let waits = !matches!(step.phase, Phase::Settled(..));
                 open |= waits;
-                if waits && (step.until <= now || step.until > run.start.due.min(self.leave).max(now)) {
-                    return Err(format!("run {id:?}, part {place}: its step ends {:?}", step.until));
+                if waits
+                    && (step.until <= now || step.until > run.start.due.min(self.leave).max(now))
+                {
+                    return Err(format!(
+                        "run {id:?}, part {place}: its step ends {:?}",
+                        step.until
+                    ));
                 }
-                if waits && !self.timers.contains(&(step.until, Timer::Step(*id, place, step.number))) {
+                if waits
+                    && !self
+                        .timers
+                        .contains(&(step.until, Timer::Step(*id, place, step.number)))
+                {
                     return Err(format!("run {id:?}, part {place}: no timer"));
                 }
             }
@@ -836,7 +1066,11 @@
             }
         }
         if self.kept.bytes() != self.kept.counted() {
-            return Err(format!("{} bytes kept, {} counted", self.kept.counted(), self.kept.bytes()));
+            return Err(format!(
+                "{} bytes kept, {} counted",
+                self.kept.counted(),
+                self.kept.bytes()
+            ));
         }
         Ok(())
     }
--- a/crates/depend/src/plan.rs
+++ b/crates/depend/src/plan.rs
@@ -23,7 +23,10 @@
 impl Stamp {
     /// A call of this dependency is let out.
     pub fn new(of: &Dependency) -> Self {
-        Stamp { at: Cell::new(Time::MAX), terms: of.terms() }
+        Stamp {
+            at: Cell::new(Time::MAX),
+            terms: of.terms(),
+        }
     }
 
     /// Its first byte goes out.
@@ -63,7 +66,11 @@
 
 impl Default for Lent {
     fn default() -> Self {
-        Lent { units: Cell::new(0), until: Cell::new(Time(i64::MIN)), term: Cell::new(0) }
+        Lent {
+            units: Cell::new(0),
+            until: Cell::new(Time(i64::MIN)),
+            term: Cell::new(0),
+        }
     }
 }
 
@@ -100,7 +107,8 @@
     /// Whether a call that was let out may be sent now: its shares are in force, and were all the time since. A process
     /// may be stopped between, and have a new share when it wakes that is smaller than what it let out under the old one.
     pub fn may_send(&self, stamp: &Stamp, now: Time) -> bool {
-        let lasts = |lent: &Option<Rc<Lent>>| lent.as_ref().is_none_or(|lent| now < lent.until.get());
+        let lasts =
+            |lent: &Option<Rc<Lent>>| lent.as_ref().is_none_or(|lent| now < lent.until.get());
         lasts(&self.lent) && lasts(&self.lent_rate) && stamp.terms == self.terms()
     }
 }
@@ -253,7 +261,10 @@
         lent.set(Time(0), 5, Time(100));
         let (first, second) = (Stamp::new(&spec), Stamp::new(&spec));
         lent.set(Time(50), 5, Time(150));
-        assert!(spec.may_send(&first, Time(149)), "renewed in time it is the same share");
+        assert!(
+            spec.may_send(&first, Time(149)),
+            "renewed in time it is the same share"
+        );
         assert!(!spec.may_send(&first, Time(150)));
         lent.set(Time(200), 1, Time(300));
         assert!(!spec.may_send(&second, Time(201)));
--- a/crates/depend/src/retry.rs
+++ b/crates/depend/src/retry.rs
@@ -13,7 +13,10 @@
 impl RetryBudget {
     /// `part`: tokens that a first call brings; an extra call takes one.
     pub fn new(part: f64) -> Self {
-        RetryBudget { part: part.max(0.0), tokens: 0.0 }
+        RetryBudget {
+            part: part.max(0.0),
+            tokens: 0.0,
+        }
     }
 
     pub fn set(&mut self, part: f64) {
--- a/crates/depend/tests/random.rs
+++ b/crates/depend/tests/random.rs
@@ -31,7 +31,10 @@
 fn plan(random: &mut fastrand::Rng, defences: Defences) -> Plan {
     let names = ["catalogue", "prices", "stock", "backup"];
     let count = random.usize(1..=names.len());
-    let dependencies: Vec<_> = names[..count].iter().map(|name| dependency(name, random)).collect();
+    let dependencies: Vec<_> = names[..count]
+        .iter()
+        .map(|name| dependency(name, random))
+        .collect();
     let part = |place: usize, random: &mut fastrand::Rng| {
         let required = random.u8(0..5) == 0;
         let mut fallback = || match random.u8(0..4) {
@@ -40,15 +43,31 @@
             2 => Fallback::Fixed((*b"fixed").into()),
             _ => Fallback::LeaveOut,
         };
-        let fallbacks = if required { Vec::new() } else { vec![fallback(), fallback(), fallback()] };
-        Part { name: format!("part{place}").into(), dependency: place % count, required, fallbacks }
+        let fallbacks = if required {
+            Vec::new()
+        } else {
+            vec![fallback(), fallback(), fallback()]
+        };
+        Part {
+            name: format!("part{place}").into(),
+            dependency: place % count,
+            required,
+            fallbacks,
+        }
     };
     let pages = (0..3).map(|_| {
-        let parts = (0..random.usize(1..5)).map(|place| part(place, random)).collect();
+        let parts = (0..random.usize(1..5))
+            .map(|place| part(place, random))
+            .collect();
         Page { parts }
     });
     let pages = pages.collect();
-    Plan { dependencies, pages, kept_bytes: random.usize(0..4_000), defences }
+    Plan {
+        dependencies,
+        pages,
+        kept_bytes: random.usize(0..4_000),
+        defences,
+    }
 }
 
 struct Model {
@@ -75,9 +94,22 @@
     fn carry(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Call { call, run, to, within, stamp, .. } => {
-                    assert!(self.runs.contains_key(&run), "a call for a run that has ended");
-                    assert!(within > Time(0) && self.now + within <= self.runs[&run], "past the due time");
+                Action::Call {
+                    call,
+                    run,
+                    to,
+                    within,
+                    stamp,
+                    ..
+                } => {
+                    assert!(
+                        self.runs.contains_key(&run),
+                        "a call for a run that has ended"
+                    );
+                    assert!(
+                        within > Time(0) && self.now + within <= self.runs[&run],
+                        "past the due time"
+                    );
                     self.calls.insert(call, (to.name.clone(), None));
                     self.stamps.insert(call, stamp);
                     if self.plan.defences.limit {
@@ -85,7 +117,10 @@
                     }
                 }
                 Action::GiveUp { call, listen } => {
-                    let (name, _) = self.calls.remove(&call).expect("given up once, while it is out");
+                    let (name, _) = self
+                        .calls
+                        .remove(&call)
+                        .expect("given up once, while it is out");
                     if listen > Time(0) {
                         self.calls.insert(call, (name, Some(self.now + listen)));
                     } else {
@@ -99,7 +134,11 @@
                     self.ends += 1;
                     if let Answer::Parts(parts) = answer {
                         for part in parts {
-                            assert_eq!(part.state == State::Missing, part.body.is_none(), "{part:?}");
+                            assert_eq!(
+                                part.state == State::Missing,
+                                part.body.is_none(),
+                                "{part:?}"
+                            );
                         }
                     }
                 }
@@ -110,14 +149,24 @@
 
     /// The first byte of a call goes out, some time after it was let out. Never over the rate in any second.
     fn send(&mut self, call: CallId) {
-        let Some(stamp) = self.stamps.remove(&call) else { return };
+        let Some(stamp) = self.stamps.remove(&call) else {
+            return;
+        };
         let (now, name) = (self.now, self.calls[&call].0.clone());
         stamp.sent(now);
         self.came.retain(|(_, at)| now - *at < Time(10_000));
         self.came.push((name.clone(), now));
         let lately = self.came.iter().filter(|(of, _)| *of == name).count();
-        if let Some(rate) = self.all.iter().find(|d| d.name == name).and_then(|spec| spec.rate) {
-            assert!(lately <= rate, "{lately} calls of a second at {name}, rate {rate}");
+        if let Some(rate) = self
+            .all
+            .iter()
+            .find(|d| d.name == name)
+            .and_then(|spec| spec.rate)
+        {
+            assert!(
+                lately <= rate,
+                "{lately} calls of a second at {name}, rate {rate}"
+            );
         }
     }
 
@@ -134,7 +183,11 @@
         let held = self.calls.values().filter(|(of, _)| of == name).count()
             + self.unseen.iter().filter(|(of, _)| of == name).count();
         if let Some(spec) = self.all.iter().find(|d| d.name == *name) {
-            assert!(held <= spec.share, "{held} held at {name}, share {}", spec.share);
+            assert!(
+                held <= spec.share,
+                "{held} held at {name}, share {}",
+                spec.share
+            );
         }
     }
 
@@ -147,12 +200,19 @@
             self.carry(actions);
             self.now = now;
         }
-        let over: Vec<_> = self.calls.iter().filter(|(_, c)| c.1.is_some_and(|at| at <= self.now)).collect();
+        let over: Vec<_> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| c.1.is_some_and(|at| at <= self.now))
+            .collect();
         let over: Vec<_> = over.into_iter().map(|(id, _)| *id).collect();
         for id in over {
             self.end(id, Outcome::Lost);
         }
-        if let Some(call) = self.random.choice(self.stamps.keys().copied().collect::<Vec<_>>()) {
+        if let Some(call) = self
+            .random
+            .choice(self.stamps.keys().copied().collect::<Vec<_>>())
+        {
             self.send(call);
         }
         match self.random.u8(0..100) {
@@ -175,7 +235,10 @@
                 self.carry(actions);
             }
             40..44 => {
-                if let Some(run) = self.random.choice(self.runs.keys().copied().collect::<Vec<_>>()) {
+                if let Some(run) = self
+                    .random
+                    .choice(self.runs.keys().copied().collect::<Vec<_>>())
+                {
                     let actions = self.pages.stop(self.now, run);
                     self.carry(actions);
                     assert!(!self.runs.contains_key(&run), "a stopped run ends at once");
@@ -183,7 +246,10 @@
             }
             44 if self.random.u8(0..4) == 0 => self.reload(),
             _ => {
-                if let Some(call) = self.random.choice(self.calls.keys().copied().collect::<Vec<_>>()) {
+                if let Some(call) = self
+                    .random
+                    .choice(self.calls.keys().copied().collect::<Vec<_>>())
+                {
                     let outcome = match self.random.u8(0..10) {
                         0..6 => Outcome::Good(vec![0; self.random.usize(0..600)].into()),
                         6 => Outcome::Failed,
@@ -250,7 +316,12 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let mut defences = Defences::default();
         if seed % 4 == 3 {
-            let off = [&mut defences.budget, &mut defences.adapt, &mut defences.breaker, &mut defences.kept];
+            let off = [
+                &mut defences.budget,
+                &mut defences.adapt,
+                &mut defences.breaker,
+                &mut defences.kept,
+            ];
             off.into_iter().for_each(|defence| *defence = random.bool());
         }
         let plan = plan(&mut random, defences);
@@ -259,8 +330,20 @@
         let (unseen, now) = (Vec::new(), Time(0));
         let all = plan.dependencies.clone();
         let (stamps, came) = (BTreeMap::new(), Vec::new());
-        let mut model =
-            Model { random, now, pages, plan, all, next_run: 0, runs, calls, unseen, stamps, came, ends: 0 };
+        let mut model = Model {
+            random,
+            now,
+            pages,
+            plan,
+            all,
+            next_run: 0,
+            runs,
+            calls,
+            unseen,
+            stamps,
+            came,
+            ends: 0,
+        };
         (0..STEPS / SEEDS as usize).for_each(|_| model.step());
         // Everything ends by itself once nothing new comes and no call is answered.
         while let Some(at) = model.pages.next() {
@@ -268,8 +351,15 @@
             let actions = model.pages.timer(model.now);
             model.carry(actions);
         }
-        assert!(model.runs.is_empty(), "{} runs never ended", model.runs.len());
+        assert!(
+            model.runs.is_empty(),
+            "{} runs never ended",
+            model.runs.len()
+        );
         ends += model.ends;
     }
-    assert!(ends > STEPS as u64 / 10, "only {ends} runs ended: the model is too idle to show anything");
+    assert!(
+        ends > STEPS as u64 / 10,
+        "only {ends} runs ended: the model is too idle to show anything"
+    );
 }
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -39,7 +39,9 @@
     }
 
     fn restore(&mut self, bytes: &[u8]) -> bool {
-        postcard::from_bytes(bytes).map(|table| self.0 = table).is_ok()
+        postcard::from_bytes(bytes)
+            .map(|table| self.0 = table)
+            .is_ok()
     }
 }
 
@@ -182,7 +184,9 @@
 impl Instance {
     /// `saved`: what the disk of its keeper holds, where this instance is one.
     pub fn new(setup: Setup, saved: Option<&Saved>) -> Result<Self, String> {
-        let keeping = saved.map(|saved| Keeping::new(&setup.me.name, saved, setup.seed)).transpose()?;
+        let keeping = saved
+            .map(|saved| Keeping::new(&setup.me.name, saved, setup.seed))
+            .transpose()?;
         let mut shares = Shares::new(setup.me.clone(), setup.former, setup.terms);
         shares.name(setup.wholes.iter().map(|(name, ..)| name.clone()));
         let own = setup.keepers.keys().position(|name| *name == setup.me.name);
@@ -213,9 +217,13 @@
 
     /// The file was read anew.
     pub fn renew(
-        &mut self, now: Time, keepers: BTreeMap<String, SocketAddr>, wholes: Vec<(String, u32, Time)>,
+        &mut self,
+        now: Time,
+        keepers: BTreeMap<String, SocketAddr>,
+        wholes: Vec<(String, u32, Time)>,
     ) -> Vec<Effect> {
-        self.shares.name(wholes.iter().map(|(name, ..)| name.clone()));
+        self.shares
+            .name(wholes.iter().map(|(name, ..)| name.clone()));
         self.peers.seeds(keepers.clone().into_iter().collect());
         (self.setup.keepers, self.setup.wholes) = (keepers, wholes);
         self.asked = 0;
@@ -249,13 +257,14 @@
     }
 
     fn hear(&mut self, effects: Vec<peers::Effect>) {
-        self.out.extend(effects.into_iter().map(|effect| match effect {
-            peers::Effect::Send { to, bytes } => Effect::Datagram { to, bytes },
-            peers::Effect::Up(member) => Effect::Tell(Change::Up(member)),
-            peers::Effect::Down(member) => Effect::Tell(Change::Down(member)),
-            peers::Effect::Refuted => Effect::Tell(Change::Refuted),
-            peers::Effect::Doubled(member) => Effect::Tell(Change::Doubled(member)),
-        }));
+        self.out
+            .extend(effects.into_iter().map(|effect| match effect {
+                peers::Effect::Send { to, bytes } => Effect::Datagram { to, bytes },
+                peers::Effect::Up(member) => Effect::Tell(Change::Up(member)),
+                peers::Effect::Down(member) => Effect::Tell(Change::Down(member)),
+                peers::Effect::Refuted => Effect::Tell(Change::Refuted),
+                peers::Effect::Doubled(member) => Effect::Tell(Change::Doubled(member)),
+            }));
     }
 
     /// Who is there, as far as this instance has heard.
@@ -278,11 +287,29 @@
 
     /// When `timer` is to be called at the latest.
     pub fn next(&self) -> Time {
-        let tick = self.keeping.as_ref().filter(|k| k.begun).map_or(Time::MAX, |k| k.tick);
-        let until = if self.live { self.shares.last() } else { Time::MAX };
-        let patience = self.waits.map_or(Time::MAX, |at| at + self.setup.terms.lease.times(PATIENCE));
-        let divide = if self.granter.leads() { self.granter.due() } else { Time::MAX };
-        tick.min(self.shares.next()).min(until).min(patience).min(self.peers.next()).min(divide)
+        let tick = self
+            .keeping
+            .as_ref()
+            .filter(|k| k.begun)
+            .map_or(Time::MAX, |k| k.tick);
+        let until = if self.live {
+            self.shares.last()
+        } else {
+            Time::MAX
+        };
+        let patience = self
+            .waits
+            .map_or(Time::MAX, |at| at + self.setup.terms.lease.times(PATIENCE));
+        let divide = if self.granter.leads() {
+            self.granter.due()
+        } else {
+            Time::MAX
+        };
+        tick.min(self.shares.next())
+            .min(until)
+            .min(patience)
+            .min(self.peers.next())
+            .min(divide)
     }
 
     pub fn timer(&mut self, now: Time) -> Vec<Effect> {
@@ -302,7 +329,10 @@
                     keeping.keeper.snapshot_sent(to, true);
                 }
             }
-            if keeping.confirming.is_some_and(|at| keeping.ticks >= at + CONFIRM_TICKS) {
+            if keeping
+                .confirming
+                .is_some_and(|at| keeping.ticks >= at + CONFIRM_TICKS)
+            {
                 keeping.confirming = None;
                 self.granter.unconfirmed();
             }
@@ -361,11 +391,15 @@
 
     /// What is agreed as far as this instance knows, where it keeps it.
     pub fn table(&self) -> Option<&Table> {
-        self.keeping.as_ref().filter(|k| k.keeper.has_state()).map(|k| &k.keeper.state.0)
+        self.keeping
+            .as_ref()
+            .filter(|k| k.keeper.has_state())
+            .map(|k| &k.keeper.state.0)
     }
 
     pub fn held_back(&self, now: Time) -> Vec<Holdback> {
-        self.table().map_or(Vec::new(), |table| self.granter.held_back(now, table))
+        self.table()
+            .map_or(Vec::new(), |table| self.granter.held_back(now, table))
     }
 
     /// The budgets of the file in force.
@@ -376,8 +410,11 @@
     /// For operators, as this instance sees it.
     pub fn view(&self, now: Time) -> View {
         let shown = |holder: &Holder| format!("{}.{}", holder.name, holder.life);
-        let budgets =
-            self.table().into_iter().flat_map(|table| &table.budgets).map(|(name, whole)| BudgetView {
+        let budgets = self
+            .table()
+            .into_iter()
+            .flat_map(|table| &table.budgets)
+            .map(|(name, whole)| BudgetView {
                 name: name.clone(),
                 whole: whole.units,
                 linger_ms: whole.linger / 10,
@@ -393,7 +430,11 @@
                     .collect(),
             });
         let budgets = budgets.collect();
-        let mine = self.setup.wholes.iter().map(|(name, ..)| (name.clone(), self.shares.ceiling(now, name)));
+        let mine = self
+            .setup
+            .wholes
+            .iter()
+            .map(|(name, ..)| (name.clone(), self.shares.ceiling(now, name)));
         let back = self.held_back(now).into_iter().map(|back| HeldBack {
             budget: back.budget,
             holder: shown(&back.holder),
@@ -425,11 +466,16 @@
     }
 
     pub fn voters(&self) -> Vec<KeeperId> {
-        self.keeping.as_ref().map_or(Vec::new(), |k| k.keeper.voters())
+        self.keeping
+            .as_ref()
+            .map_or(Vec::new(), |k| k.keeper.voters())
     }
 
     fn say(&mut self, to: SocketAddr, word: &Word) {
-        self.out.push(Effect::Send { to, bytes: word.encode() });
+        self.out.push(Effect::Send {
+            to,
+            bytes: word.encode(),
+        });
     }
 
     fn asked_by(&mut self, now: Time, from: SocketAddr, ask: Ask) {
@@ -439,9 +485,14 @@
             }
             self.granter.ask(now, ask);
         } else {
-            let leader =
-                self.keeping.as_ref().and_then(|k| k.keeper.names().get(&k.keeper.leader()?).cloned());
-            self.say(from, &Word::Elsewhere(leader.filter(|name| *name != self.setup.me.name)));
+            let leader = self
+                .keeping
+                .as_ref()
+                .and_then(|k| k.keeper.names().get(&k.keeper.leader()?).cloned());
+            self.say(
+                from,
+                &Word::Elsewhere(leader.filter(|name| *name != self.setup.me.name)),
+            );
         }
     }
 
@@ -451,7 +502,9 @@
         if asked != Some(&from) {
             return;
         }
-        if let Some(place) = leader.and_then(|name| self.setup.keepers.keys().position(|n| *n == name)) {
+        if let Some(place) =
+            leader.and_then(|name| self.setup.keepers.keys().position(|n| *n == name))
+        {
             self.asked = place;
             self.shares.hurry();
         } else {
@@ -466,17 +519,27 @@
 
     /// A keeper without a state says so to all others.
     fn seek(&mut self, now: Time) {
-        let Some(keeping) = self.keeping.as_mut().filter(|k| !k.keeper.has_state()) else { return };
+        let Some(keeping) = self.keeping.as_mut().filter(|k| !k.keeper.has_state()) else {
+            return;
+        };
         if let Some(seek) = keeping.founding.seek(now) {
             let mine = self.setup.me.name.clone();
-            let others: Vec<SocketAddr> =
-                self.setup.keepers.iter().filter(|(name, _)| **name != mine).map(|(_, addr)| *addr).collect();
+            let others: Vec<SocketAddr> = self
+                .setup
+                .keepers
+                .iter()
+                .filter(|(name, _)| **name != mine)
+                .map(|(_, addr)| *addr)
+                .collect();
             for to in others {
                 self.say(to, &Word::Seek(seek.clone()));
             }
         }
         let names: Vec<String> = self.setup.keepers.keys().cloned().collect();
-        let founds = self.keeping.as_ref().and_then(|k| k.founding.founds(now, &names));
+        let founds = self
+            .keeping
+            .as_ref()
+            .and_then(|k| k.founding.founds(now, &names));
         if let Some(set) = founds {
             self.begin(&set);
         }
@@ -484,7 +547,9 @@
 
     fn sought(&mut self, now: Time, from: SocketAddr, seek: &registry::Seek) {
         let names: Vec<String> = self.setup.keepers.keys().cloned().collect();
-        let Some(keeping) = self.keeping.as_mut().filter(|k| k.begun) else { return };
+        let Some(keeping) = self.keeping.as_mut().filter(|k| k.begun) else {
+            return;
+        };
         if !keeping.keeper.has_state() {
             if let Some(set) = keeping.founding.heard(now, seek, &names) {
                 self.begin(&set);
@@ -513,11 +578,15 @@
 
     /// Begins with the state of a founder. The write goes first: nothing is said before it is on disk.
     fn begin(&mut self, set: &BTreeMap<KeeperId, String>) {
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(keeping) = &mut self.keeping else {
+            return;
+        };
         let write = Keeper::founded(set, &Agreed::default());
         let mut saved = Saved::new(keeping.id);
         saved.apply(write.clone());
-        let Ok(keeper) = Keeper::open(&saved, Agreed::default(), keeping.seed) else { return };
+        let Ok(keeper) = Keeper::open(&saved, Agreed::default(), keeping.seed) else {
+            return;
+        };
         (keeping.keeper, keeping.begun) = (keeper, false);
         self.out.push(Effect::Store(write));
         self.out.push(Effect::Tell(Change::Founded(set.len())));
@@ -528,8 +597,14 @@
         for effect in effects {
             match effect {
                 registry::Effect::Send { to, bytes } => {
-                    let Some(keeping) = &self.keeping else { continue };
-                    let known = keeping.keeper.names().get(&to).and_then(|name| self.setup.keepers.get(name));
+                    let Some(keeping) = &self.keeping else {
+                        continue;
+                    };
+                    let known = keeping
+                        .keeper
+                        .names()
+                        .get(&to)
+                        .and_then(|name| self.setup.keepers.get(name));
                     // One that joins knows no names yet: it answers where it was spoken to from.
                     if let Some(addr) = known.or(self.routes.get(&to)).copied() {
                         let word = Word::Raft(keeping.id, bytes);
@@ -546,7 +621,9 @@
                     self.out.push(Effect::Tell(Change::Leads(leads)));
                 }
                 registry::Effect::Confirmed(number) => {
-                    let Some(keeping) = &mut self.keeping else { continue };
+                    let Some(keeping) = &mut self.keeping else {
+                        continue;
+                    };
                     keeping.confirming = None;
                     let replies = self.granter.confirmed(number, &keeping.keeper.state.0);
                     self.reply(replies);
@@ -586,9 +663,12 @@
             return;
         }
         let due = now >= self.granter.due();
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(keeping) = &mut self.keeping else {
+            return;
+        };
         let commands = if due {
-            self.granter.commands(now, &keeping.keeper.state.0, &self.setup.wholes)
+            self.granter
+                .commands(now, &keeping.keeper.state.0, &self.setup.wholes)
         } else {
             Vec::new()
         };
@@ -602,26 +682,40 @@
             effects.extend(keeping.keeper.confirm(number));
         }
         self.carry(now, effects);
-        if let Some(keeping) = self.keeping.as_ref().filter(|_| due && self.granter.leads()) {
+        if let Some(keeping) = self
+            .keeping
+            .as_ref()
+            .filter(|_| due && self.granter.leads())
+        {
             let news = self.granter.news(&keeping.keeper.state.0);
             self.reply(news);
         }
     }
 
     fn ask(&mut self, now: Time) {
-        if self.waits.is_some_and(|at| now >= at + self.setup.terms.lease.times(PATIENCE)) {
+        if self
+            .waits
+            .is_some_and(|at| now >= at + self.setup.terms.lease.times(PATIENCE))
+        {
             self.turn(now);
         }
-        let Some(ask) = self.shares.ask(now) else { return };
+        let Some(ask) = self.shares.ask(now) else {
+            return;
+        };
         self.waits.get_or_insert(now);
-        let Some((name, to)) = self.setup.keepers.iter().nth(self.asked) else { return };
+        let Some((name, to)) = self.setup.keepers.iter().nth(self.asked) else {
+            return;
+        };
         if *name != self.setup.me.name {
             let to = *to;
             self.say(to, &Word::Ask(ask));
         } else if self.granter.leads() {
             self.granter.ask(now, ask);
         } else {
-            let leader = self.keeping.as_ref().and_then(|k| k.keeper.names().get(&k.keeper.leader()?));
+            let leader = self
+                .keeping
+                .as_ref()
+                .and_then(|k| k.keeper.names().get(&k.keeper.leader()?));
             let place = leader.and_then(|name| self.setup.keepers.keys().position(|n| n == name));
             match place.filter(|place| *place != self.asked) {
                 Some(place) => {
@@ -652,7 +746,11 @@
                 }));
             }
         }
-        if let Some(keeping) = self.keeping.as_mut().filter(|k| k.keeper.is_broken() && !k.told_broken) {
+        if let Some(keeping) = self
+            .keeping
+            .as_mut()
+            .filter(|k| k.keeper.is_broken() && !k.told_broken)
+        {
             keeping.told_broken = true;
             self.out.push(Effect::Tell(Change::KeeperBroken));
         }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -23,7 +23,10 @@
 fn program() -> io::Result<PathBuf> {
     let path = std::env::current_exe()?.with_file_name("cottondyke");
     if !path.exists() {
-        return Err(io::Error::other(format!("{} is missing: build the whole workspace", path.display())));
+        return Err(io::Error::other(format!(
+            "{} is missing: build the whole workspace",
+            path.display()
+        )));
     }
     Ok(path)
 }
@@ -44,7 +47,11 @@
         let (lines, log) = channel();
         let stderr = child.stderr.take();
         std::thread::spawn(move || {
-            for line in stderr.into_iter().flat_map(|e| BufReader::new(e).lines()).map_while(Result::ok) {
+            for line in stderr
+                .into_iter()
+                .flat_map(|e| BufReader::new(e).lines())
+                .map_while(Result::ok)
+            {
                 if verbose {
                     eprintln!("node {number}: {line}");
                 }
@@ -62,8 +69,15 @@
                 let _ = child.wait();
                 io::Error::other(format!("a node does not serve: {last}"))
             })?;
-            if let Some(addr) = line.split_once("listen=").and_then(|(_, addr)| addr.trim().parse().ok()) {
-                let of = if line.contains("among peers") { &mut peers } else { &mut serving };
+            if let Some(addr) = line
+                .split_once("listen=")
+                .and_then(|(_, addr)| addr.trim().parse().ok())
+            {
+                let of = if line.contains("among peers") {
+                    &mut peers
+                } else {
+                    &mut serving
+                };
                 *of = Some(addr);
             }
             if let Some(addr) = serving.filter(|_| peers.is_some() || !among) {
@@ -71,13 +85,21 @@
             }
             last = line;
         };
-        Ok(Node { child, script: path, addr, peers })
+        Ok(Node {
+            child,
+            script: path,
+            addr,
+            peers,
+        })
     }
 
     /// What `cottondyke peers` prints of it.
     pub fn view(&self) -> Option<serde_json::Value> {
         let peers = self.peers?.to_string();
-        let out = Command::new(program().ok()?).args(["peers", &peers, "--json"]).output().ok()?;
+        let out = Command::new(program().ok()?)
+            .args(["peers", &peers, "--json"])
+            .output()
+            .ok()?;
         serde_json::from_slice(&out.stdout).ok()
     }
 
@@ -99,8 +121,13 @@
     /// Core time used so far, in seconds.
     pub fn cpu(&self) -> io::Result<f64> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
-        let nanos = text.split_whitespace().next().and_then(|n| n.parse::<f64>().ok());
-        nanos.map(|n| n / 1e9).ok_or_else(|| io::Error::other("no schedstat"))
+        let nanos = text
+            .split_whitespace()
+            .next()
+            .and_then(|n| n.parse::<f64>().ok());
+        nanos
+            .map(|n| n / 1e9)
+            .ok_or_else(|| io::Error::other("no schedstat"))
     }
 
     /// Resident memory, in kilobytes.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -33,17 +33,32 @@
 
 impl Callers {
     pub fn start(
-        addr: SocketAddr, mix: &Mix, connections: u64, seed: u64, span: (Instant, Instant),
+        addr: SocketAddr,
+        mix: &Mix,
+        connections: u64,
+        seed: u64,
+        span: (Instant, Instant),
         patience: Duration,
     ) -> Self {
-        let mix = Mix { rate: mix.rate / connections as f64, ..mix.clone() };
+        let mix = Mix {
+            rate: mix.rate / connections as f64,
+            ..mix.clone()
+        };
         let seeds = (0..connections).map(|connection| seed ^ connection << 48);
-        Callers(seeds.map(|seed| call(addr, mix.clone(), seed, span.0, span.1, patience)).collect())
+        Callers(
+            seeds
+                .map(|seed| call(addr, mix.clone(), seed, span.0, span.1, patience))
+                .collect(),
+        )
     }
 
     /// All that was sent, once the last answers have had their time.
     pub fn join(self) -> Vec<Sent> {
-        self.0.into_iter().filter_map(|caller| caller.join().ok()).flatten().collect()
+        self.0
+            .into_iter()
+            .filter_map(|caller| caller.join().ok())
+            .flatten()
+            .collect()
     }
 }
 
@@ -51,13 +66,20 @@
 
 /// Sends from `start` until `end`, and waits for answers until `patience` past that.
 fn call(
-    addr: SocketAddr, mix: Mix, seed: u64, start: Instant, end: Instant, patience: Duration,
+    addr: SocketAddr,
+    mix: Mix,
+    seed: u64,
+    start: Instant,
+    end: Instant,
+    patience: Duration,
 ) -> JoinHandle<Calls> {
     std::thread::spawn(move || {
         // A connection that carries nothing for long is closed: it opens when it is needed.
         std::thread::sleep(start.saturating_duration_since(Instant::now()));
         let opened = Sidecar::connect(addr).and_then(|sidecar| {
-            sidecar.0.set_read_timeout(Some(end.saturating_duration_since(Instant::now()) + patience))?;
+            sidecar.0.set_read_timeout(Some(
+                end.saturating_duration_since(Instant::now()) + patience,
+            ))?;
             let writer = sidecar.0.try_clone()?;
             Ok((sidecar, writer))
         });
@@ -69,7 +91,11 @@
 }
 
 fn calling(
-    mut reader: Sidecar, mut writer: std::net::TcpStream, mix: Mix, seed: u64, span: (Instant, Instant),
+    mut reader: Sidecar,
+    mut writer: std::net::TcpStream,
+    mix: Mix,
+    seed: u64,
+    span: (Instant, Instant),
     patience: Duration,
 ) -> Calls {
     let (start, end) = span;
@@ -92,10 +118,24 @@
         }
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let body = format!("{:08}", random.u64(0..mix.bodies));
-        let id = format!("{:04x}{:012x}", mix.tag, NEXT_ID.fetch_add(1, Ordering::Relaxed));
+        let id = format!(
+            "{:04x}{:012x}",
+            mix.tag,
+            NEXT_ID.fetch_add(1, Ordering::Relaxed)
+        );
         let at = unix_ms().to_string();
-        let fields = [("class", mix.handler), ("id", &id), ("at", &at), ("from", "1"), ("kb", "4.0")];
-        sent.push(Sent { due, size: body.len(), heard: Vec::new() });
+        let fields = [
+            ("class", mix.handler),
+            ("id", &id),
+            ("at", &at),
+            ("from", "1"),
+            ("kb", "4.0"),
+        ];
+        sent.push(Sent {
+            due,
+            size: body.len(),
+            heard: Vec::new(),
+        });
         let bytes = frame(1, sent.len() as u32, &payload(&fields, body.as_bytes()));
         if writer.write_all(&bytes).is_err() {
             break;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -53,7 +53,11 @@
     pub fn off(&self, known: &[&str]) -> std::io::Result<Vec<&str>> {
         match self.without.as_deref() {
             Some(without) if !known.contains(&without) => {
-                let known = if known.is_empty() { "none in this trial".into() } else { known.join(", ") };
+                let known = if known.is_empty() {
+                    "none in this trial".into()
+                } else {
+                    known.join(", ")
+                };
                 let wrong = format!("--without {without}: expected {known}");
                 Err(std::io::Error::new(std::io::ErrorKind::InvalidInput, wrong))
             }
@@ -63,7 +67,14 @@
 }
 
 fn usage() -> Result<Option<(String, Usage)>, lexopt::Error> {
-    let mut usage = Usage { seed: 1, without: None, seconds: None, verbose: false, count: 100, members: 100 };
+    let mut usage = Usage {
+        seed: 1,
+        without: None,
+        seconds: None,
+        verbose: false,
+        count: 100,
+        members: 100,
+    };
     let (mut command, mut name) = (None, None);
     let mut words = lexopt::Parser::from_env();
     while let Some(word) = words.next()? {
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -13,7 +13,11 @@
 fn spent() -> Vec<f64> {
     let text = std::fs::read_to_string("/proc/stat").unwrap_or_default();
     let line = text.lines().next().unwrap_or_default();
-    line.split_whitespace().skip(1).take(8).filter_map(|n| n.parse().ok()).collect()
+    line.split_whitespace()
+        .skip(1)
+        .take(8)
+        .filter_map(|n| n.parse().ok())
+        .collect()
 }
 
 impl Cores {
@@ -23,7 +27,11 @@
 
     /// The part of all cores' time since then that was given to others.
     pub fn stolen(&self) -> f64 {
-        let since: Vec<f64> = spent().iter().zip(&self.0).map(|(now, then)| now - then).collect();
+        let since: Vec<f64> = spent()
+            .iter()
+            .zip(&self.0)
+            .map(|(now, then)| now - then)
+            .collect();
         since.get(7).copied().unwrap_or(0.0) / f64::max(since.iter().sum(), 1.0)
     }
 }
@@ -48,11 +56,20 @@
     pub fn needs(&mut self, cores: &Cores) {
         let stolen = cores.stolen();
         self.away = stolen > STOLEN;
-        self.figure("part of the cores' time that was away", (stolen * 1e4).round() / 1e4);
+        self.figure(
+            "part of the cores' time that was away",
+            (stolen * 1e4).round() / 1e4,
+        );
     }
 
     fn check(&mut self, name: &'static str, value: f64, bound: String, holds: bool) {
-        self.checks.push(Check { name, value, bound, holds, judged: !self.away });
+        self.checks.push(Check {
+            name,
+            value,
+            bound,
+            holds,
+            judged: !self.away,
+        });
     }
 
     pub fn at_most(&mut self, name: &'static str, value: f64, most: f64) {
--- a/crates/lab/src/trials/budgets.rs
+++ b/crates/lab/src/trials/budgets.rs
@@ -93,7 +93,12 @@
     let trouble = |(number, node): (usize, usize)| {
         let from = FAULTS + number as f64 * 1.7 + random.f64();
         let until = (from + 2.5 + random.f64() * 3.5).min(ZONE - 1.0);
-        Trouble { node, kind: kind(random), from, until }
+        Trouble {
+            node,
+            kind: kind(random),
+            from,
+            until,
+        }
     };
     nodes.into_iter().enumerate().map(trouble).collect()
 }
@@ -121,7 +126,8 @@
             linger: LINGER.mul_f64(0.5),
             seed: usage.seed.wrapping_mul(31).wrapping_add(place),
         };
-        let base = std::env::temp_dir().join(format!("cottondyke-lab-{}-budgets", std::process::id()));
+        let base =
+            std::env::temp_dir().join(format!("cottondyke-lab-{}-budgets", std::process::id()));
         let mut fleet = Fleet {
             lent,
             off: off.iter().map(|name| name.to_string()).collect(),
@@ -135,7 +141,9 @@
             verbose: usage.verbose,
         };
         if lent {
-            for (from, to) in (0..NAMES.len()).flat_map(|from| (0..KEEPERS).map(move |to| (from, to))) {
+            for (from, to) in
+                (0..NAMES.len()).flat_map(|from| (0..KEEPERS).map(move |to| (from, to)))
+            {
                 fleet.links.insert((from, to), Link::start()?);
             }
         }
@@ -149,8 +157,8 @@
     fn script(&self, place: usize) -> String {
         let mut text = String::from("fleet(kept_mb = 1");
         if self.lent {
-            let keepers =
-                (0..KEEPERS).map(|to| format!("\"{}\": \"{}\"", NAMES[to], self.links[&(place, to)].addr));
+            let keepers = (0..KEEPERS)
+                .map(|to| format!("\"{}\": \"{}\"", NAMES[to], self.links[&(place, to)].addr));
             let keepers = keepers.collect::<Vec<_>>().join(", ");
             let _ = write!(
                 text,
@@ -185,7 +193,10 @@
         );
         // What adapts to a dependency's state would blur what the budgets do.
         let fixed = ["adapt", "breaker", "hedge"].map(String::from);
-        let off: Vec<&String> = fixed.iter().chain(self.off.iter().filter(|_| self.lent)).collect();
+        let off: Vec<&String> = fixed
+            .iter()
+            .chain(self.off.iter().filter(|_| self.lent))
+            .collect();
         let _ = writeln!(text, "defences(off = {off:?})");
         text
     }
@@ -193,7 +204,10 @@
     fn begin(&mut self, place: usize) -> io::Result<()> {
         let node = Node::start(&self.script(place), self.verbose && self.lent)?;
         if place < KEEPERS && self.lent {
-            self.links.iter().filter(|((_, to), _)| *to == place).for_each(|(_, link)| link.lead(node.peers));
+            self.links
+                .iter()
+                .filter(|((_, to), _)| *to == place)
+                .for_each(|(_, link)| link.lead(node.peers));
         }
         self.nodes[place] = Some(node);
         Ok(())
@@ -207,7 +221,10 @@
 
     /// The links of a node to others, with whether it is the one who dials.
     fn around(&self, place: usize) -> impl Iterator<Item = (bool, &Link)> {
-        let of = self.links.iter().filter(move |((from, to), _)| (*from == place) != (*to == place));
+        let of = self
+            .links
+            .iter()
+            .filter(move |((from, to), _)| (*from == place) != (*to == place));
         of.map(move |((from, _), link)| (*from == place, link))
     }
 
@@ -222,8 +239,11 @@
             (Kind::OneWay(out), begins) => {
                 // Words that it sends, or words that come to it.
                 for (dials, link) in self.around(place) {
-                    let (forth, back) =
-                        if dials == out { (Way::Cut, Way::Open) } else { (Way::Open, Way::Cut) };
+                    let (forth, back) = if dials == out {
+                        (Way::Cut, Way::Open)
+                    } else {
+                        (Way::Open, Way::Cut)
+                    };
                     if begins {
                         link.set(forth, back)
                     } else {
@@ -262,7 +282,8 @@
 
     fn mark(&mut self, place: usize, now: Instant, goes: bool) {
         if goes {
-            self.away.push((place, now, now + Duration::from_secs(3_600)));
+            self.away
+                .push((place, now, now + Duration::from_secs(3_600)));
         } else if let Some(last) = self.away.iter_mut().rev().find(|(of, ..)| *of == place) {
             last.2 = now;
         }
@@ -271,26 +292,47 @@
     /// Whether the node was there from before a req was due until it had to be answered.
     fn there(&self, place: usize, due: Instant) -> bool {
         let end = due + TIMEOUT;
-        !self
-            .away
-            .iter()
-            .any(|(of, from, until)| *of == place && due < *until + Duration::from_millis(50) && end > *from)
+        !self.away.iter().any(|(of, from, until)| {
+            *of == place && due < *until + Duration::from_millis(50) && end > *from
+        })
     }
 
     fn call(
-        &self, place: usize, handler: &'static str, rate: f64, span: (Instant, Instant), seed: u64,
+        &self,
+        place: usize,
+        handler: &'static str,
+        rate: f64,
+        span: (Instant, Instant),
+        seed: u64,
     ) -> Option<Callers> {
         let node = self.nodes[place].as_ref()?;
-        let mix = Mix { handler, rate, bodies: 200, tag: place as u64 };
+        let mix = Mix {
+            handler,
+            rate,
+            bodies: 200,
+            tag: place as u64,
+        };
         let connections = if rate > 20.0 { CONNECTIONS } else { 1 };
-        Some(Callers::start(node.addr, &mix, connections, seed ^ place as u64, span, TIMEOUT))
+        Some(Callers::start(
+            node.addr,
+            &mix,
+            connections,
+            seed ^ place as u64,
+            span,
+            TIMEOUT,
+        ))
     }
 
     /// Calls held at the shared dependency by some nodes, in seconds since it began.
     fn held_s(&self, of: impl Fn(usize) -> bool) -> f64 {
         let counts = self.shared.counts();
         let tag = |tag: &str| usize::from_str_radix(tag, 16).unwrap_or(usize::MAX);
-        counts.held_s.iter().filter(|(t, _)| of(tag(t))).map(|(_, seconds)| seconds).sum()
+        counts
+            .held_s
+            .iter()
+            .filter(|(t, _)| of(tag(t)))
+            .map(|(_, seconds)| seconds)
+            .sum()
     }
 }
 
@@ -332,7 +374,10 @@
     let off = usage.off(&DEFENCES)?;
     let mut random = fastrand::Rng::with_seed(usage.seed);
     let troubles = drawn(&mut random);
-    let mut fleets = [Fleet::start(true, &off, usage)?, Fleet::start(false, &off, usage)?];
+    let mut fleets = [
+        Fleet::start(true, &off, usage)?,
+        Fleet::start(false, &off, usage)?,
+    ];
     // The registry is founded, and grants nothing for a lease and the longest call.
     std::thread::sleep(LEASE + LINGER + Duration::from_millis(3_000));
     let cores = Cores::watch();
@@ -374,8 +419,11 @@
                         _ if seconds >= CROWDED => FULL * 2.0,
                         _ => cold + heat * RATE * HOT,
                     };
-                    let kinds =
-                        [("browse", rate), ("plain", PLAIN), ("metered", (rate * METERED_PART).min(metered))];
+                    let kinds = [
+                        ("browse", rate),
+                        ("plain", PLAIN),
+                        ("metered", (rate * METERED_PART).min(metered)),
+                    ];
                     for (kind, (handler, rate)) in (0u64..).zip(kinds) {
                         let callers = fleet.call(place, handler, rate, span, seed ^ kind << 32);
                         batches.extend(callers.map(|callers| Batch {
@@ -391,7 +439,10 @@
         }
         if !late && now >= at(LATE_AT) {
             late = true;
-            let of = fleets[0].links.iter().filter(|((from, _), _)| *from == LATE);
+            let of = fleets[0]
+                .links
+                .iter()
+                .filter(|((from, _), _)| *from == LATE);
             of.for_each(|(_, link)| link.delay(LATE_BY));
         }
         // A zone with one keeper is cut off, and all use what they may.
@@ -399,8 +450,14 @@
         if cut == 0 && now >= at(ZONE) {
             cut = 1;
             // Not the zone of the leader: a new one counts all leases anew, and would show nothing of the old ones' ends.
-            zone = if fleets[0].leads(ZONES - 1) { 0 } else { ZONES - 1 };
-            fleets.iter().for_each(|fleet| fleet.shared.set(Fault::Slow(4)));
+            zone = if fleets[0].leads(ZONES - 1) {
+                0
+            } else {
+                ZONES - 1
+            };
+            fleets
+                .iter()
+                .for_each(|fleet| fleet.shared.set(Fault::Slow(4)));
             for ((from, to), link) in &fleets[0].links {
                 if (from % ZONES == zone) != (to % ZONES == zone) {
                     link.set(Way::Cut, Way::Cut);
@@ -412,9 +469,14 @@
         }
         if cut == 2 && now >= at(QUIET) {
             cut = 3;
-            fleets.iter().for_each(|fleet| fleet.shared.set(Fault::Slow(2)));
+            fleets
+                .iter()
+                .for_each(|fleet| fleet.shared.set(Fault::Slow(2)));
             side = (fleets[0].held_s(majority) - cut_from) / (QUIET - ZONE - 1.5);
-            fleets[0].links.values().for_each(|link| link.set(Way::Open, Way::Open));
+            fleets[0]
+                .links
+                .values()
+                .for_each(|link| link.set(Way::Open, Way::Open));
         }
         if last_from.is_none() && now >= at(LAST) {
             last_from = Some(fleets[0].held_s(|_| true));
@@ -427,7 +489,13 @@
     let mut late: Vec<String> = Vec::new();
     let (mut values, mut calm, mut metered) = ([0.0; 2], [0.0; 2], [0.0; 2]);
     let (mut lost, mut twice, mut plain, mut plain_good, mut sent) = (0, 0, 0, 0, 0);
-    for Batch { fleet, place, handler, callers } in batches {
+    for Batch {
+        fleet,
+        place,
+        handler,
+        callers,
+    } in batches
+    {
         for req in callers.join() {
             let seconds = req.due.saturating_duration_since(start).as_secs_f64();
             if handler == "browse" && seconds < CROWDED {
@@ -443,12 +511,20 @@
             sent += 1;
             twice += usize::from(req.heard.len() > 1);
             if fleets[0].there(place, req.due) {
-                let in_time =
-                    req.heard.first().is_some_and(|(at, _)| at.saturating_duration_since(req.due) <= TIMEOUT);
+                let in_time = req
+                    .heard
+                    .first()
+                    .is_some_and(|(at, _)| at.saturating_duration_since(req.due) <= TIMEOUT);
                 lost += usize::from(!in_time);
                 if !in_time && late.len() < MOST_SHOWN {
-                    let heard = req.heard.first().map(|(at, heard)| (*at - req.due, heard.code));
-                    late.push(format!("{handler} at {} due {seconds:.2} s, heard {heard:?}", NAMES[place]));
+                    let heard = req
+                        .heard
+                        .first()
+                        .map(|(at, heard)| (*at - req.due, heard.code));
+                    late.push(format!(
+                        "{handler} at {} due {seconds:.2} s, heard {heard:?}",
+                        NAMES[place]
+                    ));
                 }
                 if handler == "plain" {
                     plain += 1;
@@ -460,7 +536,11 @@
     let mut outcome = Outcome::default();
     outcome.figure("without an answer in time", late);
     let most = fleets[0].shared.counts().most_held;
-    outcome.at_most("calls held at the shared dependency", most as f64, CEILING as f64);
+    outcome.at_most(
+        "calls held at the shared dependency",
+        most as f64,
+        CEILING as f64,
+    );
     outcome.at_most("reqs answered twice", twice as f64, 0.0);
     // Whatever came late: with one window's calls no more than the next one's can come in a second.
     let most_a_second = fleets[0].metered.counts().most_a_second;
@@ -470,14 +550,34 @@
         2.0 * METERED as f64,
     );
     outcome.needs(&cores);
-    outcome.at_most("calls of any second at the metered dependency", most_a_second as f64, METERED as f64);
+    outcome.at_most(
+        "calls of any second at the metered dependency",
+        most_a_second as f64,
+        METERED as f64,
+    );
     let metered = metered[0] / f64::max(metered[1], 1.0);
-    outcome.at_least("value of the metered dependency beside fixed parts", metered, 1.0);
-    outcome.at_least("value beside fixed parts", values[0] / f64::max(values[1], 1.0), 1.3);
-    outcome.at_least("value beside fixed parts without faults", calm[0] / f64::max(calm[1], 1.0), 1.0);
-    outcome.at_least("part of the whole in use after the faults", last / CEILING as f64, 0.9);
-    let fair =
-        CEILING as f64 * (0..NODES).filter(|place| place % ZONES != zone).count() as f64 / NODES as f64;
+    outcome.at_least(
+        "value of the metered dependency beside fixed parts",
+        metered,
+        1.0,
+    );
+    outcome.at_least(
+        "value beside fixed parts",
+        values[0] / f64::max(values[1], 1.0),
+        1.3,
+    );
+    outcome.at_least(
+        "value beside fixed parts without faults",
+        calm[0] / f64::max(calm[1], 1.0),
+        1.0,
+    );
+    outcome.at_least(
+        "part of the whole in use after the faults",
+        last / CEILING as f64,
+        0.9,
+    );
+    let fair = CEILING as f64 * (0..NODES).filter(|place| place % ZONES != zone).count() as f64
+        / NODES as f64;
     outcome.at_least(
         "fair part of the side with the registry, in use while a zone is cut off",
         side / fair,
@@ -489,12 +589,20 @@
     outcome.at_least("reqs sent", sent as f64, 1_000.0);
     let shown: Vec<String> = troubles
         .iter()
-        .map(|t| format!("{:?} of {} {:.1}-{:.1}", t.kind, NAMES[t.node], t.from, t.until))
+        .map(|t| {
+            format!(
+                "{:?} of {} {:.1}-{:.1}",
+                t.kind, NAMES[t.node], t.from, t.until
+            )
+        })
         .collect();
     outcome.figure("troubles", shown);
     outcome.figure("value", values[0]);
     outcome.figure("value of fixed parts", values[1]);
-    outcome.figure("most held under fixed parts", fleets[1].shared.counts().most_held);
+    outcome.figure(
+        "most held under fixed parts",
+        fleets[1].shared.counts().most_held,
+    );
     outcome.figure("most held", most);
     Ok(outcome)
 }
--- a/crates/lab/src/trials/calm.rs
+++ b/crates/lab/src/trials/calm.rs
@@ -15,13 +15,33 @@
 fn measured(node: &Node, seed: u64, seconds: f64) -> io::Result<(f64, usize, usize)> {
     let start = Instant::now() + Duration::from_millis(50);
     let end = start + Duration::from_secs_f64(seconds);
-    let mix = Mix { handler: "browse", rate: RATE, bodies: 200, tag: 0 };
+    let mix = Mix {
+        handler: "browse",
+        rate: RATE,
+        bodies: 200,
+        tag: 0,
+    };
     let before = node.cpu()?;
-    let sent = Callers::start(node.addr, &mix, CONNECTIONS, seed, (start, end), TIMEOUT / 2).join();
+    let sent = Callers::start(
+        node.addr,
+        &mix,
+        CONNECTIONS,
+        seed,
+        (start, end),
+        TIMEOUT / 2,
+    )
+    .join();
     let used = node.cpu()? - before;
     let worth: Vec<_> = sent.iter().map(shop::worth).collect();
-    let whole = worth.iter().filter(|w| w.done && !w.partial && !w.late && w.answers == 1).count();
-    Ok((used * 1_000.0 / worth.len().max(1) as f64, worth.len() - whole, worth.len()))
+    let whole = worth
+        .iter()
+        .filter(|w| w.done && !w.partial && !w.late && w.answers == 1)
+        .count();
+    Ok((
+        used * 1_000.0 / worth.len().max(1) as f64,
+        worth.len() - whole,
+        worth.len(),
+    ))
 }
 
 pub fn play(usage: &Usage) -> io::Result<Outcome> {
@@ -29,7 +49,9 @@
     let seconds = usage.seconds.unwrap_or(24) as f64 / (2 * ROUNDS) as f64;
     let dependencies = shop::dependencies(usage.seed)?;
     let with = Node::start(&shop::script(&dependencies, 1, &[]), usage.verbose)?;
-    let all_off = ["budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback"];
+    let all_off = [
+        "budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback",
+    ];
     let without = Node::start(&shop::script(&dependencies, 1, &all_off), usage.verbose)?;
     std::thread::sleep(shop::LINGER + Duration::from_millis(500));
     let (mut costs, mut bare, mut not_whole, mut pages) = (Vec::new(), Vec::new(), 0, 0);
