--- a/crates/lab/src/trials/dependencies.rs
+++ b/crates/lab/src/trials/dependencies.rs
@@ -21,7 +21,9 @@
 const WEAK: u64 = CEILING / 3;
 /// Every call in so many straggles in the last spell.
 const STRAGGLER: u32 = 60;
-const DEFENCES: [&str; 7] = ["budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback"];
+const DEFENCES: [&str; 7] = [
+    "budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback",
+];
 
 /// One stretch of the schedule: when, from the start of the load, and what each dependency does wrong.
 struct Spell {
@@ -32,8 +34,14 @@
 
 fn schedule(random: &mut fastrand::Rng, seconds: f64) -> Vec<Spell> {
     let late = Duration::from_millis(270);
-    let mut kinds =
-        vec![Fault::Hang, Fault::Slow(6), Fault::Reset, Fault::Late(late), Fault::Spoil, Fault::Fail];
+    let mut kinds = vec![
+        Fault::Hang,
+        Fault::Slow(6),
+        Fault::Reset,
+        Fault::Late(late),
+        Fault::Spoil,
+        Fault::Fail,
+    ];
     random.shuffle(&mut kinds);
     let mut kinds = kinds.into_iter().cycle();
     let mut spells = Vec::new();
@@ -47,16 +55,33 @@
         }
         let mut places = vec![0, 1, 2];
         random.shuffle(&mut places);
-        let faults = places[..count].iter().zip(&mut kinds).map(|(place, fault)| (*place, fault));
-        spells.push(Spell { from, to: from + FAULT, faults: faults.collect() });
+        let faults = places[..count]
+            .iter()
+            .zip(&mut kinds)
+            .map(|(place, fault)| (*place, fault));
+        spells.push(Spell {
+            from,
+            to: from + FAULT,
+            faults: faults.collect(),
+        });
         from += FAULT + REST;
     }
     // One survives a quarter of what it should: the more it holds, the less it does.
-    spells.push(Spell { from, to: from + FAULT, faults: vec![(random.usize(0..3), Fault::Weak(WEAK))] });
+    spells.push(Spell {
+        from,
+        to: from + FAULT,
+        faults: vec![(random.usize(0..3), Fault::Weak(WEAK))],
+    });
     from += FAULT + REST;
     // Last, no dependency fails, but some calls of all three take ten times their time.
-    let faults = (0..3).map(|place| (place, Fault::Straggle(STRAGGLER))).collect();
-    spells.push(Spell { from, to: from + FAULT, faults });
+    let faults = (0..3)
+        .map(|place| (place, Fault::Straggle(STRAGGLER)))
+        .collect();
+    spells.push(Spell {
+        from,
+        to: from + FAULT,
+        faults,
+    });
     spells
 }
 
@@ -68,8 +93,13 @@
 fn fleet(seed: u64, off: &[&str], verbose: bool) -> io::Result<Fleet> {
     let dependencies = shop::dependencies(seed)?;
     let script = shop::script(&dependencies, NODES, off);
-    let nodes = (0..NODES).map(|_| Node::start(&script, verbose)).collect::<io::Result<_>>()?;
-    Ok(Fleet { nodes, dependencies })
+    let nodes = (0..NODES)
+        .map(|_| Node::start(&script, verbose))
+        .collect::<io::Result<_>>()?;
+    Ok(Fleet {
+        nodes,
+        dependencies,
+    })
 }
 
 /// All reqs of a fleet, with the time when each was due from the start.
@@ -79,7 +109,12 @@
     fn of(sent: Vec<Sent>, start: Instant) -> Self {
         let mut all: Vec<_> = sent
             .iter()
-            .map(|s| (s.due.saturating_duration_since(start).as_secs_f64(), shop::worth(s)))
+            .map(|s| {
+                (
+                    s.due.saturating_duration_since(start).as_secs_f64(),
+                    shop::worth(s),
+                )
+            })
             .collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         Story(all)
@@ -94,7 +129,10 @@
     }
 
     fn within(&self, from: f64, to: f64) -> impl Iterator<Item = &Worth> {
-        self.0.iter().filter(move |(at, _)| (from..to).contains(at)).map(|(_, w)| w)
+        self.0
+            .iter()
+            .filter(move |(at, _)| (from..to).contains(at))
+            .map(|(_, w)| w)
     }
 
     /// The part answered whole and in time of what was due within a stretch.
@@ -137,12 +175,24 @@
     // A node makes no call until what its former life may have left there is over.
     let start = Instant::now() + shop::LINGER + Duration::from_millis(500);
     let end = start + Duration::from_secs_f64(spells.last().map_or(CALM, |s| s.to) + LAST_REST);
-    let mix = Mix { handler: "browse", rate: RATE, bodies: 200, tag: 0 };
+    let mix = Mix {
+        handler: "browse",
+        rate: RATE,
+        bodies: 200,
+        tag: 0,
+    };
     let callers = fleets.iter().map(|fleet| {
         let nodes = fleet.nodes.iter().zip(0u64..);
         let of = nodes.map(|(node, place)| {
             let seed = usage.seed ^ place << 32;
-            Callers::start(node.addr, &mix, CONNECTIONS, seed, (start, end), TIMEOUT + TIMEOUT)
+            Callers::start(
+                node.addr,
+                &mix,
+                CONNECTIONS,
+                seed,
+                (start, end),
+                TIMEOUT + TIMEOUT,
+            )
         });
         of.collect::<Vec<_>>()
     });
@@ -151,11 +201,17 @@
         let at = |seconds: f64| start + Duration::from_secs_f64(seconds);
         std::thread::sleep(at(spell.from).saturating_duration_since(Instant::now()));
         for fleet in &fleets {
-            spell.faults.iter().for_each(|(place, fault)| fleet.dependencies[*place].set(*fault));
+            spell
+                .faults
+                .iter()
+                .for_each(|(place, fault)| fleet.dependencies[*place].set(*fault));
         }
         std::thread::sleep(at(spell.to).saturating_duration_since(Instant::now()));
         for fleet in &fleets {
-            spell.faults.iter().for_each(|(place, _)| fleet.dependencies[*place].set(Fault::None));
+            spell
+                .faults
+                .iter()
+                .for_each(|(place, _)| fleet.dependencies[*place].set(Fault::None));
         }
     }
     let stories: Vec<Story> = callers
@@ -166,20 +222,51 @@
     let all = story.0.len() as f64;
     let mut outcome = Outcome::default();
     outcome.at_least("reqs sent", all, RATE * NODES as f64 * 10.0);
-    outcome.at_most("reqs without exactly one answer", story.count(|w| w.answers != 1), 0.0);
-    outcome.at_most("reqs answered after their due time", story.count(|w| w.lost), 0.0);
-    outcome.at_most("part of answers past the response target", story.count(|w| w.late) / all, 0.01);
-    outcome.at_most("answers that are not what their head says", story.count(|w| w.lied), 0.0);
-    let most = fleet.dependencies.iter().map(|d| d.counts().most_held).max().unwrap_or_default();
+    outcome.at_most(
+        "reqs without exactly one answer",
+        story.count(|w| w.answers != 1),
+        0.0,
+    );
+    outcome.at_most(
+        "reqs answered after their due time",
+        story.count(|w| w.lost),
+        0.0,
+    );
+    outcome.at_most(
+        "part of answers past the response target",
+        story.count(|w| w.late) / all,
+        0.01,
+    );
+    outcome.at_most(
+        "answers that are not what their head says",
+        story.count(|w| w.lied),
+        0.0,
+    );
+    let most = fleet
+        .dependencies
+        .iter()
+        .map(|d| d.counts().most_held)
+        .max()
+        .unwrap_or_default();
     outcome.at_most("calls held at a dependency", most as f64, CEILING as f64);
     let ratio = |other: &Story| story.value() / other.value().max(1.0);
     outcome.at_least("value beside no fall-backs", ratio(&stories[1]), 1.5);
-    outcome.over("value beside fixed limits and no breaker", ratio(&stories[2]), 1.0);
+    outcome.over(
+        "value beside fixed limits and no breaker",
+        ratio(&stories[2]),
+        1.0,
+    );
     let ends = spells.iter().enumerate().map(|(place, spell)| {
-        let until = spells.get(place + 1).map_or(spell.to + LAST_REST, |next| next.from);
+        let until = spells
+            .get(place + 1)
+            .map_or(spell.to + LAST_REST, |next| next.from);
         story.whole_again(spell.to, until)
     });
-    outcome.at_most("seconds until 0.95 are whole again", ends.fold(0.0, f64::max), 5.0);
+    outcome.at_most(
+        "seconds until 0.95 are whole again",
+        ends.fold(0.0, f64::max),
+        5.0,
+    );
     for (name, dependency) in shop::NAMES.iter().zip(&fleet.dependencies) {
         let counts = dependency.counts();
         outcome.figure(&format!("calls at {name}"), counts.calls);
@@ -190,22 +277,36 @@
         let first = c.calls - c.extra;
         c.extra as f64 / (first as f64).max(1.0)
     });
-    outcome.at_most("extra calls as a part of first ones", extra.fold(0.0, f64::max), RETRIES);
+    outcome.at_most(
+        "extra calls as a part of first ones",
+        extra.fold(0.0, f64::max),
+        RETRIES,
+    );
     let stretch = |spell: &Spell| story.whole(spell.from + 0.5, spell.to);
     if let [.., weak, straggling] = spells.as_slice() {
         outcome.figure("part whole while one is weak", stretch(weak));
         outcome.at_least("part whole while calls straggle", stretch(straggling), 0.98);
     }
-    outcome.at_least("part whole before anything is wrong", story.whole(0.0, CALM - 0.5), 1.0);
+    outcome.at_least(
+        "part whole before anything is wrong",
+        story.whole(0.0, CALM - 0.5),
+        1.0,
+    );
     outcome.figure("reqs", all);
     outcome.figure("whole", story.count(|w| w.done && !w.partial) / all);
     outcome.figure("partial", story.count(|w| w.partial) / all);
     outcome.figure("shed or errored", story.count(|w| !w.done) / all);
     outcome.figure("value a req", story.value() / all);
     outcome.figure("value a req without fall-backs", stories[1].value() / all);
-    outcome.figure("value a req with fixed limits and no breaker", stories[2].value() / all);
+    outcome.figure(
+        "value a req with fixed limits and no breaker",
+        stories[2].value() / all,
+    );
     let spells = spells.iter().map(|s| {
-        let faults = s.faults.iter().map(|(place, fault)| format!("{} {fault:?}", shop::NAMES[*place]));
+        let faults = s
+            .faults
+            .iter()
+            .map(|(place, fault)| format!("{} {fault:?}", shop::NAMES[*place]));
         let value = |story: &Story, from: f64, to: f64| {
             let worth: Vec<_> = story.within(from, to).collect();
             worth.iter().map(|w| w.value).sum::<f64>() / worth.len().max(1) as f64
@@ -215,7 +316,11 @@
             format!("{own:.3} (with fixed limits {other:.3})")
         };
         let faults = faults.collect::<Vec<_>>().join(", ");
-        format!("{faults}: value {}, after it {}", both(s.from, s.to), both(s.to, s.to + 1.5))
+        format!(
+            "{faults}: value {}, after it {}",
+            both(s.from, s.to),
+            both(s.to, s.to + 1.5)
+        )
     });
     outcome.figure("spells", spells.collect::<Vec<_>>());
     Ok(outcome)
--- a/crates/lab/src/trials/restarts.rs
+++ b/crates/lab/src/trials/restarts.rs
@@ -19,11 +19,18 @@
     let script = shop::script(&dependencies, NODES, &off);
     let mut random = fastrand::Rng::with_seed(usage.seed);
     let start_node = || Node::start(&script, usage.verbose);
-    let mut nodes: Vec<Node> = (0..NODES).map(|_| start_node()).collect::<io::Result<_>>()?;
+    let mut nodes: Vec<Node> = (0..NODES)
+        .map(|_| start_node())
+        .collect::<io::Result<_>>()?;
     std::thread::sleep(shop::LINGER);
     // Slow, so that limits are reached and calls go on when their node is gone.
     dependencies.iter().for_each(|d| d.set(Fault::Slow(3)));
-    let mix = Mix { handler: "browse", rate: 80.0, bodies: 200, tag: 0 };
+    let mix = Mix {
+        handler: "browse",
+        rate: 80.0,
+        bodies: 200,
+        tag: 0,
+    };
     let (mut answered, mut restarted) = (0, 0);
     for round in 0..ROUNDS as u64 {
         let start = Instant::now();
@@ -32,8 +39,11 @@
             let seed = usage.seed ^ round << 16 ^ place;
             Callers::start(node.addr, &mix, CONNECTIONS, seed, (from, end), TIMEOUT)
         };
-        let mut callers: Vec<_> =
-            nodes.iter().zip(0..).map(|(node, place)| call(node, place, start)).collect();
+        let mut callers: Vec<_> = nodes
+            .iter()
+            .zip(0..)
+            .map(|(node, place)| call(node, place, start))
+            .collect();
         std::thread::sleep(Duration::from_millis(random.u64(500..1_500)));
         random.shuffle(&mut nodes);
         // An old process is gone before the new one starts; its calls may go on.
@@ -50,12 +60,23 @@
         answered += sent.filter(|s| !s.heard.is_empty()).count();
     }
     let mut outcome = Outcome::default();
-    let most = dependencies.iter().map(|d| d.counts().most_held).max().unwrap_or_default();
+    let most = dependencies
+        .iter()
+        .map(|d| d.counts().most_held)
+        .max()
+        .unwrap_or_default();
     outcome.at_least("reqs answered", answered as f64, 200.0);
-    outcome.at_least("nodes restarted", restarted as f64, (ROUNDS * NODES / 2) as f64);
+    outcome.at_least(
+        "nodes restarted",
+        restarted as f64,
+        (ROUNDS * NODES / 2) as f64,
+    );
     outcome.at_most("calls held at a dependency", most as f64, CEILING as f64);
     for (name, dependency) in shop::NAMES.iter().zip(&dependencies) {
-        outcome.figure(&format!("most held at {name}"), dependency.counts().most_held);
+        outcome.figure(
+            &format!("most held at {name}"),
+            dependency.counts().most_held,
+        );
     }
     Ok(outcome)
 }
--- a/crates/lab/src/trials/shop.rs
+++ b/crates/lab/src/trials/shop.rs
@@ -33,7 +33,9 @@
         linger: LINGER,
         seed: seed.wrapping_mul(31).wrapping_add(place),
     };
-    (0..4).map(|place| Dependency::start(shape(place))).collect()
+    (0..4)
+        .map(|place| Dependency::start(shape(place)))
+        .collect()
 }
 
 pub fn script(dependencies: &[Dependency], instances: usize, off: &[&str]) -> String {
@@ -79,7 +81,10 @@
 }
 
 pub fn worth(sent: &Sent) -> Worth {
-    let mut worth = Worth { answers: sent.heard.len(), ..Worth::default() };
+    let mut worth = Worth {
+        answers: sent.heard.len(),
+        ..Worth::default()
+    };
     let Some((at, heard)) = sent.heard.first() else {
         worth.lost = true;
         return worth;
@@ -92,7 +97,10 @@
         return worth;
     }
     worth.late = took > TARGET;
-    let told = heard.field("partial").map(|names| names.split(',').collect::<Vec<_>>()).unwrap_or_default();
+    let told = heard
+        .field("partial")
+        .map(|names| names.split(',').collect::<Vec<_>>())
+        .unwrap_or_default();
     worth.partial = !told.is_empty();
     let (lies, parts) = read(&heard.body, &told, sent.size).unwrap_or((true, 0.0));
     worth.lied = lies;
@@ -108,7 +116,10 @@
     for (name, part) in parts {
         let state = part.get("state")?.as_str()?;
         value += part_worth(state) / 3.0;
-        let of = part.get("body").and_then(|b| b.get("of")).and_then(serde_json::Value::as_u64);
+        let of = part
+            .get("body")
+            .and_then(|b| b.get("of"))
+            .and_then(serde_json::Value::as_u64);
         wrong |= (state == "whole") == told.contains(&name.as_str());
         // What came from a dependency is what it sent for this req's body.
         wrong |= matches!(state, "whole" | "kept" | "other") && of != Some(size as u64);
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -75,15 +75,36 @@
 }
 
 enum Event {
-    Deliver { alone: bool, to: SocketAddr, from: SocketAddr, bytes: Vec<u8> },
-    Timer { node: usize, life: u64 },
-    Look { node: usize, life: u64 },
-    Stored { node: usize, life: u64 },
+    Deliver {
+        alone: bool,
+        to: SocketAddr,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
+    Timer {
+        node: usize,
+        life: u64,
+    },
+    Look {
+        node: usize,
+        life: u64,
+    },
+    Stored {
+        node: usize,
+        life: u64,
+    },
     Ended(usize),
     Fault,
-    Resume { node: usize, life: u64 },
-    Restart { node: usize },
-    Heal { cut: (usize, usize) },
+    Resume {
+        node: usize,
+        life: u64,
+    },
+    Restart {
+        node: usize,
+    },
+    Heal {
+        cut: (usize, usize),
+    },
 }
 
 struct Node {
@@ -141,7 +162,10 @@
             calls: BTreeMap::new(),
             reach: vec![0; rules.members],
             lives: 0,
-            ran: Ran { whole: rules.whole, ..Ran::default() },
+            ran: Ran {
+                whole: rules.whole,
+                ..Ran::default()
+            },
             quiet_bytes: 0,
             usable: Vec::new(),
             sample: 0,
@@ -150,7 +174,10 @@
         for place in 0..rules.members {
             let keeps = place < rules.keepers;
             // Clocks start anywhere, and any two run apart by less than the drift that is allowed for.
-            let clock = (world.random.i64(0..3_600 * S), 1.0 + (world.random.f64() - 0.5) * 0.018);
+            let clock = (
+                world.random.i64(0..3_600 * S),
+                1.0 + (world.random.f64() - 0.5) * 0.018,
+            );
             world.nodes.push(Node {
                 name: format!("n{place:03}"),
                 addr: ([10, 0, (place / 250) as u8, (place % 250) as u8], 7_000).into(),
@@ -189,35 +216,48 @@
     /// The world's time at which a node's clock shows this.
     fn real(&self, node: usize, at: Time) -> i64 {
         let (start, rate) = self.nodes[node].clock;
-        ((at.0.saturating_sub(start)) as f64 / rate).clamp(self.now as f64 + 1.0, 1e15).ceil() as i64
+        ((at.0.saturating_sub(start)) as f64 / rate)
+            .clamp(self.now as f64 + 1.0, 1e15)
+            .ceil() as i64
     }
 
     fn start(&mut self, place: usize) {
         self.lives += 1;
         let life = self.lives;
         let keepers = self.nodes[..self.rules.keepers.min(self.nodes.len())].iter();
-        let mut keepers: BTreeMap<String, SocketAddr> = keepers.map(|n| (n.name.clone(), n.addr)).collect();
+        let mut keepers: BTreeMap<String, SocketAddr> =
+            keepers.map(|n| (n.name.clone(), n.addr)).collect();
         for place in self.nodes.len()..self.rules.keepers {
             keepers.insert(
                 format!("n{place:03}"),
                 ([10, 0, (place / 250) as u8, (place % 250) as u8], 7_000).into(),
             );
         }
-        let terms = Terms { lease: Time(LEASE), slip: Time(SLIP), defences: self.rules.defences };
+        let terms = Terms {
+            lease: Time(LEASE),
+            slip: Time(SLIP),
+            defences: self.rules.defences,
+        };
         let node = &self.nodes[place];
         let setup = Setup {
-            me: Holder { name: node.name.clone(), life },
+            me: Holder {
+                name: node.name.clone(),
+                life,
+            },
             former: node.former,
             keepers,
             zone: format!("z{}", place % 3),
             addr: node.addr,
             probe: Time(PROBE),
             suspicion: true,
-            wholes: [BUDGET, BESIDE].map(|name| (name.to_string(), self.rules.whole, Time(LINGER))).into(),
+            wholes: [BUDGET, BESIDE]
+                .map(|name| (name.to_string(), self.rules.whole, Time(LINGER)))
+                .into(),
             terms,
             seed: self.random.u64(..),
         };
-        let instance = Instance::new(setup, node.disk.as_ref()).expect("what was written can be read");
+        let instance =
+            Instance::new(setup, node.disk.as_ref()).expect("what was written can be read");
         let node = &mut self.nodes[place];
         (node.life, node.instance, node.stopped) = (life, Some(instance), false);
         node.held.clear();
@@ -230,7 +270,9 @@
     }
 
     fn place(&self, addr: SocketAddr) -> Option<usize> {
-        let SocketAddr::V4(v4) = addr else { return None };
+        let SocketAddr::V4(v4) = addr else {
+            return None;
+        };
         let [_, _, high, low] = v4.ip().octets();
         Some(high as usize * 250 + low as usize).filter(|place| *place < self.nodes.len())
     }
@@ -245,8 +287,11 @@
                     let life = self.nodes[place].life;
                     self.nodes[place].unstored.push_back(write);
                     let slow = self.random.f64() < 0.01;
-                    let took =
-                        if slow { self.random.i64(50 * MS..300 * MS) } else { self.random.i64(2..3 * MS) };
+                    let took = if slow {
+                        self.random.i64(50 * MS..300 * MS)
+                    } else {
+                        self.random.i64(2..3 * MS)
+                    };
                     self.push(self.now + took, Event::Stored { node: place, life });
                 }
                 Effect::Tell(change) => {
@@ -262,28 +307,51 @@
             }
         }
         let at = self.nodes[place].instance.as_ref().map(Instance::next);
-        if let Some(at) = at.map(|at| self.real(place, at)).filter(|at| *at < self.nodes[place].timer) {
+        if let Some(at) = at
+            .map(|at| self.real(place, at))
+            .filter(|at| *at < self.nodes[place].timer)
+        {
             self.nodes[place].timer = at;
             let life = self.nodes[place].life;
             self.push(at, Event::Timer { node: place, life });
         }
     }
 
-    fn send(&mut self, place: usize, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>, alone: bool) {
+    fn send(
+        &mut self,
+        place: usize,
+        from: SocketAddr,
+        to: SocketAddr,
+        bytes: Vec<u8>,
+        alone: bool,
+    ) {
         let Some(target) = self.place(to) else { return };
         let quiet = self.now >= self.rules.trouble;
         if quiet {
             self.quiet_bytes += bytes.len() as u64;
         }
-        let lost = self.cuts.contains(&(place, target)) || !quiet && self.random.f64() < self.rules.loss;
+        let lost =
+            self.cuts.contains(&(place, target)) || !quiet && self.random.f64() < self.rules.loss;
         if lost {
             return;
         }
         let twice = !quiet && self.random.f64() < 0.02;
         for _ in 0..1 + usize::from(twice) {
-            let late = if !quiet && self.random.f64() < 0.02 { self.random.i64(0..2 * S) } else { 0 };
+            let late = if !quiet && self.random.f64() < 0.02 {
+                self.random.i64(0..2 * S)
+            } else {
+                0
+            };
             let at = self.now + self.random.i64(1..4 * MS) + late;
-            self.push(at, Event::Deliver { to, from, bytes: bytes.clone(), alone });
+            self.push(
+                at,
+                Event::Deliver {
+                    to,
+                    from,
+                    bytes: bytes.clone(),
+                    alone,
+                },
+            );
         }
     }
 
@@ -299,20 +367,40 @@
 
     fn look(&mut self, place: usize) {
         // The load is lopsided, and moves, but for the end: what is on its way then is usable nowhere.
-        if !self.rules.still && self.now < self.rules.end - S - 500 * MS && self.random.f64() < 0.01 {
+        if !self.rules.still && self.now < self.rules.end - S - 500 * MS && self.random.f64() < 0.01
+        {
             let hot = self.random.f64() < 0.25;
-            self.nodes[place].need =
-                if hot { self.random.u32(0..=self.rules.whole) } else { self.random.u32(0..4) };
+            self.nodes[place].need = if hot {
+                self.random.u32(0..=self.rules.whole)
+            } else {
+                self.random.u32(0..4)
+            };
         }
         let now = self.local(place);
         let held = self.nodes[place].held.len() as u32;
         let need = self.nodes[place].need;
-        let usage = Usage { held, need, weight: 1.0 + (place % 3) as f64 };
-        let Some(instance) = &mut self.nodes[place].instance else { return };
+        let usage = Usage {
+            held,
+            need,
+            weight: 1.0 + (place % 3) as f64,
+        };
+        let Some(instance) = &mut self.nodes[place].instance else {
+            return;
+        };
         instance.used(BUDGET, usage);
-        instance.used(BESIDE, Usage { held: 0, need: usage.need, weight: 1.0 });
+        instance.used(
+            BESIDE,
+            Usage {
+                held: 0,
+                need: usage.need,
+                weight: 1.0,
+            },
+        );
         let effects = instance.timer(now);
-        let room = instance.ceiling(now, BUDGET).saturating_sub(held).min(need.saturating_sub(held));
+        let room = instance
+            .ceiling(now, BUDGET)
+            .saturating_sub(held)
+            .min(need.saturating_sub(held));
         self.carry(place, effects);
         // A burst takes all that it may.
         for _ in 0..room {
@@ -329,7 +417,11 @@
         let life = self.nodes[place].life;
         let kind = self.random.u8(0..10);
         if self.log {
-            eprintln!("{:>9.1} ms fault {kind} at {}", self.now as f64 / 10.0, self.nodes[place].name);
+            eprintln!(
+                "{:>9.1} ms fault {kind} at {}",
+                self.now as f64 / 10.0,
+                self.nodes[place].name
+            );
         }
         match kind {
             // Cut from some others, in one direction or both.
@@ -339,7 +431,10 @@
                 let part = self.random.f64();
                 for other in 0..self.nodes.len() {
                     if self.random.f64() < part {
-                        for cut in [(place, other), (other, place)].into_iter().take(1 + usize::from(both)) {
+                        for cut in [(place, other), (other, place)]
+                            .into_iter()
+                            .take(1 + usize::from(both))
+                        {
                             self.cuts.insert(cut);
                             self.push(until, Event::Heal { cut });
                         }
@@ -349,8 +444,8 @@
             4..=6 if self.nodes[place].instance.is_some() && !self.nodes[place].stopped => {
                 let now = self.local(place);
                 let node = &mut self.nodes[place];
-                let room =
-                    node.instance.as_ref().map_or(0, |i| i.ceiling(now, BUDGET)) > node.held.len() as u32;
+                let room = node.instance.as_ref().map_or(0, |i| i.ceiling(now, BUDGET))
+                    > node.held.len() as u32;
                 (node.stopped, node.slips) = (true, room && self.random.bool());
                 let until = (self.now + self.random.i64(100 * MS..20 * S)).min(self.rules.trouble);
                 self.push(until, Event::Resume { node: place, life });
@@ -392,19 +487,39 @@
 
     /// Whether a majority of the voters keep their disks without this one. More is not promised.
     fn may_lose(&self, place: usize) -> bool {
-        let leader =
-            self.nodes.iter().filter(|n| !n.stopped).filter_map(|n| n.instance.as_ref()).find(|i| i.leads());
-        let Some(voters) = leader.map(Instance::voters) else { return false };
-        let disk = |n: &Node| n.disk.as_ref().filter(|d| d.snapshot.is_some()).map(|d| d.id);
-        let others = self.nodes.iter().enumerate().filter(|(other, _)| *other != place);
-        let left = others.filter_map(|(_, n)| disk(n)).filter(|id| voters.contains(id)).count();
+        let leader = self
+            .nodes
+            .iter()
+            .filter(|n| !n.stopped)
+            .filter_map(|n| n.instance.as_ref())
+            .find(|i| i.leads());
+        let Some(voters) = leader.map(Instance::voters) else {
+            return false;
+        };
+        let disk = |n: &Node| {
+            n.disk
+                .as_ref()
+                .filter(|d| d.snapshot.is_some())
+                .map(|d| d.id)
+        };
+        let others = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != place);
+        let left = others
+            .filter_map(|(_, n)| disk(n))
+            .filter(|id| voters.contains(id))
+            .count();
         left > voters.len() / 2
     }
 
     fn step(&mut self, event: Event) {
         let to = match &event {
             Event::Deliver { to, .. } => self.place(*to),
-            Event::Timer { node, .. } | Event::Look { node, .. } | Event::Stored { node, .. } => Some(*node),
+            Event::Timer { node, .. } | Event::Look { node, .. } | Event::Stored { node, .. } => {
+                Some(*node)
+            }
             _ => None,
         };
         if let Some(place) = to.filter(|place| self.nodes[*place].stopped) {
@@ -419,18 +534,30 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Deliver { to, from, bytes, alone } => {
+            Event::Deliver {
+                to,
+                from,
+                bytes,
+                alone,
+            } => {
                 let Some(place) = self.place(to) else { return };
                 let now = self.local(place);
-                let Some(instance) = &mut self.nodes[place].instance else { return };
-                let effects =
-                    if alone { instance.datagram(now, &bytes) } else { instance.heard(now, from, &bytes) };
+                let Some(instance) = &mut self.nodes[place].instance else {
+                    return;
+                };
+                let effects = if alone {
+                    instance.datagram(now, &bytes)
+                } else {
+                    instance.heard(now, from, &bytes)
+                };
                 self.carry(place, effects);
             }
             Event::Timer { node, life } if self.nodes[node].life == life => {
                 let now = self.local(node);
                 self.nodes[node].timer = i64::MAX;
-                let Some(instance) = &mut self.nodes[node].instance else { return };
+                let Some(instance) = &mut self.nodes[node].instance else {
+                    return;
+                };
                 let effects = instance.timer(now);
                 self.carry(node, effects);
             }
@@ -440,19 +567,25 @@
                 self.look(node);
                 if self.now > self.rules.end - S && self.now >= self.sample {
                     self.sample = self.now + 10 * MS;
-                    let units = (0..self.nodes.len()).map(|place| self.may_use(place)).sum::<u32>();
+                    let units = (0..self.nodes.len())
+                        .map(|place| self.may_use(place))
+                        .sum::<u32>();
                     self.usable.push(f64::from(units));
                 }
                 self.push(self.now + LOOK, Event::Look { node, life });
             }
             Event::Stored { node, life } if self.nodes[node].life == life => {
-                let Some(write) = self.nodes[node].unstored.pop_front() else { return };
+                let Some(write) = self.nodes[node].unstored.pop_front() else {
+                    return;
+                };
                 let number = write.number;
                 if let Some(disk) = &mut self.nodes[node].disk {
                     disk.apply(write);
                 }
                 let now = self.local(node);
-                let Some(instance) = &mut self.nodes[node].instance else { return };
+                let Some(instance) = &mut self.nodes[node].instance else {
+                    return;
+                };
                 let effects = instance.stored(now, number);
                 self.carry(node, effects);
             }
@@ -464,7 +597,9 @@
             Event::Fault => self.fault(),
             Event::Resume { node, life } if self.nodes[node].life == life => {
                 self.nodes[node].stopped = false;
-                if std::mem::take(&mut self.nodes[node].slips) && self.nodes[node].instance.is_some() {
+                if std::mem::take(&mut self.nodes[node].slips)
+                    && self.nodes[node].instance.is_some()
+                {
                     self.call(node);
                 }
                 let deferred = std::mem::take(&mut self.nodes[node].deferred);
@@ -482,7 +617,10 @@
 
     fn may_use(&self, place: usize) -> u32 {
         let node = &self.nodes[place];
-        let ceiling = node.instance.as_ref().map(|i| i.ceiling(self.local(place), BUDGET));
+        let ceiling = node
+            .instance
+            .as_ref()
+            .map(|i| i.ceiling(self.local(place), BUDGET));
         ceiling.unwrap_or(0).max(node.held.len() as u32)
     }
 
@@ -494,22 +632,38 @@
         };
         let seen = self.reach.iter().sum::<u32>();
         if seen + ghosts(self) > self.rules.whole {
-            self.reach = (0..self.nodes.len()).map(|place| self.may_use(place)).collect();
+            self.reach = (0..self.nodes.len())
+                .map(|place| self.may_use(place))
+                .collect();
         }
         self.reach.iter().sum::<u32>() + ghosts(self)
     }
 
     /// Who uses how much, by its own word and by the leader's table.
     fn shown(&self) -> String {
-        let leader = self.nodes.iter().filter_map(|n| n.instance.as_ref()).find(|i| i.leads());
-        let shares = leader.and_then(Instance::table).and_then(|t| t.budgets.get(BUDGET)).map(|w| &w.shares);
+        let leader = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.instance.as_ref())
+            .find(|i| i.leads());
+        let shares = leader
+            .and_then(Instance::table)
+            .and_then(|t| t.budgets.get(BUDGET))
+            .map(|w| &w.shares);
         let mut text = format!("  {:?}\n", leader.map(|l| l.targets(BUDGET)));
         for (place, node) in self.nodes.iter().enumerate() {
             let used = self.calls.values().filter(|p| **p == place).count();
             let now = self.local(place);
-            let cap = node.instance.as_ref().map(|i| (i.ceiling(now, BUDGET), i.shares().epoch(BUDGET).0));
+            let cap = node
+                .instance
+                .as_ref()
+                .map(|i| (i.ceiling(now, BUDGET), i.shares().epoch(BUDGET).0));
             let of = |h: &&Holder| h.name == node.name;
-            let table: Vec<_> = shares.into_iter().flatten().filter(|(h, _)| of(h)).collect();
+            let table: Vec<_> = shares
+                .into_iter()
+                .flatten()
+                .filter(|(h, _)| of(h))
+                .collect();
             let (life, held, stopped) = (node.life, node.held.len(), node.stopped);
             text += &format!(
                 "  {} life {life}: {used} used, {held} held, {cap:?}, {stopped}, {table:?}\n",
@@ -533,7 +687,9 @@
                 break;
             }
             self.now = at;
-            let Some(event) = self.events.remove(&seq) else { continue };
+            let Some(event) = self.events.remove(&seq) else {
+                continue;
+            };
             self.ran.steps += 1;
             self.step(event);
             self.ran.most = self.ran.most.max(self.calls.len() as u32);
@@ -554,32 +710,57 @@
     fn ended(self) -> Result<Ran, String> {
         let mut ran = self.ran;
         ran.usable = self.usable.iter().sum::<f64>() / self.usable.len().max(1) as f64;
-        let live: Vec<usize> =
-            (0..self.nodes.len()).filter(|place| self.nodes[*place].instance.is_some()).collect();
-        let leader = live.iter().filter_map(|p| self.nodes[*p].instance.as_ref()).find(|i| i.leads());
+        let live: Vec<usize> = (0..self.nodes.len())
+            .filter(|place| self.nodes[*place].instance.is_some())
+            .collect();
+        let leader = live
+            .iter()
+            .filter_map(|p| self.nodes[*p].instance.as_ref())
+            .find(|i| i.leads());
         let Some(table) = leader.and_then(Instance::table) else {
             return Err("no keeper leads at the end".to_string());
         };
         for place in &live {
-            let list = self.nodes[*place].instance.as_ref().map(Instance::list).unwrap_or_default();
-            let mut listed: Vec<&str> =
-                list.iter().filter(|l| l.standing != Standing::Dead).map(|l| l.name.as_str()).collect();
+            let list = self.nodes[*place]
+                .instance
+                .as_ref()
+                .map(Instance::list)
+                .unwrap_or_default();
+            let mut listed: Vec<&str> = list
+                .iter()
+                .filter(|l| l.standing != Standing::Dead)
+                .map(|l| l.name.as_str())
+                .collect();
             listed.sort();
-            let names: Vec<&str> = live.iter().map(|place| self.nodes[*place].name.as_str()).collect();
+            let names: Vec<&str> = live
+                .iter()
+                .map(|place| self.nodes[*place].name.as_str())
+                .collect();
             // One that was away itself may still list who died meanwhile, until it comes to probe it.
             if !names.iter().all(|name| listed.contains(name)) {
-                return Err(format!("{} lists {listed:?}, there are {names:?}", self.nodes[*place].name));
+                return Err(format!(
+                    "{} lists {listed:?}, there are {names:?}",
+                    self.nodes[*place].name
+                ));
             }
         }
         let voters = leader.map(Instance::voters).unwrap_or_default();
-        let disks = self.nodes.iter().filter_map(|n| n.disk.as_ref()).map(|disk| disk.id);
+        let disks = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.disk.as_ref())
+            .map(|disk| disk.id);
         if voters.len() != self.rules.keepers || !disks.clone().all(|id| voters.contains(&id)) {
             let disks: Vec<KeeperId> = disks.collect();
             return Err(format!("the voters are {voters:?}, the disks {disks:?}"));
         }
         let shares = table.budgets.get(BUDGET).map(|whole| whole.shares.values());
-        ran.kept_back =
-            shares.into_iter().flatten().filter(|share| share.fenced).map(|share| share.amount).sum();
+        ran.kept_back = shares
+            .into_iter()
+            .flatten()
+            .filter(|share| share.fenced)
+            .map(|share| share.amount)
+            .sum();
         let quiet = (self.rules.end - self.rules.trouble) as f64 / S as f64;
         ran.bytes = self.quiet_bytes as f64 / quiet / live.len() as f64;
         let bound = f64::from(self.rules.whole.saturating_sub(ran.kept_back)) * 0.9;
@@ -617,8 +798,14 @@
     let name = world.nodes[dead].name.clone();
     world.nodes[dead].instance = None;
     let listed = |world: &World| {
-        let lists = world.nodes.iter().filter_map(|n| n.instance.as_ref()).map(Instance::list);
-        lists.flatten().any(|one| one.name == name && one.standing != Standing::Dead)
+        let lists = world
+            .nodes
+            .iter()
+            .filter_map(|n| n.instance.as_ref())
+            .map(Instance::list);
+        lists
+            .flatten()
+            .any(|one| one.name == name && one.standing != Standing::Dead)
     };
     while listed(&world) && world.now < start + 60 * S {
         world.advance(world.now + 250 * MS)?;
@@ -639,13 +826,30 @@
     usage.off(&[])?;
     let mut outcome = Outcome::default();
     let periods = cottondyke_peers::DEAD_WITHIN as f64 * PROBE as f64 / S as f64;
-    for members in [10, 100, 1_000].into_iter().filter(|members| *members <= usage.members) {
-        let (bytes, death, divided) = measured(usage.seed, members).map_err(std::io::Error::other)?;
+    for members in [10, 100, 1_000]
+        .into_iter()
+        .filter(|members| *members <= usage.members)
+    {
+        let (bytes, death, divided) =
+            measured(usage.seed, members).map_err(std::io::Error::other)?;
         outcome.at_most("seconds until a dead member is in no list", death, periods);
-        outcome.at_most("seconds until a need that jumped is met", divided, LEASE as f64 / S as f64);
-        outcome.figure(&format!("{members} members: bytes a second and member"), bytes.round());
-        outcome.figure(&format!("{members} members: seconds until a dead one is in no list"), death);
-        outcome.figure(&format!("{members} members: seconds until a need that jumped is met"), divided);
+        outcome.at_most(
+            "seconds until a need that jumped is met",
+            divided,
+            LEASE as f64 / S as f64,
+        );
+        outcome.figure(
+            &format!("{members} members: bytes a second and member"),
+            bytes.round(),
+        );
+        outcome.figure(
+            &format!("{members} members: seconds until a dead one is in no list"),
+            death,
+        );
+        outcome.figure(
+            &format!("{members} members: seconds until a need that jumped is met"),
+            divided,
+        );
     }
     Ok(outcome)
 }
@@ -654,8 +858,12 @@
 pub fn play(usage: &Options) -> std::io::Result<Outcome> {
     let off = usage.off(&["lease", "fence", "linger", "need"])?;
     let on = |name: &str| !off.contains(&name);
-    let defences =
-        Defences { lease: on("lease"), fence: on("fence"), linger: on("linger"), need: on("need") };
+    let defences = Defences {
+        lease: on("lease"),
+        fence: on("fence"),
+        linger: on("linger"),
+        need: on("need"),
+    };
     let next = AtomicU64::new(usage.seed);
     let end = usage.seed + usage.count;
     let ran = std::sync::Mutex::new(Vec::new());
@@ -666,7 +874,10 @@
                 if seed >= end {
                     return;
                 }
-                let rules = Rules { defences, ..Rules::drawn(seed, usage.members) };
+                let rules = Rules {
+                    defences,
+                    ..Rules::drawn(seed, usage.members)
+                };
                 let result = World::new(seed, rules, usage.verbose).run();
                 if let Err(wrong) = &result {
                     eprintln!("seed {seed}, {} members: {wrong}", rules.members);
@@ -678,12 +889,19 @@
     let ran = ran.into_inner().unwrap_or_else(|p| p.into_inner());
     let good: Vec<&Ran> = ran.iter().flatten().collect();
     let mut outcome = Outcome::default();
-    outcome.at_most("worlds that broke a promise", (ran.len() - good.len()) as f64, 0.0);
+    outcome.at_most(
+        "worlds that broke a promise",
+        (ran.len() - good.len()) as f64,
+        0.0,
+    );
     outcome.figure("worlds", ran.len());
     outcome.figure("steps", good.iter().map(|r| r.steps).sum::<u64>());
     outcome.figure("faults", good.iter().map(|r| r.faults).sum::<u64>());
     outcome.figure("calls", good.iter().map(|r| r.calls).sum::<u64>());
-    let fullest = good.iter().map(|r| f64::from(r.most) / f64::from(r.whole.max(1))).fold(0.0, f64::max);
+    let fullest = good
+        .iter()
+        .map(|r| f64::from(r.most) / f64::from(r.whole.max(1)))
+        .fold(0.0, f64::max);
     outcome.figure("most of a whole in use", fullest);
     Ok(outcome)
 }
@@ -698,8 +916,9 @@
     fn units_in_use_never_pass_the_whole() {
         for seed in 0..12 {
             let rules = Rules::drawn(seed, 14);
-            let ran =
-                World::new(seed, rules, false).run().unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
+            let ran = World::new(seed, rules, false)
+                .run()
+                .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
             assert!(ran.calls > 100, "seed {seed}: {ran:?}");
         }
     }
--- a/crates/operator/src/args.rs
+++ b/crates/operator/src/args.rs
@@ -11,7 +11,8 @@
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let likeness = |other: &str| strsim::jaro_winkler(name, other);
     let best = known.max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
-    best.filter(|b| likeness(b) >= ALIKE).map_or(String::new(), |best| format!(" (the nearest is {best:?})"))
+    best.filter(|b| likeness(b) >= ALIKE)
+        .map_or(String::new(), |best| format!(" (the nearest is {best:?})"))
 }
 
 pub fn shown(value: &Json) -> String {
@@ -50,9 +51,17 @@
 impl Args {
     /// `first`: the names of the arguments that may be given by their position.
     pub fn new(declared: Declared, first: &[&'static str]) -> Result<Self, Wrong> {
-        let Declared { function, at, args, mut named } = declared;
+        let Declared {
+            function,
+            at,
+            args,
+            mut named,
+        } = declared;
         let count = args.len();
-        let wrong = |what: String| Wrong { at: at.clone(), what };
+        let wrong = |what: String| Wrong {
+            at: at.clone(),
+            what,
+        };
         if count > first.len() {
             let names = first.join(", ");
             let most = if first.is_empty() {
@@ -60,28 +69,49 @@
             } else {
                 format!("only {names} unnamed")
             };
-            return Err(wrong(format!("{function}: {count} unnamed arguments: expected {most}")));
+            return Err(wrong(format!(
+                "{function}: {count} unnamed arguments: expected {most}"
+            )));
         }
         for (name, value) in first.iter().zip(args) {
             if named.insert(name.to_string(), value).is_some() {
                 return Err(wrong(format!("{function}: {name} is given twice")));
             }
         }
-        Ok(Args { function, at, named, asked: Vec::new() })
+        Ok(Args {
+            function,
+            at,
+            named,
+            asked: Vec::new(),
+        })
     }
 
     /// A value that `part`, `kept` or their like made.
     pub fn made(value: &Json, first: &[&'static str]) -> Option<Result<Self, Wrong>> {
         let function = value.get(MADE)?.as_str()?.to_string();
         let at = value.get(AT)?;
-        let at = Place { file: at.get(0)?.as_str()?.to_string(), line: at.get(1)?.as_u64()? as usize };
+        let at = Place {
+            file: at.get(0)?.as_str()?.to_string(),
+            line: at.get(1)?.as_u64()? as usize,
+        };
         let args = value.get("args")?.as_array()?.clone();
         let named = value.get("named")?.as_object()?.clone();
-        Some(Args::new(Declared { function, at, args, named }, first))
+        Some(Args::new(
+            Declared {
+                function,
+                at,
+                args,
+                named,
+            },
+            first,
+        ))
     }
 
     pub fn wrong(&self, what: impl Into<String>) -> Wrong {
-        Wrong { at: self.at.clone(), what: format!("{}: {}", self.function, what.into()) }
+        Wrong {
+            at: self.at.clone(),
+            what: format!("{}: {}", self.function, what.into()),
+        }
     }
 
     pub fn expected(&self, name: &str, value: &Json, what: &str) -> Wrong {
@@ -96,7 +126,11 @@
 
     /// What `read` makes of a value; `default` where none is given, an error where there is no default either.
     pub fn read<T>(
-        &mut self, name: &'static str, what: &str, default: Option<T>, read: impl Fn(&Json) -> Option<T>,
+        &mut self,
+        name: &'static str,
+        what: &str,
+        default: Option<T>,
+        read: impl Fn(&Json) -> Option<T>,
     ) -> Result<T, Wrong> {
         match (self.maybe(name), default) {
             (Some(value), _) => read(&value).ok_or_else(|| self.expected(name, &value, what)),
@@ -111,7 +145,9 @@
         let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         let plain = |text: &&str| !text.is_empty() && text.len() <= 64 && text.chars().all(fits);
         let default = default.map(String::from);
-        self.read(name, what, default, |value| value.as_str().filter(plain).map(String::from))
+        self.read(name, what, default, |value| {
+            value.as_str().filter(plain).map(String::from)
+        })
     }
 
     pub fn flag(&mut self, name: &'static str, default: bool) -> Result<bool, Wrong> {
@@ -119,42 +155,75 @@
     }
 
     pub fn number(
-        &mut self, name: &'static str, least: f64, most: f64, default: Option<f64>,
+        &mut self,
+        name: &'static str,
+        least: f64,
+        most: f64,
+        default: Option<f64>,
     ) -> Result<f64, Wrong> {
         let what = format!("a number from {least} to {most}");
-        self.read(name, &what, default, |value| value.as_f64().filter(|n| (least..=most).contains(n)))
+        self.read(name, &what, default, |value| {
+            value.as_f64().filter(|n| (least..=most).contains(n))
+        })
     }
 
     pub fn whole(
-        &mut self, name: &'static str, least: u64, most: u64, default: Option<u64>,
+        &mut self,
+        name: &'static str,
+        least: u64,
+        most: u64,
+        default: Option<u64>,
     ) -> Result<u64, Wrong> {
         let what = format!("a whole number from {least} to {most}");
-        self.read(name, &what, default, |value| value.as_u64().filter(|n| (least..=most).contains(n)))
+        self.read(name, &what, default, |value| {
+            value.as_u64().filter(|n| (least..=most).contains(n))
+        })
     }
 
     pub fn duration(&mut self, name: &'static str, default: Option<Time>) -> Result<Time, Wrong> {
         let what = "a time over 0 such as \"300ms\", \"1.8s\" or \"2m\"";
-        self.read(name, what, default, |value| value.as_str().and_then(duration).filter(|t| *t > Time(0)))
+        self.read(name, what, default, |value| {
+            value.as_str().and_then(duration).filter(|t| *t > Time(0))
+        })
     }
 
     pub fn one_of(
-        &mut self, name: &'static str, known: &[&str], default: Option<&str>,
+        &mut self,
+        name: &'static str,
+        known: &[&str],
+        default: Option<&str>,
     ) -> Result<String, Wrong> {
-        let given = self.named.get(name).and_then(Json::as_str).unwrap_or_default();
-        let what = format!("one of {}{}", known.join(", "), nearest(given, known.iter().copied()));
+        let given = self
+            .named
+            .get(name)
+            .and_then(Json::as_str)
+            .unwrap_or_default();
+        let what = format!(
+            "one of {}{}",
+            known.join(", "),
+            nearest(given, known.iter().copied())
+        );
         let is = |text: &&str| known.contains(text);
-        self.read(name, &what, default.map(String::from), |value| value.as_str().filter(is).map(String::from))
+        self.read(name, &what, default.map(String::from), |value| {
+            value.as_str().filter(is).map(String::from)
+        })
     }
 
     pub fn list(&mut self, name: &'static str, what: &str) -> Result<Vec<Json>, Wrong> {
-        self.read(name, what, Some(Vec::new()), |value| value.as_array().cloned())
+        self.read(name, what, Some(Vec::new()), |value| {
+            value.as_array().cloned()
+        })
     }
 
     /// Nothing is left that was not asked for.
     pub fn finish(self) -> Result<(), Wrong> {
-        let Some(name) = self.named.keys().next() else { return Ok(()) };
+        let Some(name) = self.named.keys().next() else {
+            return Ok(());
+        };
         let near = nearest(name, self.asked.iter().copied());
         let known = self.asked.join(", ");
-        Err(self.wrong(format!("{name:?} is no argument of it: expected any of {known}{near}")))
+        Err(self.wrong(format!(
+            "{name:?} is no argument of it: expected any of {known}{near}"
+        )))
     }
 }
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -24,7 +24,10 @@
 }
 
 fn wrong<T>(at: &Place, what: String) -> Result<T, Wrong> {
-    Err(Wrong { at: at.clone(), what })
+    Err(Wrong {
+        at: at.clone(),
+        what,
+    })
 }
 
 /// Two of one name: the second is wrong.
@@ -32,7 +35,13 @@
     let mut seen: Vec<(&str, &Place)> = Vec::new();
     for (name, at) in all {
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == name) {
-            return wrong(at, format!("{of} {name:?} is declared twice, first in line {}", first.line));
+            return wrong(
+                at,
+                format!(
+                    "{of} {name:?} is declared twice, first in line {}",
+                    first.line
+                ),
+            );
         }
         seen.push((name, at));
     }
@@ -42,7 +51,10 @@
 impl Operator {
     /// The handlers that the script itself declares.
     pub fn own_handlers(&self) -> Vec<Known> {
-        let known = |h: &Handler| Known { name: h.name.clone(), response_target: Time(h.response_target) };
+        let known = |h: &Handler| Known {
+            name: h.name.clone(),
+            response_target: Time(h.response_target),
+        };
         self.handlers.iter().map(known).collect()
     }
 
@@ -62,7 +74,10 @@
 
     /// What a req of a handler is worth; 1 where the platform's configuration tells of it.
     pub fn value(&self, handler: &str) -> f64 {
-        self.handlers.iter().find(|h| h.name == handler).map_or(1.0, |h| h.value)
+        self.handlers
+            .iter()
+            .find(|h| h.name == handler)
+            .map_or(1.0, |h| h.value)
     }
 
     /// Defences of what the fleet shares.
@@ -95,7 +110,10 @@
 
     /// Finds what cannot be obeyed: names that are not there, budgets that cannot fit, shares of nothing.
     pub fn check(&self, handlers: &[Known]) -> Result<(), Wrong> {
-        once("handler", self.handlers.iter().map(|h| (h.name.as_str(), &h.at)))?;
+        once(
+            "handler",
+            self.handlers.iter().map(|h| (h.name.as_str(), &h.at)),
+        )?;
         if let (Some(peers), Some(instances)) = (&self.peers, self.instances) {
             return wrong(&self.fleet, format!(
                 "fleet: instances = {instances} beside peers(...) in line {}: fixed parts and parts that are lent are mixed: \
@@ -108,9 +126,18 @@
                  in place of peers", customer.name
             ));
         }
-        once("customer", self.customers.iter().map(|c| (c.name.as_str(), &c.at)))?;
-        once("dependency", self.dependencies.iter().map(|d| (d.name.as_str(), &d.at)))?;
-        once("the page of handler", self.pages.iter().map(|p| (p.handler.as_str(), &p.at)))?;
+        once(
+            "customer",
+            self.customers.iter().map(|c| (c.name.as_str(), &c.at)),
+        )?;
+        once(
+            "dependency",
+            self.dependencies.iter().map(|d| (d.name.as_str(), &d.at)),
+        )?;
+        once(
+            "the page of handler",
+            self.pages.iter().map(|p| (p.handler.as_str(), &p.at)),
+        )?;
         if self.dependencies.len() > MOST_DEPENDENCIES {
             let at = &self.dependencies[MOST_DEPENDENCIES].at;
             return wrong(at, format!("more dependencies than {MOST_DEPENDENCIES}"));
@@ -123,7 +150,11 @@
             let Some(handler) = handlers.iter().find(|h| h.name == page.handler) else {
                 let near = nearest(&page.handler, names());
                 let known = names().collect::<Vec<_>>().join(", ");
-                let known = if known.is_empty() { "none is declared".into() } else { known };
+                let known = if known.is_empty() {
+                    "none is declared".into()
+                } else {
+                    known
+                };
                 return wrong(
                     &page.at,
                     format!(
@@ -139,18 +170,28 @@
 
     /// With the script alone, nothing but pages can run its handlers.
     pub fn check_alone(&self) -> Result<(), Wrong> {
-        let file = Place { file: self.file.clone(), line: 0 };
+        let file = Place {
+            file: self.file.clone(),
+            line: 0,
+        };
         if self.serve.is_none() {
             return wrong(
                 &file,
-                "serve(listen = ...) is missing: expected it where no configuration is given".into(),
+                "serve(listen = ...) is missing: expected it where no configuration is given"
+                    .into(),
             );
         }
         if self.handlers.is_empty() {
-            return wrong(&file, "no handler(...) is declared: expected at least one".into());
+            return wrong(
+                &file,
+                "no handler(...) is declared: expected at least one".into(),
+            );
         }
         self.check(&self.own_handlers())?;
-        let unserved = self.handlers.iter().find(|h| !self.pages.iter().any(|p| p.handler == h.name));
+        let unserved = self
+            .handlers
+            .iter()
+            .find(|h| !self.pages.iter().any(|p| p.handler == h.name));
         unserved.map_or(Ok(()), |handler| {
             let what = format!(
                 "handler {:?} has no page: nothing would run its reqs; expected page({:?}, ...)",
@@ -197,14 +238,23 @@
     fn check_page(&self, page: &Page, handler: &Known) -> Result<(), Wrong> {
         let names = || self.dependencies.iter().map(|d| d.name.as_str());
         let known = |at: &Place, name: &str| {
-            self.dependencies.iter().find(|d| d.name == name).ok_or_else(|| Wrong {
-                at: at.clone(),
-                what: format!("dependency {name:?} is not declared{}", nearest(name, names())),
-            })
+            self.dependencies
+                .iter()
+                .find(|d| d.name == name)
+                .ok_or_else(|| Wrong {
+                    at: at.clone(),
+                    what: format!(
+                        "dependency {name:?} is not declared{}",
+                        nearest(name, names())
+                    ),
+                })
         };
         for (place, part) in page.parts.iter().enumerate() {
             if page.parts[..place].iter().any(|p| p.name == part.name) {
-                return wrong(&part.at, format!("part {:?} is in the page twice: expected once", part.name));
+                return wrong(
+                    &part.at,
+                    format!("part {:?} is in the page twice: expected once", part.name),
+                );
             }
             let mut time = Time(known(&part.at, &part.dependency)?.budget);
             let mut asked = vec![part.dependency.as_str()];
@@ -259,7 +309,12 @@
 
     /// The plan of a script that was checked; `handlers` in their order. With it, the page of each handler.
     pub fn plan(&self, handlers: &[Known]) -> (depend::Plan, Vec<Option<usize>>) {
-        let place = |name: &str| self.dependencies.iter().position(|d| d.name == name).unwrap_or_default();
+        let place = |name: &str| {
+            self.dependencies
+                .iter()
+                .position(|d| d.name == name)
+                .unwrap_or_default()
+        };
         let dependencies = self.dependencies.iter().map(|d| {
             let share = self.share(d).max(1) as usize;
             Rc::new(depend::Dependency {
@@ -286,7 +341,10 @@
             Fallback::Kept(most) => depend::Fallback::Kept(Time(*most)),
             Fallback::Other(name) => depend::Fallback::Other(place(name)),
             Fallback::Fixed(value) => {
-                let text = value.as_str().filter(|_| !json).map_or_else(|| value.to_string(), String::from);
+                let text = value
+                    .as_str()
+                    .filter(|_| !json)
+                    .map_or_else(|| value.to_string(), String::from);
                 depend::Fallback::Fixed(text.into_bytes().into())
             }
             Fallback::LeaveOut => depend::Fallback::LeaveOut,
@@ -296,11 +354,16 @@
             dependency: place(&p.dependency),
             required: p.required,
             fallbacks: {
-                let json = self.dependencies.iter().any(|d| d.name == p.dependency && d.json);
+                let json = self
+                    .dependencies
+                    .iter()
+                    .any(|d| d.name == p.dependency && d.json);
                 p.fallbacks.iter().map(|(_, f)| fallback(f, json)).collect()
             },
         };
-        let pages = self.pages.iter().map(|p| depend::Page { parts: p.parts.iter().map(part).collect() });
+        let pages = self.pages.iter().map(|p| depend::Page {
+            parts: p.parts.iter().map(part).collect(),
+        });
         let plan = depend::Plan {
             dependencies: dependencies.collect(),
             pages: pages.collect(),
@@ -316,8 +379,11 @@
         let mut text = String::new();
         let mut line = |words: String| text += &(words + "\n");
         if let Some(peers) = &self.peers {
-            let keepers =
-                peers.keepers.iter().map(|(name, addr)| format!("{name} {addr}")).collect::<Vec<_>>();
+            let keepers = peers
+                .keepers
+                .iter()
+                .map(|(name, addr)| format!("{name} {addr}"))
+                .collect::<Vec<_>>();
             line(format!(
                 "peers: {} in zone {} on {}, keepers {}; ceilings are lent for {} at a time; cut off from most keepers it \
                  uses nothing of them once that is over",
@@ -326,7 +392,9 @@
         }
         let (plan, _) = self.plan(handlers);
         for (d, spec) in self.dependencies.iter().zip(&plan.dependencies) {
-            let hedge = d.hedge.map_or("no hedging".into(), |q| format!("hedged after the {q} quantile"));
+            let hedge = d.hedge.map_or("no hedging".into(), |q| {
+                format!("hedged after the {q} quantile")
+            });
             if self.peers.is_some() && !d.own {
                 line(format!(
                     "dependency {}: the share of an instance that is lost is free again {} after it was last heard",
@@ -341,9 +409,17 @@
             ));
         }
         for (page, planned) in self.pages.iter().zip(&plan.pages) {
-            let target =
-                handlers.iter().find(|h| h.name == page.handler).map_or(Time(0), |h| h.response_target);
-            let worst = planned.parts.iter().map(|p| plan.worst_case(p)).max().unwrap_or_default() + RESERVE;
+            let target = handlers
+                .iter()
+                .find(|h| h.name == page.handler)
+                .map_or(Time(0), |h| h.response_target);
+            let worst = planned
+                .parts
+                .iter()
+                .map(|p| plan.worst_case(p))
+                .max()
+                .unwrap_or_default()
+                + RESERVE;
             line(format!(
                 "page {}: answered within {} of its response target of {}",
                 page.handler,
@@ -358,9 +434,20 @@
                     Fallback::LeaveOut => "left out".to_string(),
                 });
                 let fallbacks = fallbacks.collect::<Vec<_>>().join(", then ");
-                let without = if part.required { "the answer is errored" } else { "left out" };
-                let without = if fallbacks.is_empty() { without } else { &fallbacks };
-                line(format!("  part {}: from {}; else {without}", part.name, part.dependency));
+                let without = if part.required {
+                    "the answer is errored"
+                } else {
+                    "left out"
+                };
+                let without = if fallbacks.is_empty() {
+                    without
+                } else {
+                    &fallbacks
+                };
+                line(format!(
+                    "  part {}: from {}; else {without}",
+                    part.name, part.dependency
+                ));
             }
         }
         if !self.off.is_empty() {
--- a/crates/operator/src/typed.rs
+++ b/crates/operator/src/typed.rs
@@ -199,8 +199,9 @@
 
 fn peers(mut args: Args) -> Result<Peers, Wrong> {
     const KEPT: &str = "1, 3 or 5 names with an address each such as {\"a\": \"10.0.0.1:7100\"}";
-    let fits =
-        |name: &str| !name.is_empty() && name.len() <= 64 && name.chars().all(|c| c.is_ascii_graphic());
+    let fits = |name: &str| {
+        !name.is_empty() && name.len() <= 64 && name.chars().all(|c| c.is_ascii_graphic())
+    };
     let keepers = args.read("keepers", KEPT, None, |value| {
         let read = |(name, addr): (&String, &Json)| {
             Some((name.clone(), addr.as_str()?.parse().ok()?)).filter(|(name, _)| fits(name))
@@ -209,8 +210,9 @@
         all.filter(|all| KEEPERS.contains(&all.len()))
     })?;
     let what = "None or the path of a folder";
-    let data = args
-        .read("data", what, Some(None), |v| v.as_str().filter(|t| !t.is_empty()).map(|t| Some(t.into())))?;
+    let data = args.read("data", what, Some(None), |v| {
+        v.as_str().filter(|t| !t.is_empty()).map(|t| Some(t.into()))
+    })?;
     let name = args.name("name", None)?;
     if data.is_none() && keepers.iter().any(|(keeper, _)| *keeper == name) {
         let what =
@@ -221,9 +223,12 @@
         name,
         zone: args.name("zone", Some("here"))?,
         listen: address(&mut args, "listen")?,
-        advertise: args.read("advertise", "None or an IP address with a port", Some(None), |value| {
-            value.as_str()?.parse().ok().map(Some)
-        })?,
+        advertise: args.read(
+            "advertise",
+            "None or an IP address with a port",
+            Some(None),
+            |value| value.as_str()?.parse().ok().map(Some),
+        )?,
         probe: args.duration("probe", Some(Time(1_000 * MS)))?.0,
         keepers,
         data,
@@ -276,25 +281,41 @@
     let name = args.name("name", None)?;
     let per_second = args.number("per_second", 0.0, 1e9, None)?;
     let at = args.at.clone();
-    args.finish().map(|()| Customer { at, name, per_second })
+    args.finish().map(|()| Customer {
+        at,
+        name,
+        per_second,
+    })
 }
 
 fn dependency(mut args: Args) -> Result<Dependency, Wrong> {
     let name = args.name("name", None)?;
     let addr = address(&mut args, "addr")?;
     const PATH: &str = "a path that starts with a slash, of printable ASCII without spaces";
-    let plain = |t: &&str| t.starts_with('/') && t.len() <= 512 && t.bytes().all(|b| b.is_ascii_graphic());
-    let path = args
-        .read("path", PATH, Some("/".to_string()), |value| value.as_str().filter(plain).map(String::from))?;
+    let plain =
+        |t: &&str| t.starts_with('/') && t.len() <= 512 && t.bytes().all(|b| b.is_ascii_graphic());
+    let path = args.read("path", PATH, Some("/".to_string()), |value| {
+        value.as_str().filter(plain).map(String::from)
+    })?;
     let ceiling = args.whole("ceiling", 1, 1 << 20, None)?;
     let linger = args.duration("linger", Some(Time(1_000 * MS)))?;
-    let waiting = args.read("waiting", "None or a whole number from 0 to 4096", Some(None), |value| {
-        value.as_u64().filter(|n| *n <= 4_096).map(Some)
-    })?;
-    let hedge =
-        args.read("hedge", "None or a quantile of its latency from 0.5 to 0.999", Some(None), |value| {
-            value.as_f64().filter(|q| (0.5..=0.999).contains(q)).map(Some)
-        })?;
+    let waiting = args.read(
+        "waiting",
+        "None or a whole number from 0 to 4096",
+        Some(None),
+        |value| value.as_u64().filter(|n| *n <= 4_096).map(Some),
+    )?;
+    let hedge = args.read(
+        "hedge",
+        "None or a quantile of its latency from 0.5 to 0.999",
+        Some(None),
+        |value| {
+            value
+                .as_f64()
+                .filter(|q| (0.5..=0.999).contains(q))
+                .map(Some)
+        },
+    )?;
     let dependency = Dependency {
         name,
         addr,
@@ -302,9 +323,17 @@
         json: args.one_of("replies", &["json", "text"], Some("text"))? == "json",
         budget: args.duration("budget", None)?.0,
         ceiling,
-        rate: args.read("rate", "None or a whole number from 1 to 1000000", Some(None), |value| {
-            value.as_u64().filter(|n| (1..=1_000_000).contains(n)).map(Some)
-        })?,
+        rate: args.read(
+            "rate",
+            "None or a whole number from 1 to 1000000",
+            Some(None),
+            |value| {
+                value
+                    .as_u64()
+                    .filter(|n| (1..=1_000_000).contains(n))
+                    .map(Some)
+            },
+        )?,
         own: args.one_of("ceiling_of", &["fleet", "instance"], Some("fleet"))? == "instance",
         floor: args.whole("floor", 1, 1 << 20, Some(1))?,
         linger: linger.0,
@@ -351,27 +380,47 @@
 
 fn part(page: &Args, value: &Json) -> Result<Part, Wrong> {
     let made = value.get(MADE).and_then(Json::as_str);
-    let made = made.filter(|function| *function == "part").and_then(|_| Args::made(value, &["name"]));
+    let made = made
+        .filter(|function| *function == "part")
+        .and_then(|_| Args::made(value, &["name"]));
     let mut args = made.ok_or_else(|| page.expected("parts", value, "part(name, ...)"))??;
     let name = args.name("name", None)?;
     let dependency = args.name("dependency", Some(&name))?;
     let required = args.flag("required", false)?;
     let list = args.list("fallbacks", "a list")?;
     if list.len() > MOST_FALLBACKS {
-        return Err(args.wrong(format!("{} fall-backs: expected at most {MOST_FALLBACKS}", list.len())));
+        return Err(args.wrong(format!(
+            "{} fall-backs: expected at most {MOST_FALLBACKS}",
+            list.len()
+        )));
     }
-    let fallbacks = list.iter().map(|value| fallback(&args, value)).collect::<Result<_, _>>()?;
+    let fallbacks = list
+        .iter()
+        .map(|value| fallback(&args, value))
+        .collect::<Result<_, _>>()?;
     let at = args.at.clone();
-    args.finish().map(|()| Part { at, name, dependency, required, fallbacks })
+    args.finish().map(|()| Part {
+        at,
+        name,
+        dependency,
+        required,
+        fallbacks,
+    })
 }
 
 fn page(mut args: Args) -> Result<Page, Wrong> {
     let handler = args.name("handler", None)?;
     let list = args.list("parts", "a list of part(name, ...)")?;
     if list.is_empty() || list.len() > MOST_PARTS {
-        return Err(args.wrong(format!("parts holds {}: expected 1 to {MOST_PARTS}", list.len())));
+        return Err(args.wrong(format!(
+            "parts holds {}: expected 1 to {MOST_PARTS}",
+            list.len()
+        )));
     }
-    let parts = list.iter().map(|value| part(&args, value)).collect::<Result<_, _>>()?;
+    let parts = list
+        .iter()
+        .map(|value| part(&args, value))
+        .collect::<Result<_, _>>()?;
     let at = args.at.clone();
     args.finish().map(|()| Page { at, handler, parts })
 }
@@ -387,7 +436,11 @@
 
 /// Types what a script declared.
 pub fn operator(file: &str, declared: Vec<Declared>) -> Result<Operator, Wrong> {
-    let mut all = Operator { file: file.to_string(), kept_mb: 4.0, ..Operator::default() };
+    let mut all = Operator {
+        file: file.to_string(),
+        kept_mb: 4.0,
+        ..Operator::default()
+    };
     let mut fleet = false;
     for one in declared {
         let first: &[&'static str] = match one.function.as_str() {
@@ -398,15 +451,24 @@
         let function = one.function.clone();
         let mut args = Args::new(one, first)?;
         match function.as_str() {
-            "serve" if all.serve.is_some() => return Err(args.wrong("declared twice: expected once")),
+            "serve" if all.serve.is_some() => {
+                return Err(args.wrong("declared twice: expected once"))
+            }
             "serve" => all.serve = Some(serve(args)?),
-            "peers" if all.peers.is_some() => return Err(args.wrong("declared twice: expected once")),
+            "peers" if all.peers.is_some() => {
+                return Err(args.wrong("declared twice: expected once"))
+            }
             "peers" => all.peers = Some(peers(args)?),
             "fleet" if fleet => return Err(args.wrong("declared twice: expected once")),
             "fleet" => {
                 (fleet, all.fleet) = (true, args.at.clone());
                 let what = "a whole number from 1 to 100000";
-                let read = |value: &Json| value.as_u64().filter(|n| (1..=100_000).contains(n)).map(Some);
+                let read = |value: &Json| {
+                    value
+                        .as_u64()
+                        .filter(|n| (1..=100_000).contains(n))
+                        .map(Some)
+                };
                 all.instances = args.read("instances", what, Some(None), read)?;
                 all.kept_mb = args.number("kept_mb", 0.0, 65_536.0, Some(4.0))?;
                 args.finish()?;
@@ -418,9 +480,13 @@
             "defences" => {
                 for value in args.list("off", "a list of names")? {
                     let name = value.as_str().filter(|name| DEFENCES.contains(name));
-                    let near = crate::args::nearest(value.as_str().unwrap_or_default(), DEFENCES.into_iter());
+                    let near = crate::args::nearest(
+                        value.as_str().unwrap_or_default(),
+                        DEFENCES.into_iter(),
+                    );
                     let what = format!("any of {}{near}", DEFENCES.join(", "));
-                    let wrong = || args.wrong(format!("off holds {}: expected {what}", shown(&value)));
+                    let wrong =
+                        || args.wrong(format!("off holds {}: expected {what}", shown(&value)));
                     all.off.push(name.ok_or_else(wrong)?.to_string());
                 }
                 args.finish()?;
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -6,8 +6,8 @@
 //! refute it.
 use cottondyke_decide::types::Time;
 use foca::{
-    Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, State,
-    Timer,
+    Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec,
+    Runtime, State, Timer,
 };
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -47,7 +47,10 @@
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { turn: self.turn.checked_add(1)?, ..self.clone() })
+        Some(Member {
+            turn: self.turn.checked_add(1)?,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> String {
@@ -119,7 +122,10 @@
     }
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        self.effects.push(Effect::Send { to: to.addr, bytes: data.to_vec() });
+        self.effects.push(Effect::Send {
+            to: to.addr,
+            bytes: data.to_vec(),
+        });
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
@@ -147,18 +153,29 @@
 impl Peers {
     /// `seeds`: names and addresses that are asked who is there. `suspicion` off is for trials alone.
     pub fn new(
-        me: Member, seeds: Vec<(String, SocketAddr)>, probe: Time, suspicion: bool, seed: u64,
+        me: Member,
+        seeds: Vec<(String, SocketAddr)>,
+        probe: Time,
+        suspicion: bool,
+        seed: u64,
     ) -> Self {
         let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let often = |periods: f64, members: usize| {
-            Some(PeriodicParams { frequency: span(probe.times(periods)), num_members: some(members) })
+            Some(PeriodicParams {
+                frequency: span(probe.times(periods)),
+                num_members: some(members),
+            })
         };
         let config = Config {
             probe_period: span(probe),
             probe_rtt: span(probe.times(0.3)),
             num_indirect_probes: some(INDIRECT),
             max_transmissions: NonZeroU8::new(PASSED_ON).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: if suspicion { span(Time(probe.0 * SUSPECTED)) } else { span(Time(1)) },
+            suspect_to_down_after: if suspicion {
+                span(Time(probe.0 * SUSPECTED))
+            } else {
+                span(Time(1))
+            },
             remove_down_after: Some(span(Time(probe.0 * 120))),
             max_packet_size: some(MOST_DATAGRAM),
             notify_down_members: true,
@@ -168,7 +185,17 @@
         };
         let foca = Foca::new(me, config, StdRng::seed_from_u64(seed), PostcardCodec);
         let (timers, number, seek, sought) = (BTreeMap::new(), 0, Time(i64::MIN / 4), 0);
-        Peers { foca, timers, number, seeds, seek, sought, probe, active: false, left: false }
+        Peers {
+            foca,
+            timers,
+            number,
+            seeds,
+            seek,
+            sought,
+            probe,
+            active: false,
+            left: false,
+        }
     }
 
     pub fn me(&self) -> &Member {
@@ -180,10 +207,14 @@
     }
 
     fn with(
-        &mut self, now: Time,
+        &mut self,
+        now: Time,
         input: impl FnOnce(&mut Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>, &mut Out),
     ) -> Vec<Effect> {
-        let mut out = Out { own: self.me().name.clone(), ..Out::default() };
+        let mut out = Out {
+            own: self.me().name.clone(),
+            ..Out::default()
+        };
         input(&mut self.foca, &mut out);
         for (timer, after) in out.timers {
             self.number += 1;
@@ -202,7 +233,9 @@
         if self.left {
             return Time::MAX;
         }
-        self.timers.first_key_value().map_or(self.seek, |((at, _), _)| (*at).min(self.seek))
+        self.timers
+            .first_key_value()
+            .map_or(self.seek, |((at, _), _)| (*at).min(self.seek))
     }
 
     pub fn timer(&mut self, now: Time) -> Vec<Effect> {
@@ -211,7 +244,11 @@
             return out;
         }
         // Those of one moment in the order that the crate asks for; one that a stop made late counts once.
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             let timer = entry.remove();
             out.extend(self.with(now, |foca, mut to| {
                 let _ = foca.handle_timer(timer, &mut to);
@@ -226,9 +263,18 @@
     /// Asks a seed that is not in the list who is there. One that was taken for dead has a new turn, under which nobody
     /// knows it: the crate falls silent until it is spoken to, so it speaks to those that it knows until one answers.
     fn seek(&mut self, now: Time) -> Vec<Effect> {
-        self.seek = now + if self.active { Time(self.probe.0 * SEEK) } else { self.probe.times(0.5) };
+        self.seek = now
+            + if self.active {
+                Time(self.probe.0 * SEEK)
+            } else {
+                self.probe.times(0.5)
+            };
         let own = self.me().name.clone();
-        let mut known: Vec<Member> = self.foca.iter_members().map(|member| member.id().clone()).collect();
+        let mut known: Vec<Member> = self
+            .foca
+            .iter_members()
+            .map(|member| member.id().clone())
+            .collect();
         let listed = |name: &str| known.iter().any(|member| member.name == name);
         let seed = |(name, addr): &(String, SocketAddr)| Member {
             name: name.clone(),
@@ -238,8 +284,12 @@
             turn: 0,
             leaving: false,
         };
-        let mut whom: Vec<Member> =
-            self.seeds.iter().filter(|(name, _)| *name != own && !listed(name)).map(seed).collect();
+        let mut whom: Vec<Member> = self
+            .seeds
+            .iter()
+            .filter(|(name, _)| *name != own && !listed(name))
+            .map(seed)
+            .collect();
         if !self.active {
             whom.append(&mut known);
         }
@@ -257,18 +307,26 @@
 
     /// A datagram came. What cannot be read is dropped, and told by false.
     pub fn heard(&mut self, now: Time, bytes: &[u8]) -> (Vec<Effect>, bool) {
-        if self.left || bytes.len() > MOST_DATAGRAM || self.foca.iter_membership_state().len() > MOST_MEMBERS
+        if self.left
+            || bytes.len() > MOST_DATAGRAM
+            || self.foca.iter_membership_state().len() > MOST_MEMBERS
         {
             return (Vec::new(), false);
         }
         let mut good = true;
-        let effects = self.with(now, |foca, mut out| good = foca.handle_data(bytes, &mut out).is_ok());
+        let effects = self.with(now, |foca, mut out| {
+            good = foca.handle_data(bytes, &mut out).is_ok()
+        });
         (effects, good)
     }
 
     /// It begins to leave: others hear of it, and still count it.
     pub fn leaving(&mut self, now: Time) -> Vec<Effect> {
-        let me = Member { leaving: true, turn: self.me().turn.saturating_add(1), ..self.me().clone() };
+        let me = Member {
+            leaving: true,
+            turn: self.me().turn.saturating_add(1),
+            ..self.me().clone()
+        };
         self.with(now, |foca, mut out| {
             let _ = foca.change_identity(me, &mut out);
         })
@@ -291,7 +349,14 @@
             life: member.life,
             standing,
         };
-        let own = listed(self.me(), if self.me().leaving { Standing::Leaving } else { Standing::Alive });
+        let own = listed(
+            self.me(),
+            if self.me().leaving {
+                Standing::Leaving
+            } else {
+                Standing::Alive
+            },
+        );
         let others = self.foca.iter_membership_state().map(|member| {
             let standing = match member.state() {
                 State::Down => Standing::Dead,
--- a/crates/peers/tests/lists.rs
+++ b/crates/peers/tests/lists.rs
@@ -23,23 +23,53 @@
 }
 
 fn place(addr: SocketAddr) -> usize {
-    let SocketAddr::V4(addr) = addr else { unreachable!() };
+    let SocketAddr::V4(addr) = addr else {
+        unreachable!()
+    };
     addr.ip().octets()[2] as usize * 250 + addr.ip().octets()[3] as usize
 }
 
 fn member(place: usize, life: u64) -> Member {
-    Member { name: format!("n{place}"), zone: "z".into(), addr: addr(place), life, turn: 0, leaving: false }
+    Member {
+        name: format!("n{place}"),
+        zone: "z".into(),
+        addr: addr(place),
+        life,
+        turn: 0,
+        leaving: false,
+    }
 }
 
 impl World {
     fn new(seed: u64, count: usize, loss: f64, late: i64, suspicion: bool) -> Self {
-        let seeds = || (0..3).map(|place| (format!("n{place}"), addr(place))).collect();
-        let peers =
-            |place| Some(Peers::new(member(place, 1), seeds(), Time(PROBE), suspicion, seed ^ place as u64));
+        let seeds = || {
+            (0..3)
+                .map(|place| (format!("n{place}"), addr(place)))
+                .collect()
+        };
+        let peers = |place| {
+            Some(Peers::new(
+                member(place, 1),
+                seeds(),
+                Time(PROBE),
+                suspicion,
+                seed ^ place as u64,
+            ))
+        };
         let (words, number, downs, bytes) = (BTreeMap::new(), 0, 0, 0);
         let (now, random) = (0, fastrand::Rng::with_seed(seed));
         let peers = (0..count).map(peers).collect();
-        World { now, random, peers, words, number, loss, late, downs, bytes }
+        World {
+            now,
+            random,
+            peers,
+            words,
+            number,
+            loss,
+            late,
+            downs,
+            bytes,
+        }
     }
 
     fn carry(&mut self, effects: Vec<Effect>) {
@@ -64,7 +94,11 @@
         while self.now < end {
             self.now += 20;
             let now = Time(self.now);
-            while let Some(entry) = self.words.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .words
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let (to, bytes) = entry.remove();
                 if let Some(peers) = &mut self.peers[place(to)] {
                     let (effects, _) = peers.heard(now, &bytes);
@@ -72,7 +106,9 @@
                 }
             }
             for place in 0..self.peers.len() {
-                let due = self.peers[place].as_mut().filter(|peers| peers.next() <= now);
+                let due = self.peers[place]
+                    .as_mut()
+                    .filter(|peers| peers.next() <= now);
                 let effects = due.map_or(Vec::new(), |peers| peers.timer(now));
                 self.carry(effects);
             }
@@ -82,12 +118,19 @@
     /// In how many lists a member stands as there.
     fn listed(&self, name: &str) -> usize {
         let there = |one: &Listed| one.name == name && one.standing != Standing::Dead;
-        self.peers.iter().flatten().filter(|peers| peers.list()[1..].iter().any(there)).count()
+        self.peers
+            .iter()
+            .flatten()
+            .filter(|peers| peers.list()[1..].iter().any(there))
+            .count()
     }
 
     fn whole(&self) -> bool {
         let there = self.peers.iter().flatten().count();
-        self.peers.iter().flatten().all(|peers| peers.others() == there - 1)
+        self.peers
+            .iter()
+            .flatten()
+            .all(|peers| peers.others() == there - 1)
     }
 }
 
@@ -133,15 +176,21 @@
     let effects = world.peers[5].as_mut().unwrap().leaving(now);
     world.carry(effects);
     world.run(PROBE * 2);
-    let leaving =
-        |peers: &Peers| peers.list().iter().any(|l| l.name == "n5" && l.standing == Standing::Leaving);
+    let leaving = |peers: &Peers| {
+        peers
+            .list()
+            .iter()
+            .any(|l| l.name == "n5" && l.standing == Standing::Leaving)
+    };
     assert!(world.peers[..5].iter().flatten().all(leaving));
     let effects = world.peers[5].as_mut().unwrap().leave(Time(world.now));
     world.carry(effects);
     world.peers[5] = None;
     world.run(PROBE * 2);
     assert_eq!(world.listed("n5"), 0);
-    let seeds = (0..3).map(|place| (format!("n{place}"), addr(place))).collect();
+    let seeds = (0..3)
+        .map(|place| (format!("n{place}"), addr(place)))
+        .collect();
     world.peers[5] = Some(Peers::new(member(5, 2), seeds, Time(PROBE), true, 9));
     world.run(PROBE * 4);
     assert!(world.whole());
@@ -156,7 +205,10 @@
     let mut random = fastrand::Rng::with_seed(5);
     for size in 0..3_000 {
         let bytes: Vec<u8> = (0..size % 1_600).map(|_| random.u8(..)).collect();
-        world.peers[0].as_mut().unwrap().heard(Time(world.now), &bytes);
+        world.peers[0]
+            .as_mut()
+            .unwrap()
+            .heard(Time(world.now), &bytes);
     }
     assert_eq!(world.peers[0].as_ref().unwrap().list(), before);
 }
--- a/crates/registry/src/founding.rs
+++ b/crates/registry/src/founding.rs
@@ -27,7 +27,14 @@
 
 impl Founding {
     pub fn new(name: &str, id: KeeperId) -> Self {
-        Founding { me: Seek { name: name.to_string(), id }, heard: BTreeMap::new(), next: Time(i64::MIN / 4) }
+        Founding {
+            me: Seek {
+                name: name.to_string(),
+                id,
+            },
+            heard: BTreeMap::new(),
+            next: Time(i64::MIN / 4),
+        }
     }
 
     /// What to say to all other keepers now, if it is time.
@@ -40,7 +47,12 @@
     }
 
     /// Another keeper has no state either. The founding set, where this one founds: `names` are the file's keepers.
-    pub fn heard(&mut self, now: Time, seek: &Seek, names: &[String]) -> Option<BTreeMap<KeeperId, String>> {
+    pub fn heard(
+        &mut self,
+        now: Time,
+        seek: &Seek,
+        names: &[String],
+    ) -> Option<BTreeMap<KeeperId, String>> {
         if !names.contains(&seek.name) || seek.name == self.me.name {
             return None;
         }
--- a/crates/registry/src/keeper.rs
+++ b/crates/registry/src/keeper.rs
@@ -5,8 +5,8 @@
 use crate::KeeperId;
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, Entry, EntryType, Message,
-    MessageType, Snapshot,
+    ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, Entry, EntryType,
+    Message, MessageType, Snapshot,
 };
 use raft::{Config, RawNode, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -102,24 +102,37 @@
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (1, 1);
         meta.mut_conf_state().voters = set.keys().map(|id| id.0).collect();
-        let image = Image { names: set.clone(), state: state.save() };
+        let image = Image {
+            names: set.clone(),
+            state: state.save(),
+        };
         snapshot.data = postcard::to_allocvec(&image).unwrap_or_default().into();
         let mut hard = raft::eraftpb::HardState::default();
         (hard.term, hard.commit) = (1, 1);
         let (hard, snapshot) = (Some(encoded(&hard)), Some((1, encoded(&snapshot))));
-        Write { number: 0, hard, snapshot, entries: Vec::new(), founders: Some(set.clone()) }
+        Write {
+            number: 0,
+            hard,
+            snapshot,
+            entries: Vec::new(),
+            founders: Some(set.clone()),
+        }
     }
 
     /// From what is on disk; without a snapshot it stands outside, and joins by what the leader sends.
     pub fn open(saved: &Saved, mut state: S, seed: u64) -> Result<Self, String> {
-        let log = Log::restored(saved).map_err(|e| format!("the keeper's log cannot be read: {e}"))?;
+        let log =
+            Log::restored(saved).map_err(|e| format!("the keeper's log cannot be read: {e}"))?;
         let base = log.snapshot.get_metadata().index;
         let mut names = BTreeMap::new();
         if base > 0 {
             let image: Image = postcard::from_bytes(&log.snapshot.data)
                 .map_err(|e| format!("the keeper's snapshot cannot be read: {e}"))?;
             if !state.restore(&image.state) {
-                return Err("the keeper's table cannot be read: expected one that this version wrote".into());
+                return Err(
+                    "the keeper's table cannot be read: expected one that this version wrote"
+                        .into(),
+                );
             }
             names = image.names;
         }
@@ -137,7 +150,8 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &logger).map_err(|e| format!("the keeper cannot start: {e}"))?;
+        let raw = RawNode::new(&config, log, &logger)
+            .map_err(|e| format!("the keeper cannot start: {e}"))?;
         let mut keeper = Keeper {
             raw,
             state,
@@ -213,7 +227,9 @@
 
     /// A word of another keeper; one that is no word of raft's is dropped.
     pub fn heard(&mut self, bytes: &[u8]) -> Vec<Effect> {
-        let Ok(message) = Message::parse_from_bytes(bytes) else { return Vec::new() };
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return Vec::new();
+        };
         let local = matches!(
             message.get_msg_type(),
             MessageType::MsgHup
@@ -245,8 +261,11 @@
 
     /// What raft takes for granted of a message, and a bad peer need not keep.
     fn sound(&self, message: &Message) -> bool {
-        let ordered =
-            message.entries.iter().enumerate().all(|(k, entry)| entry.index == message.index + 1 + k as u64);
+        let ordered = message
+            .entries
+            .iter()
+            .enumerate()
+            .all(|(k, entry)| entry.index == message.index + 1 + k as u64);
         // Nothing is agreed that this keeper's own log would have to lack.
         let heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
         let known = !heartbeat || message.commit <= self.raw.raft.raft_log.last_index();
@@ -260,7 +279,9 @@
         if command.len() > MOST_PROPOSAL {
             return Err(Rejected::TooLarge);
         }
-        self.raw.propose(Vec::new(), command).map_err(|_| Rejected::Full)?;
+        self.raw
+            .propose(Vec::new(), command)
+            .map_err(|_| Rejected::Full)?;
         Ok(self.settle())
     }
 
@@ -309,7 +330,12 @@
         let of_name = |old: &u64| self.names.get(&KeeperId(*old)).is_none_or(|n| n == name);
         let learners = self.raw.raft.prs().conf().to_conf_state().learners;
         let mut list = vec![change(ConfChangeType::AddLearnerNode, id.0)];
-        list.extend(learners.into_iter().filter(of_name).map(|old| change(ConfChangeType::RemoveNode, old)));
+        list.extend(
+            learners
+                .into_iter()
+                .filter(of_name)
+                .map(|old| change(ConfChangeType::RemoveNode, old)),
+        );
         self.change(list, Some((id, name.to_string())))
     }
 
@@ -319,12 +345,20 @@
         let conf = self.raw.raft.prs().conf().to_conf_state();
         let committed = self.raw.raft.raft_log.committed;
         let caught_up = |id: &&u64| {
-            let matched = self.raw.raft.prs().get(**id).map_or(0, |progress| progress.matched);
+            let matched = self
+                .raw
+                .raft
+                .prs()
+                .get(**id)
+                .map_or(0, |progress| progress.matched);
             matched > 0 && matched + CAUGHT_UP >= committed
         };
         if let Some(id) = conf.learners.iter().find(caught_up).copied() {
             let name = self.names.get(&KeeperId(id)).cloned().unwrap_or_default();
-            let former = conf.voters.iter().filter(|old| self.names.get(&KeeperId(**old)) == Some(&name));
+            let former = conf
+                .voters
+                .iter()
+                .filter(|old| self.names.get(&KeeperId(**old)) == Some(&name));
             let mut list = vec![change(ConfChangeType::AddNode, id)];
             list.extend(former.map(|old| change(ConfChangeType::RemoveNode, *old)));
             return self.change(list, Some((KeeperId(id), name)));
@@ -334,17 +368,25 @@
             **id != self.id.0 && name.is_some_and(|name| !names.contains(name))
         };
         let gone = conf.voters.iter().chain(&conf.learners).find(gone).copied();
-        gone.map_or(Vec::new(), |id| self.change(vec![change(ConfChangeType::RemoveNode, id)], None))
+        gone.map_or(Vec::new(), |id| {
+            self.change(vec![change(ConfChangeType::RemoveNode, id)], None)
+        })
     }
 
-    fn change(&mut self, list: Vec<ConfChangeSingle>, whom: Option<(KeeperId, String)>) -> Vec<Effect> {
+    fn change(
+        &mut self,
+        list: Vec<ConfChangeSingle>,
+        whom: Option<(KeeperId, String)>,
+    ) -> Vec<Effect> {
         if !self.leads || self.broken || self.ticks < self.changed + CHANGE_TICKS {
             return Vec::new();
         }
         let mut changes = ConfChangeV2::default();
         changes.set_transition(ConfChangeTransition::Auto);
         changes.set_changes(list.into());
-        let context = whom.map_or(Vec::new(), |whom| postcard::to_allocvec(&whom).unwrap_or_default());
+        let context = whom.map_or(Vec::new(), |whom| {
+            postcard::to_allocvec(&whom).unwrap_or_default()
+        });
         changes.context = context.clone().into();
         if self.raw.propose_conf_change(context, changes).is_ok() {
             self.changed = self.ticks;
@@ -365,7 +407,10 @@
         while self.installing.is_none() && !self.broken && self.raw.has_ready() {
             let mut ready = self.raw.ready();
             let snapshot = ready.snapshot().clone();
-            let mut write = Write { number: self.writes + 1, ..Write::default() };
+            let mut write = Write {
+                number: self.writes + 1,
+                ..Write::default()
+            };
             if snapshot.get_metadata().index > 0 {
                 if !self.install(&snapshot) {
                     self.broken = true;
@@ -375,7 +420,11 @@
                 self.installing = Some(write.number);
                 out.push(Effect::Applied);
             }
-            write.entries = ready.entries().iter().map(|e| (e.index, encoded(e))).collect();
+            write.entries = ready
+                .entries()
+                .iter()
+                .map(|e| (e.index, encoded(e)))
+                .collect();
             if let Some(hard) = ready.hs() {
                 write.hard = Some(encoded(hard));
                 self.raw.mut_store().hard = hard.clone();
@@ -385,7 +434,8 @@
             let words = ready.take_persisted_messages();
             for read in ready.take_read_states() {
                 if let Ok(number) = read.request_ctx.as_slice().try_into() {
-                    self.readings.push_back((read.index, u64::from_be_bytes(number)));
+                    self.readings
+                        .push_back((read.index, u64::from_be_bytes(number)));
                 }
             }
             let committed = ready.take_committed_entries();
@@ -410,7 +460,12 @@
             self.compact(&mut out);
         }
         let applied = self.applied;
-        let own_term = self.raw.raft.raft_log.term(applied).is_ok_and(|term| term == self.raw.raft.term);
+        let own_term = self
+            .raw
+            .raft
+            .raft_log
+            .term(applied)
+            .is_ok_and(|term| term == self.raw.raft.term);
         let leads = self.raw.raft.state == StateRole::Leader && own_term && !self.broken;
         if leads != self.leads {
             self.leads = leads;
@@ -426,7 +481,9 @@
     }
 
     fn install(&mut self, snapshot: &Snapshot) -> bool {
-        let Ok(image) = postcard::from_bytes::<Image>(&snapshot.data) else { return false };
+        let Ok(image) = postcard::from_bytes::<Image>(&snapshot.data) else {
+            return false;
+        };
         self.names = image.names;
         self.applied = snapshot.get_metadata().index;
         self.raw.mut_store().install(snapshot.clone());
@@ -440,14 +497,21 @@
             EntryType::EntryNormal => self.state.apply(&entry.data),
             EntryType::EntryConfChange => {}
             EntryType::EntryConfChangeV2 => {
-                let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) else { return };
-                if let Ok((id, name)) = postcard::from_bytes::<(KeeperId, String)>(&change.context) {
+                let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) else {
+                    return;
+                };
+                if let Ok((id, name)) = postcard::from_bytes::<(KeeperId, String)>(&change.context)
+                {
                     self.names.insert(id, name);
                 }
                 if let Ok(conf) = self.raw.apply_conf_change(&change) {
                     let stays = |id: &KeeperId| {
-                        let lists =
-                            [&conf.voters, &conf.learners, &conf.voters_outgoing, &conf.learners_next];
+                        let lists = [
+                            &conf.voters,
+                            &conf.learners,
+                            &conf.voters_outgoing,
+                            &conf.learners_next,
+                        ];
                         lists.iter().any(|list| list.contains(&id.0))
                     };
                     self.names.retain(|id, _| stays(id));
@@ -463,35 +527,54 @@
         let (base, many) = (meta.index, self.raw.store().len() >= MOST_ENTRIES);
         // A keeper that joins takes no snapshot in which it does not stand.
         let joined = *meta.get_conf_state() != self.raw.store().conf;
-        let due = many && self.applied >= base + MOST_ENTRIES as u64 / 2 || joined && self.applied > base;
+        let due =
+            many && self.applied >= base + MOST_ENTRIES as u64 / 2 || joined && self.applied > base;
         if !due || base == 0 {
             return;
         }
-        let Ok(term) = self.raw.raft.raft_log.term(self.applied) else { return };
-        let image = Image { names: self.names.clone(), state: self.state.save() };
+        let Ok(term) = self.raw.raft.raft_log.term(self.applied) else {
+            return;
+        };
+        let image = Image {
+            names: self.names.clone(),
+            state: self.state.save(),
+        };
         let data = postcard::to_allocvec(&image).unwrap_or_default().into();
-        let mut snapshot = Snapshot { data, ..Snapshot::default() };
+        let mut snapshot = Snapshot {
+            data,
+            ..Snapshot::default()
+        };
         let conf = self.raw.store().conf.clone();
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (self.applied, term);
         meta.set_conf_state(conf);
         self.writes += 1;
         let (number, bytes) = (self.writes, encoded(&snapshot));
-        out.push(Effect::Store(Write { number, snapshot: Some((self.applied, bytes)), ..Write::default() }));
+        out.push(Effect::Store(Write {
+            number,
+            snapshot: Some((self.applied, bytes)),
+            ..Write::default()
+        }));
         self.unstored.push_back((number, Vec::new()));
         self.raw.mut_store().install(snapshot);
     }
 
     /// A snapshot that was sent did not arrive, or did: raft waits for the word before it sends anything else.
     pub fn snapshot_sent(&mut self, to: KeeperId, arrived: bool) {
-        let status = if arrived { SnapshotStatus::Finish } else { SnapshotStatus::Failure };
+        let status = if arrived {
+            SnapshotStatus::Finish
+        } else {
+            SnapshotStatus::Failure
+        };
         self.raw.report_snapshot(to.0, status);
     }
 
     /// Whether a snapshot is under way to a keeper.
     pub fn sending_snapshot(&self) -> Vec<KeeperId> {
         let prs = self.raw.raft.prs();
-        let waits = prs.iter().filter(|(_, p)| p.state == raft::ProgressState::Snapshot);
+        let waits = prs
+            .iter()
+            .filter(|(_, p)| p.state == raft::ProgressState::Snapshot);
         waits.map(|(id, _)| KeeperId(*id)).collect()
     }
 }
@@ -504,5 +587,8 @@
 }
 
 fn send(message: &Message) -> Effect {
-    Effect::Send { to: KeeperId(message.to), bytes: encoded(message) }
+    Effect::Send {
+        to: KeeperId(message.to),
+        bytes: encoded(message),
+    }
 }
--- a/crates/registry/src/log.rs
+++ b/crates/registry/src/log.rs
@@ -29,7 +29,8 @@
             log.conf = log.snapshot.get_metadata().get_conf_state().clone();
         }
         for bytes in saved.entries.values() {
-            log.entries.push(Entry::parse_from_bytes(bytes).map_err(broken)?);
+            log.entries
+                .push(Entry::parse_from_bytes(bytes).map_err(broken)?);
         }
         Ok(log)
     }
@@ -67,7 +68,11 @@
     }
 
     fn entries(
-        &self, low: u64, high: u64, max_size: impl Into<Option<u64>>, _: GetEntriesContext,
+        &self,
+        low: u64,
+        high: u64,
+        max_size: impl Into<Option<u64>>,
+        _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
         if low <= self.base() {
             return Err(Error::Store(StorageError::Compacted));
@@ -81,7 +86,11 @@
             left = left.saturating_sub(size);
             fits
         };
-        Ok(self.entries[at(low)..at(high)].iter().take_while(fits).cloned().collect())
+        Ok(self.entries[at(low)..at(high)]
+            .iter()
+            .take_while(fits)
+            .cloned()
+            .collect())
     }
 
     fn term(&self, index: u64) -> Result<u64> {
@@ -92,7 +101,9 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let entry = self.entries.get((index - self.base() - 1) as usize);
-        entry.map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        entry
+            .map(|e| e.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/crates/registry/src/sqlite.rs
+++ b/crates/registry/src/sqlite.rs
@@ -28,9 +28,13 @@
 
     fn prepared(db: Connection, id: KeeperId) -> Result<(Self, Saved), String> {
         db.busy_timeout(BUSY).map_err(text)?;
-        let version: i64 = db.query_row("PRAGMA user_version", [], |row| row.get(0)).map_err(text)?;
+        let version: i64 = db
+            .query_row("PRAGMA user_version", [], |row| row.get(0))
+            .map_err(text)?;
         if version > VERSION {
-            return Err(format!("layout {version} is newer than this program: expected at most {VERSION}"));
+            return Err(format!(
+                "layout {version} is newer than this program: expected at most {VERSION}"
+            ));
         }
         db.execute_batch(
             "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;
@@ -42,25 +46,40 @@
         )
         .map_err(text)?;
         // SQLite's integers are signed: the bits stay as they are.
-        db.execute("INSERT OR IGNORE INTO one VALUES ('id', ?1, NULL)", [id.0 as i64]).map_err(text)?;
+        db.execute(
+            "INSERT OR IGNORE INTO one VALUES ('id', ?1, NULL)",
+            [id.0 as i64],
+        )
+        .map_err(text)?;
         let disk = Disk(db);
         let saved = disk.load().map_err(text)?;
         Ok((disk, saved))
     }
 
     fn one(&self, name: &str) -> rusqlite::Result<Option<(i64, Option<Vec<u8>>)>> {
-        let read = |row: &rusqlite::Row<'_>| Ok((row.get::<_, Option<i64>>(0)?.unwrap_or(0), row.get(1)?));
-        self.0.query_row("SELECT number, bytes FROM one WHERE name = ?1", [name], read).optional()
+        let read =
+            |row: &rusqlite::Row<'_>| Ok((row.get::<_, Option<i64>>(0)?.unwrap_or(0), row.get(1)?));
+        self.0
+            .query_row(
+                "SELECT number, bytes FROM one WHERE name = ?1",
+                [name],
+                read,
+            )
+            .optional()
     }
 
     fn load(&self) -> rusqlite::Result<Saved> {
         let id = self.one("id")?.map_or(0, |(number, _)| number as u64);
         let mut saved = Saved::new(KeeperId(id));
         saved.hard = self.one("hard")?.and_then(|(_, bytes)| bytes);
-        saved.snapshot = self.one("snapshot")?.and_then(|(index, bytes)| Some((index as u64, bytes?)));
+        saved.snapshot = self
+            .one("snapshot")?
+            .and_then(|(index, bytes)| Some((index as u64, bytes?)));
         let founders = self.one("founders")?.and_then(|(_, bytes)| bytes);
         saved.founders = founders.and_then(|bytes| postcard::from_bytes(&bytes).ok());
-        let mut rows = self.0.prepare("SELECT place, bytes FROM entry ORDER BY place")?;
+        let mut rows = self
+            .0
+            .prepare("SELECT place, bytes FROM entry ORDER BY place")?;
         let rows = rows.query_map([], |row| Ok((row.get::<_, i64>(0)? as u64, row.get(1)?)))?;
         saved.entries = rows.collect::<rusqlite::Result<BTreeMap<u64, Vec<u8>>>>()?;
         Ok(saved)
@@ -73,7 +92,9 @@
     }
 
     fn carry_out(&mut self, writes: &[Write]) -> rusqlite::Result<()> {
-        let step = self.0.transaction_with_behavior(rusqlite::TransactionBehavior::Immediate)?;
+        let step = self
+            .0
+            .transaction_with_behavior(rusqlite::TransactionBehavior::Immediate)?;
         for write in writes {
             Self::put(&step, write)?;
         }
@@ -97,7 +118,10 @@
             step.execute("DELETE FROM entry WHERE place >= ?1", [*first as i64])?;
         }
         for (index, bytes) in &write.entries {
-            step.execute("INSERT INTO entry VALUES (?1, ?2)", params![*index as i64, bytes])?;
+            step.execute(
+                "INSERT INTO entry VALUES (?1, ?2)",
+                params![*index as i64, bytes],
+            )?;
         }
         Ok(())
     }
--- a/crates/registry/src/write.rs
+++ b/crates/registry/src/write.rs
@@ -19,7 +19,11 @@
 
 impl Write {
     pub fn is_empty(&self) -> bool {
-        *self == Write { number: self.number, ..Write::default() }
+        *self
+            == Write {
+                number: self.number,
+                ..Write::default()
+            }
     }
 }
 
@@ -35,7 +39,13 @@
 
 impl Saved {
     pub fn new(id: KeeperId) -> Self {
-        Saved { id, hard: None, snapshot: None, entries: BTreeMap::new(), founders: None }
+        Saved {
+            id,
+            hard: None,
+            snapshot: None,
+            entries: BTreeMap::new(),
+            founders: None,
+        }
     }
 
     /// Carries a write out in memory.
--- a/crates/registry/tests/keepers.rs
+++ b/crates/registry/tests/keepers.rs
@@ -50,7 +50,8 @@
 
     fn open(&mut self, id: KeeperId) {
         let saved = self.disks.entry(id).or_insert(Saved::new(id));
-        self.keepers.insert(id, Keeper::open(saved, Log::default(), 7).unwrap());
+        self.keepers
+            .insert(id, Keeper::open(saved, Log::default(), 7).unwrap());
     }
 
     fn carry(&mut self, id: KeeperId, effects: Vec<Effect>) {
@@ -90,12 +91,22 @@
     }
 
     fn leader(&self) -> KeeperId {
-        *self.keepers.iter().find(|(_, keeper)| keeper.leads()).expect("one leads").0
+        *self
+            .keepers
+            .iter()
+            .find(|(_, keeper)| keeper.leads())
+            .expect("one leads")
+            .0
     }
 
     fn propose(&mut self, command: &[u8]) {
         let leader = self.leader();
-        let effects = self.keepers.get_mut(&leader).unwrap().propose(command.to_vec()).unwrap();
+        let effects = self
+            .keepers
+            .get_mut(&leader)
+            .unwrap()
+            .propose(command.to_vec())
+            .unwrap();
         self.carry(leader, effects);
     }
 }
@@ -116,14 +127,22 @@
         for _ in 0..8 {
             let leader = few.leader();
             let name = NAMES[old.0 as usize - 1];
-            let effects = few.keepers.get_mut(&leader).unwrap().admit(new, name, &names());
+            let effects = few
+                .keepers
+                .get_mut(&leader)
+                .unwrap()
+                .admit(new, name, &names());
             few.carry(leader, effects);
             few.ticks(12);
         }
         few.propose(b"x");
         few.ticks(4);
         let keeper = &few.keepers[&new];
-        assert!(keeper.voters().contains(&new) && !keeper.voters().contains(&old), "{:?}", keeper.voters());
+        assert!(
+            keeper.voters().contains(&new) && !keeper.voters().contains(&old),
+            "{:?}",
+            keeper.voters()
+        );
         assert_eq!(keeper.voters().len(), 3);
     }
     assert_eq!(few.keepers[&KeeperId(13)].state.0, b"1xxx");
@@ -142,7 +161,11 @@
     let leader = few.leader();
     let known = few.keepers[&leader].state.clone();
     assert_eq!(known.0.len(), 1_200);
-    assert!(few.disks[&leader].entries.len() < 600, "{}", few.disks[&leader].entries.len());
+    assert!(
+        few.disks[&leader].entries.len() < 600,
+        "{}",
+        few.disks[&leader].entries.len()
+    );
     for id in [1, 2, 3].map(KeeperId) {
         few.open(id);
     }
@@ -160,7 +183,12 @@
     few.carry(leader, effects);
     few.ticks(2);
     assert_eq!(few.confirmed, [(leader, 5)]);
-    let others: Vec<KeeperId> = few.keepers.keys().copied().filter(|id| *id != leader).collect();
+    let others: Vec<KeeperId> = few
+        .keepers
+        .keys()
+        .copied()
+        .filter(|id| *id != leader)
+        .collect();
     for other in others {
         few.keepers.remove(&other);
     }
@@ -181,8 +209,18 @@
     let id = KeeperId(u64::MAX - 5);
     let entry = |index: u64| (index, vec![index as u8; 3]);
     let writes = [
-        Write { number: 1, hard: Some(vec![1]), entries: (2..10).map(entry).collect(), ..Write::default() },
-        Write { number: 2, hard: Some(vec![2]), entries: (6..8).map(entry).collect(), ..Write::default() },
+        Write {
+            number: 1,
+            hard: Some(vec![1]),
+            entries: (2..10).map(entry).collect(),
+            ..Write::default()
+        },
+        Write {
+            number: 2,
+            hard: Some(vec![2]),
+            entries: (6..8).map(entry).collect(),
+            ..Write::default()
+        },
         Write {
             number: 3,
             snapshot: Some((4, vec![9; 9])),
@@ -202,9 +240,15 @@
     assert_eq!(saved, expected);
     assert_eq!(saved.entries.keys().copied().collect::<Vec<_>>(), [5, 6, 7]);
     drop(disk);
-    rusqlite::Connection::open(&path).unwrap().execute_batch("PRAGMA user_version = 9").unwrap();
+    rusqlite::Connection::open(&path)
+        .unwrap()
+        .execute_batch("PRAGMA user_version = 9")
+        .unwrap();
     let wrong = Disk::open(&path, id).unwrap_err();
-    assert!(wrong.contains("layout 9 is newer") && wrong.contains("registry.db"), "{wrong}");
+    assert!(
+        wrong.contains("layout 9 is newer") && wrong.contains("registry.db"),
+        "{wrong}"
+    );
     std::fs::write(&path, [7; 9_000]).unwrap();
     assert!(Disk::open(&path, id).is_err());
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -32,23 +32,35 @@
 type Store = RefCell<Vec<String>>;
 
 fn place(eval: &Evaluator) -> Place {
-    eval.call_stack_top_location().map_or(Place::default(), |span| Place {
-        file: span.filename().to_string(),
-        line: span.resolve_span().begin.line + 1,
-    })
+    eval.call_stack_top_location()
+        .map_or(Place::default(), |span| Place {
+            file: span.filename().to_string(),
+            line: span.resolve_span().begin.line + 1,
+        })
 }
 
 fn recorded<'v>(
-    function: &str, eval: &Evaluator<'v, '_, '_>, args: UnpackTuple<Value<'v>>,
+    function: &str,
+    eval: &Evaluator<'v, '_, '_>,
+    args: UnpackTuple<Value<'v>>,
     named: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<Declared> {
     let typed = |what: &str, value: Value<'v>| {
         value.to_json_value().map_err(|_| {
-            anyhow::anyhow!("{function}: {what} is a {}: expected a plain value", value.get_type())
+            anyhow::anyhow!(
+                "{function}: {what} is a {}: expected a plain value",
+                value.get_type()
+            )
         })
     };
-    let args = args.items.into_iter().map(|v| typed("an argument", v)).collect::<Result<_, _>>()?;
-    let named = named.into_iter().map(|(name, v)| Ok((name.clone(), typed(&name, v)?)));
+    let args = args
+        .items
+        .into_iter()
+        .map(|v| typed("an argument", v))
+        .collect::<Result<_, _>>()?;
+    let named = named
+        .into_iter()
+        .map(|(name, v)| Ok((name.clone(), typed(&name, v)?)));
     Ok(Declared {
         function: function.to_string(),
         at: place(eval),
@@ -59,13 +71,22 @@
 
 /// Records a declaration, and returns its name to be used where a name is asked for.
 fn declare<'v>(
-    function: &str, eval: &Evaluator<'v, '_, '_>, args: UnpackTuple<Value<'v>>,
+    function: &str,
+    eval: &Evaluator<'v, '_, '_>,
+    args: UnpackTuple<Value<'v>>,
     named: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<String> {
     let declared = recorded(function, eval, args, named)?;
-    let name = declared.args.first().and_then(Json::as_str).unwrap_or_default().to_string();
+    let name = declared
+        .args
+        .first()
+        .and_then(Json::as_str)
+        .unwrap_or_default()
+        .to_string();
     let store = eval.extra.and_then(|extra| extra.downcast_ref::<Store>());
-    let mut all = store.ok_or_else(|| anyhow::anyhow!("{function} cannot be called here"))?.borrow_mut();
+    let mut all = store
+        .ok_or_else(|| anyhow::anyhow!("{function} cannot be called here"))?
+        .borrow_mut();
     if all.len() >= MOST_DECLARED {
         anyhow::bail!("{function}: more than {MOST_DECLARED} declarations");
     }
@@ -75,11 +96,15 @@
 
 /// A value for another declaration, which finds out by its mark what it is and where it was made.
 fn made<'v>(
-    function: &str, eval: &Evaluator<'v, '_, '_>, args: UnpackTuple<Value<'v>>,
+    function: &str,
+    eval: &Evaluator<'v, '_, '_>,
+    args: UnpackTuple<Value<'v>>,
     named: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<Json> {
     let it = recorded(function, eval, args, named)?;
-    Ok(json!({ MADE: it.function, AT: [it.at.file, it.at.line], "args": it.args, "named": it.named }))
+    Ok(
+        json!({ MADE: it.function, AT: [it.at.file, it.at.line], "args": it.args, "named": it.named }),
+    )
 }
 
 #[starlark_module]
@@ -87,91 +112,104 @@
 fn declarations(builder: &mut GlobalsBuilder) {
     fn serve<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         declare("serve", eval, args, named).map(|_| NoneType)
     }
 
     fn fleet<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         declare("fleet", eval, args, named).map(|_| NoneType)
     }
 
     fn peers<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         declare("peers", eval, args, named).map(|_| NoneType)
     }
 
     fn handler<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<String> {
         declare("handler", eval, args, named)
     }
 
     fn customer<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<String> {
         declare("customer", eval, args, named)
     }
 
     fn dependency<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<String> {
         declare("dependency", eval, args, named)
     }
 
     fn page<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<String> {
         declare("page", eval, args, named)
     }
 
     fn defences<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         declare("defences", eval, args, named).map(|_| NoneType)
     }
 
     fn part<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Json> {
         made("part", eval, args, named)
     }
 
     fn kept<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Json> {
         made("kept", eval, args, named)
     }
 
     fn other<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Json> {
         made("other", eval, args, named)
     }
 
     fn fixed<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Json> {
         made("fixed", eval, args, named)
     }
 
     fn leave_out<'v>(
         #[starlark(args)] args: UnpackTuple<Value<'v>>,
-        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+        #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
+        eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Json> {
         made("leave_out", eval, args, named)
     }
@@ -195,21 +233,29 @@
 impl FileLoader for Files<'_> {
     fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
         let relative = Path::new(path);
-        let plain = relative.components().all(|part| matches!(part, Component::Normal(_)));
+        let plain = relative
+            .components()
+            .all(|part| matches!(part, Component::Normal(_)));
         if !plain || path.is_empty() {
-            return Err(other(format!("load({path:?}): expected a file in the script's own folder")));
+            return Err(other(format!(
+                "load({path:?}): expected a file in the script's own folder"
+            )));
         }
         let full = self.folder.join(relative).canonicalize();
         let full = full.map_err(|e| other(format!("load({path:?}): {e}")))?;
         // A link may lead elsewhere.
         if !full.starts_with(&self.folder) {
-            return Err(other(format!("load({path:?}): it lies outside the script's folder")));
+            return Err(other(format!(
+                "load({path:?}): it lies outside the script's folder"
+            )));
         }
         if let Some(module) = self.loaded.borrow().get(&full) {
             return Ok(module.clone());
         }
         if self.loading.borrow().contains(&full) {
-            return Err(other(format!("load({path:?}): the files load each other in a circle")));
+            return Err(other(format!(
+                "load({path:?}): the files load each other in a circle"
+            )));
         }
         if self.loading.borrow().len() >= DEEPEST_LOAD || self.loaded.borrow().len() >= MOST_FILES {
             return Err(other(format!(
@@ -228,24 +274,38 @@
 impl Files<'_> {
     fn evaluate(&self, path: &Path) -> starlark::Result<FrozenModule> {
         let shown = path.display().to_string();
-        let size = std::fs::metadata(path).map_err(|e| other(format!("{shown}: {e}")))?.len();
+        let size = std::fs::metadata(path)
+            .map_err(|e| other(format!("{shown}: {e}")))?
+            .len();
         if size > MOST_TEXT {
-            return Err(other(format!("{shown}: {size} bytes, expected at most {MOST_TEXT}")));
+            return Err(other(format!(
+                "{shown}: {size} bytes, expected at most {MOST_TEXT}"
+            )));
         }
         let text = std::fs::read_to_string(path).map_err(|e| other(format!("{shown}: {e}")))?;
-        let dialect = Dialect { enable_top_level_stmt: true, enable_f_strings: true, ..Dialect::Standard };
+        let dialect = Dialect {
+            enable_top_level_stmt: true,
+            enable_f_strings: true,
+            ..Dialect::Standard
+        };
         let ast = AstModule::parse(&shown, text, &dialect)?;
         Module::with_temp_heap(|module| {
             let mut eval = Evaluator::new(&module);
             let ticks = MOST_TICKS.saturating_sub(self.ticks.get()).max(1);
-            eval.set_max_tick_count(ticks).map_err(starlark::Error::new_other)?;
-            eval.set_max_heap_size(MOST_HEAP).map_err(starlark::Error::new_other)?;
-            eval.set_max_callstack_size(DEEPEST).map_err(starlark::Error::new_other)?;
+            eval.set_max_tick_count(ticks)
+                .map_err(starlark::Error::new_other)?;
+            eval.set_max_heap_size(MOST_HEAP)
+                .map_err(starlark::Error::new_other)?;
+            eval.set_max_callstack_size(DEEPEST)
+                .map_err(starlark::Error::new_other)?;
             eval.extra = Some(self.store);
             eval.set_loader(self);
             eval.eval_module(ast, self.globals)?;
             // The interpreter looks now and then; this is what it ended with.
-            let (ticks, heap) = (eval.get_total_tick_count(), eval.heap().peak_allocated_bytes());
+            let (ticks, heap) = (
+                eval.get_total_tick_count(),
+                eval.heap().peak_allocated_bytes(),
+            );
             self.ticks.set(self.ticks.get() + ticks);
             if self.ticks.get() > MOST_TICKS || heap > MOST_HEAP {
                 return Err(other(format!(
@@ -254,35 +314,62 @@
             }
             drop(eval);
             let name = FrozenHeapName::User(Box::new(shown.clone()));
-            module.freeze_named(name).map_err(|e| other(format!("{shown}: {e:?}")))
+            module
+                .freeze_named(name)
+                .map_err(|e| other(format!("{shown}: {e:?}")))
         })
     }
 }
 
 /// What an error of the interpreter says, on one line: of its text what stands before its drawing of the source.
 fn wrong(path: &str, error: &starlark::Error) -> Wrong {
-    let at = error
-        .span()
-        .map(|span| Place { file: span.filename().to_string(), line: span.resolve_span().begin.line + 1 });
+    let at = error.span().map(|span| Place {
+        file: span.filename().to_string(),
+        line: span.resolve_span().begin.line + 1,
+    });
     let text = error.without_diagnostic().to_string();
-    let lines: Vec<_> = text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
+    let lines: Vec<_> = text
+        .lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty())
+        .collect();
     let what = lines.join("; ");
     let what = what.chars().filter(|c| !c.is_control()).take(400).collect();
-    Wrong { at: at.unwrap_or(Place { file: path.to_string(), line: 0 }), what }
+    Wrong {
+        at: at.unwrap_or(Place {
+            file: path.to_string(),
+            line: 0,
+        }),
+        what,
+    }
 }
 
 fn wrong_text(path: &str, what: &str) -> Wrong {
-    Wrong { at: Place { file: path.to_string(), line: 0 }, what: what.to_string() }
+    Wrong {
+        at: Place {
+            file: path.to_string(),
+            line: 0,
+        },
+        what: what.to_string(),
+    }
 }
 
 /// What the script at `path` declares, in its order.
 pub fn run(path: &Path) -> Result<Vec<Declared>, Wrong> {
     let shown = path.display().to_string();
-    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Json]).with(declarations).build();
+    let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Json])
+        .with(declarations)
+        .build();
     let store = Store::default();
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let unread = |e: std::io::Error| Wrong {
-        at: Place { file: shown.clone(), line: 0 },
+        at: Place {
+            file: shown.clone(),
+            line: 0,
+        },
         what: format!("cannot be read: {e}"),
     };
     let files = Files {
@@ -295,9 +382,12 @@
     };
     let full = path.canonicalize().map_err(unread)?;
     files.loading.borrow_mut().push(full);
-    files.evaluate(path).map_err(|error| wrong(&shown, &error))?;
+    files
+        .evaluate(path)
+        .map_err(|error| wrong(&shown, &error))?;
     drop(files);
-    let read = |text: &String| serde_json::from_str(text).map_err(|e| wrong_text(&shown, &e.to_string()));
+    let read =
+        |text: &String| serde_json::from_str(text).map_err(|e| wrong_text(&shown, &e.to_string()));
     let declared = store.borrow().iter().map(read).collect();
     declared
 }
--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -11,7 +11,15 @@
 const MOST_CPU: u64 = 5;
 
 fn run(path: &str) -> Result<(), String> {
-    let limit = |resource, most| setrlimit(resource, Rlimit { current: Some(most), maximum: Some(most) });
+    let limit = |resource, most| {
+        setrlimit(
+            resource,
+            Rlimit {
+                current: Some(most),
+                maximum: Some(most),
+            },
+        )
+    };
     limit(Resource::As, MOST_MEMORY).map_err(|e| format!("cannot limit memory: {e}"))?;
     limit(Resource::Cpu, MOST_CPU).map_err(|e| format!("cannot limit the time: {e}"))?;
     limit(Resource::Core, 0).map_err(|e| format!("cannot limit the core file: {e}"))?;
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -9,8 +9,11 @@
 
 impl Folder {
     fn new() -> Self {
-        let name =
-            format!("cottondyke-script-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "cottondyke-script-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
@@ -46,7 +49,8 @@
 dependency("prices", addr = "127.0.0.1:8102", budget = "300ms", ceiling = 24)
 "#;
 
-const PEERS: &str = "peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:7101\"})";
+const PEERS: &str =
+    "peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:7101\"})";
 
 /// A script whose sixth line is `line`, after which the page is whole.
 fn with(line: &str) -> String {
@@ -60,7 +64,10 @@
 #[test]
 fn a_good_script_is_what_it_says() {
     let folder = Folder::new();
-    folder.write("common.star", "ports = {\"prices\": 8102}\ndef seconds(n):\n    return \"%ds\" % n\n");
+    folder.write(
+        "common.star",
+        "ports = {\"prices\": 8102}\ndef seconds(n):\n    return \"%ds\" % n\n",
+    );
     let text = format!(
         "load(\"common.star\", \"ports\", \"seconds\")\n{HEAD}{}",
         "page(browse, parts = [part(name, dependency = name, fallbacks = [kept(seconds(30)), fixed({\"a\": 1})]) \
@@ -72,11 +79,20 @@
     assert_eq!(operator.pages[0].parts.len(), 2);
     assert_eq!(operator.dependencies[2].addr.port(), 8102);
     let (plan, pages) = operator.plan(&operator.own_handlers());
-    assert_eq!((plan.dependencies[0].share, plan.dependencies[2].share), (8, 1));
+    assert_eq!(
+        (plan.dependencies[0].share, plan.dependencies[2].share),
+        (8, 1)
+    );
     assert_eq!(pages, [Some(0)]);
     let text = operator.summary(&operator.own_handlers());
-    assert!(text.contains("page browse: answered within 310 ms of its response target of 1 s"), "{text}");
-    assert!(text.contains("kept, up to 30 s old, then a fixed value"), "{text}");
+    assert!(
+        text.contains("page browse: answered within 310 ms of its response target of 1 s"),
+        "{text}"
+    );
+    assert!(
+        text.contains("kept, up to 30 s old, then a fixed value"),
+        "{text}"
+    );
 }
 
 /// Guards operators: each mistake is told with file, line, value and what was expected.
@@ -211,11 +227,17 @@
     }
     let folder = Folder::new();
     for n in 0..12 {
-        folder.write(&format!("f{n}.star"), &format!("load(\"f{}.star\", \"x\")\n", n + 1));
+        folder.write(
+            &format!("f{n}.star"),
+            &format!("load(\"f{}.star\", \"x\")\n", n + 1),
+        );
     }
     folder.write("f12.star", "x = 1\n");
     let told = evaluate(&folder.0.join("f0.star")).unwrap_err().to_string();
     assert!(told.contains("8 deep"), "{told}");
     let long = folder.write("long.star", &"x = 1\n".repeat(60_000));
-    assert!(evaluate(&long).unwrap_err().to_string().contains("expected at most"));
+    assert!(evaluate(&long)
+        .unwrap_err()
+        .to_string()
+        .contains("expected at most"));
 }
--- a/crates/server/src/accept.rs
+++ b/crates/server/src/accept.rs
@@ -27,7 +27,10 @@
 
 /// Accepts until `close` ends. What waits to be accepted by then is still taken: the machine has accepted it.
 pub async fn listen(
-    executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, front: Rc<Front>, close: Receiver<()>,
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+    front: Rc<Front>,
+    close: Receiver<()>,
 ) {
     let mut next = 0;
     let closed = async {
@@ -57,7 +60,9 @@
     }
     // Guards connections that come in the moment of the close: between the look that finds none and the close there
     // is no other step, so that none is reset there with a req on it.
-    let Ok(listener) = listener.into_inner() else { return };
+    let Ok(listener) = listener.into_inner() else {
+        return;
+    };
     while let Some(accepted) = waiting(&listener) {
         match accepted {
             Ok(stream) => take(&executor, &front, &mut next, stream),
@@ -73,14 +78,21 @@
             Ok((stream, _)) => return Some(Async::new(stream)),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
             // One that was reset while it waited says nothing of the next.
-            Err(e) if [io::ErrorKind::Interrupted, io::ErrorKind::ConnectionAborted].contains(&e.kind()) => {}
+            Err(e)
+                if [io::ErrorKind::Interrupted, io::ErrorKind::ConnectionAborted]
+                    .contains(&e.kind()) => {}
             Err(e) => return Some(Err(e)),
         }
     }
 }
 
 /// Serves a connection in a task of its own.
-fn take(executor: &LocalExecutor<'static>, front: &Rc<Front>, next: &mut u64, stream: Async<TcpStream>) {
+fn take(
+    executor: &LocalExecutor<'static>,
+    front: &Rc<Front>,
+    next: &mut u64,
+    stream: Async<TcpStream>,
+) {
     let (conn, permit, front) = (ConnId(*next), front.room.permit(), front.clone());
     *next += 1;
     let task = async move {
@@ -94,6 +106,9 @@
 /// Serves a connection; a panic in its handling ends that connection alone.
 pub async fn guarded(conn: ConnId, serving: impl Future<Output = ()>) {
     if AssertUnwindSafe(serving).catch_unwind().await.is_err() {
-        tracing::error!(conn = conn.0, "a connection's handling panicked; it is closed");
+        tracing::error!(
+            conn = conn.0,
+            "a connection's handling panicked; it is closed"
+        );
     }
 }
--- a/crates/server/src/answer.rs
+++ b/crates/server/src/answer.rs
@@ -69,7 +69,10 @@
 
 /// Writes what the desk hands over, until it hands over no more or closes a connection that is quiet.
 pub async fn write(
-    stream: &Async<TcpStream>, outgoing: Receiver<Outgoing>, progress: &Progress, write_timeout: Duration,
+    stream: &Async<TcpStream>,
+    outgoing: Receiver<Outgoing>,
+    progress: &Progress,
+    write_timeout: Duration,
 ) -> Written {
     let mut bytes = Vec::new();
     while let Ok(first) = outgoing.recv().await {
@@ -77,7 +80,10 @@
         bytes.clear();
         for one in std::iter::once(first).chain(std::iter::from_fn(|| outgoing.try_recv().ok())) {
             match one {
-                Outgoing::Reply { bytes: reply, settles } => {
+                Outgoing::Reply {
+                    bytes: reply,
+                    settles,
+                } => {
                     bytes.extend_from_slice(&reply);
                     settled += usize::from(settles);
                 }
@@ -86,7 +92,9 @@
         }
         // Before the first byte goes: a sidecar may send its next req as soon as it has an answer, while others of
         // this batch are still being written.
-        progress.open.set(progress.open.get().saturating_sub(settled));
+        progress
+            .open
+            .set(progress.open.get().saturating_sub(settled));
         let mut written = 0;
         while written < bytes.len() {
             // Guards slow links: what counts is that nothing is taken, not how long all of it takes.
@@ -190,13 +198,23 @@
 
     /// Sends a reply where the connection still stands. One whose queue is full reads nothing: it is dropped.
     pub fn send(&mut self, now: Time, conn: ConnId, reply: &Reply) {
-        let Some(connection) = self.conns.get_mut(&conn) else { return };
-        let Some(outgoing) = &connection.outgoing else { return };
+        let Some(connection) = self.conns.get_mut(&conn) else {
+            return;
+        };
+        let Some(outgoing) = &connection.outgoing else {
+            return;
+        };
         let mut bytes = Vec::new();
         let settles = reply.settles();
         reply.encode(self.say, &mut bytes);
-        if outgoing.try_send(Outgoing::Reply { bytes, settles }).is_err() {
-            tracing::warn!(conn = conn.0, "a sidecar reads nothing; its connection is dropped");
+        if outgoing
+            .try_send(Outgoing::Reply { bytes, settles })
+            .is_err()
+        {
+            tracing::warn!(
+                conn = conn.0,
+                "a sidecar reads nothing; its connection is dropped"
+            );
             connection.outgoing = None;
             return;
         }
@@ -219,14 +237,23 @@
     }
 
     fn end_if_settled(&mut self, conn: ConnId) {
-        if let Some(connection) = self.conns.get_mut(&conn).filter(|o| o.ending && o.open == 0) {
+        if let Some(connection) = self
+            .conns
+            .get_mut(&conn)
+            .filter(|o| o.ending && o.open == 0)
+        {
             connection.outgoing = None;
         }
     }
 
     /// Tells every sidecar that was not told yet to send no more.
     pub fn no_more(&mut self, now: Time) {
-        let untold: Vec<_> = self.conns.iter().filter(|(_, o)| o.told.is_none()).map(|(c, _)| *c).collect();
+        let untold: Vec<_> = self
+            .conns
+            .iter()
+            .filter(|(_, o)| o.told.is_none())
+            .map(|(c, _)| *c)
+            .collect();
         untold.into_iter().for_each(|conn| self.tell(now, conn));
     }
 
@@ -241,9 +268,13 @@
     /// until that is answered.
     fn close(&mut self, go: impl Fn(&Connection) -> bool) {
         for connection in self.conns.values_mut().filter(|o| o.idle() && go(o)) {
-            let close = Outgoing::Close { taken: connection.taken };
-            connection.closing =
-                connection.outgoing.as_ref().is_some_and(|outgoing| outgoing.try_send(close).is_ok());
+            let close = Outgoing::Close {
+                taken: connection.taken,
+            };
+            connection.closing = connection
+                .outgoing
+                .as_ref()
+                .is_some_and(|outgoing| outgoing.try_send(close).is_ok());
         }
     }
 
@@ -255,8 +286,9 @@
         let goes = |o: &Connection| o.told.is_some() || o.closing || o.outgoing.is_none();
         let going = self.conns.values().filter(|o| goes(o)).count();
         let idle = self.conns.iter().filter(|(_, o)| o.idle() && !goes(o));
-        let mut idle: Vec<_> =
-            idle.map(|(conn, o)| (o.heard || now - o.used < YOUNG, o.used, *conn)).collect();
+        let mut idle: Vec<_> = idle
+            .map(|(conn, o)| (o.heard || now - o.used < YOUNG, o.used, *conn))
+            .collect();
         idle.sort_unstable();
         for (heard, _, conn) in idle.into_iter().take(over.saturating_sub(going)) {
             self.tell(now, conn);
@@ -266,9 +298,14 @@
             }
         }
         self.close(|o| o.told.is_some_and(|at| now - at >= CROSSING_AT_LEAST));
-        let told = self.conns.values().filter(|o| o.idle()).filter_map(|o| o.told);
+        let told = self
+            .conns
+            .values()
+            .filter(|o| o.idle())
+            .filter_map(|o| o.told);
         // One whose queue takes no close is asked again a little later.
-        told.min().map(|at| (at + CROSSING_AT_LEAST).max(now + ROOM_AGAIN))
+        told.min()
+            .map(|at| (at + CROSSING_AT_LEAST).max(now + ROOM_AGAIN))
     }
 
     /// Connections told to close are closed after what may cross: the longer time, or where the server leaves and
--- a/crates/server/src/call.rs
+++ b/crates/server/src/call.rs
@@ -13,17 +13,30 @@
 const PATH: &str = "/records/op";
 
 /// Makes a call, for `cap` at the most. Dropping the future closes the connection, which gives it up.
-pub async fn call(addr: SocketAddr, of: WireId, body: Vec<u8>, cap: Time) -> Result<Vec<u8>, CallError> {
+pub async fn call(
+    addr: SocketAddr,
+    of: WireId,
+    body: Vec<u8>,
+    cap: Time,
+) -> Result<Vec<u8>, CallError> {
     let sending = Cell::new(false);
     let late = async {
         Timer::after(duration(cap)).await;
-        Err(if sending.get() { CallError::MaybeBegun("timed out") } else { CallError::NotBegun("timed out") })
+        Err(if sending.get() {
+            CallError::MaybeBegun("timed out")
+        } else {
+            CallError::NotBegun("timed out")
+        })
     };
     attempt(addr, of, body, cap, &sending).or(late).await
 }
 
 async fn attempt(
-    addr: SocketAddr, of: WireId, body: Vec<u8>, cap: Time, sending: &Cell<bool>,
+    addr: SocketAddr,
+    of: WireId,
+    body: Vec<u8>,
+    cap: Time,
+    sending: &Cell<bool>,
 ) -> Result<Vec<u8>, CallError> {
     let mut stream = client::connect(addr).await?;
     let wait = (ms(cap).ceil() as u64).to_string();
--- a/crates/server/src/client.rs
+++ b/crates/server/src/client.rs
@@ -38,7 +38,9 @@
 pub type Stream = Async<TcpStream>;
 
 pub async fn connect(addr: SocketAddr) -> Result<Stream, CallError> {
-    let stream = Stream::connect(addr).await.map_err(|_| CallError::NotBegun("no connection"))?;
+    let stream = Stream::connect(addr)
+        .await
+        .map_err(|_| CallError::NotBegun("no connection"))?;
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
 }
@@ -47,7 +49,10 @@
 /// back. With the reply, whether the connection may be used again. A service may answer before it has read the
 /// request, and close: that reply counts, though the rest can no longer be written.
 pub async fn exchange(
-    stream: &mut Stream, request: &[u8], sending: &Cell<bool>, heard: &Cell<bool>,
+    stream: &mut Stream,
+    request: &[u8],
+    sending: &Cell<bool>,
+    heard: &Cell<bool>,
 ) -> Result<(http::Reply, bool), CallError> {
     sending.set(true);
     let (stream, sent) = (&*stream, Cell::new(None));
@@ -63,8 +68,10 @@
         let mut decoder = Decoder::default();
         let mut bytes = [0; READ];
         loop {
-            let count =
-                (&mut &*stream).read(&mut bytes).await.map_err(|_| broke("broke before its reply"))?;
+            let count = (&mut &*stream)
+                .read(&mut bytes)
+                .await
+                .map_err(|_| broke("broke before its reply"))?;
             if count == 0 {
                 return Err(broke("closed before its reply"));
             }
@@ -93,7 +100,8 @@
         let of = idle.get_mut(&addr)?;
         while let Some((stream, since)) = of.pop() {
             let quiet = stream.get_ref().peek(&mut [0]);
-            if since.elapsed() < IDLE && quiet.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock) {
+            if since.elapsed() < IDLE && quiet.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+            {
                 return Some(stream);
             }
         }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,6 +1,6 @@
 //! What the program is told at its start.
 use crate::time::span_of_ms;
-use cottondyke_decide::decide::Decider;
+use cottondyke_decide::policy::Decider;
 use cottondyke_decide::types::{Kind, Time};
 use cottondyke_operator::{Effect, Known, Operator, Place};
 use cottondyke_settings::{self as settings, Places, Wrong};
@@ -31,7 +31,8 @@
 
 /// What of the connections is left to callers beside those to dependencies, where kept answers fit the memory.
 fn room(connections: usize, memory: usize, operator: &Operator) -> Result<usize, Wrong> {
-    let wrong = |at: &Place, what: String| Err(Wrong::from(format!("{}:{}: {what}", at.file, at.line)));
+    let wrong =
+        |at: &Place, what: String| Err(Wrong::from(format!("{}:{}: {what}", at.file, at.line)));
     let most = memory as f64 / (1 << 20) as f64 * KEPT;
     if operator.fleet.line > 0 && operator.kept_mb > most {
         let what = format!(
@@ -43,7 +44,10 @@
     let mut left = connections as u64;
     for dependency in &operator.dependencies {
         let share = operator.share(dependency);
-        left = match left.checked_sub(share * (1 + IDLE)).filter(|left| *left > 0) {
+        left = match left
+            .checked_sub(share * (1 + IDLE))
+            .filter(|left| *left > 0)
+        {
             Some(left) => left,
             None => {
                 let what = format!(
@@ -94,14 +98,22 @@
 /// `front.callers`: where the callers that share the credit are counted. The two shapes may not be mixed: a
 /// count told at start beside callers heard would be two answers to one question.
 fn callers_heard(all: &Value, conf: &Value) -> Result<bool, Wrong> {
-    let Some(front) = settings::present(all, "front") else { return Ok(false) };
+    let Some(front) = settings::present(all, "front") else {
+        return Ok(false);
+    };
     let callers = front.get("callers").unwrap_or(&Value::Null);
     let heard = match callers.as_str() {
         Some("told") => false,
         Some("connections") => true,
-        _ => return Err(format!("front.callers is {callers}: expected \"connections\" or \"told\"")),
+        _ => {
+            return Err(format!(
+                "front.callers is {callers}: expected \"connections\" or \"told\""
+            ))
+        }
     };
-    let told = conf.get("family_info").and_then(|info| settings::present(info, "upstreams"));
+    let told = conf
+        .get("family_info")
+        .and_then(|info| settings::present(info, "upstreams"));
     if let Some(told) = told.filter(|_| heard) {
         return Err(format!(
             "settings.family_info.upstreams is {told}, beside front.callers = \"connections\": the first shape \
@@ -121,27 +133,50 @@
         let all: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
         let address = |key: &str| {
             let text = settings::text(&all, key)?;
-            text.parse().map_err(|_| format!("{key} is not an address with a port: {text}"))
+            text.parse()
+                .map_err(|_| format!("{key} is not an address with a port: {text}"))
         };
-        let conf = all.get("settings").filter(|s| s.is_object()).ok_or("settings is missing")?;
+        let conf = all
+            .get("settings")
+            .filter(|s| s.is_object())
+            .ok_or("settings is missing")?;
         let seed = settings::text(&all, "seed")?;
-        let limits = all.get("limits").filter(|l| l.is_object()).ok_or("limits is missing")?;
-        let sockets = settings::whole(limits, "sockets").map_err(|wrong| format!("limits: {wrong}"))?;
-        let memory = settings::whole(limits, "memory_mb").map_err(|wrong| format!("limits: {wrong}"))?;
+        let limits = all
+            .get("limits")
+            .filter(|l| l.is_object())
+            .ok_or("limits is missing")?;
+        let sockets =
+            settings::whole(limits, "sockets").map_err(|wrong| format!("limits: {wrong}"))?;
+        let memory =
+            settings::whole(limits, "memory_mb").map_err(|wrong| format!("limits: {wrong}"))?;
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = sockets.min(allowed.unwrap_or(sockets));
-        let cores = conf.get("family_info").and_then(|info| info.get("n_cores")?.as_f64()).unwrap_or(0.0);
-        let connections = sockets.checked_sub(kept_back(sockets, cores)).filter(|n| *n > 0);
-        let classes = || conf.get("classes").and_then(Value::as_array).into_iter().flatten();
+        let cores = conf
+            .get("family_info")
+            .and_then(|info| info.get("n_cores")?.as_f64())
+            .unwrap_or(0.0);
+        let connections = sockets
+            .checked_sub(kept_back(sockets, cores))
+            .filter(|n| *n > 0);
+        let classes = || {
+            conf.get("classes")
+                .and_then(Value::as_array)
+                .into_iter()
+                .flatten()
+        };
         let ms = |class: &Value, key: &str| class.get(key).and_then(Value::as_f64).unwrap_or(0.0);
-        let times =
-            classes().map(|class| (ms(class, "aim_ms"), ms(class, "deadline_ms"))).collect::<Vec<_>>();
+        let times = classes()
+            .map(|class| (ms(class, "aim_ms"), ms(class, "deadline_ms")))
+            .collect::<Vec<_>>();
         let places = settings::places(conf);
         if places.handlers.is_empty() || places.handlers.iter().any(String::is_empty) {
             return Err("settings: classes is empty or lacks a name".to_string());
         }
         // Calls go to the records service only where the settings say that something lies below.
-        let below = conf.get("family_info").and_then(|info| info.get("below")?.as_str()) != Some("none");
+        let below = conf
+            .get("family_info")
+            .and_then(|info| info.get("below")?.as_str())
+            != Some("none");
         let config = Config {
             name: settings::text(&all, "name")?.to_string(),
             listen: address("listen")?,
@@ -155,11 +190,20 @@
             operator: None,
             seed: u64::from_str_radix(seed, 16).map_err(|_| "seed is not a hexadecimal number")?,
             stop: Duration::from_millis(settings::whole(&all, "stop_ms")?),
-            connections: connections.ok_or(format!("limits: sockets must be over {KEPT_BACK}"))? as usize,
+            connections: connections.ok_or(format!("limits: sockets must be over {KEPT_BACK}"))?
+                as usize,
             memory: (memory as usize).saturating_mul(1 << 20),
-            longest: times.iter().map(|(_, timeout)| *timeout).fold(0.0, f64::max),
-            times: times.iter().map(|(aim, timeout)| (span_of_ms(*aim), span_of_ms(*timeout))).collect(),
-            windows: classes().map(|class| span_of_ms(ms(class, "dedup_window_ms"))).collect(),
+            longest: times
+                .iter()
+                .map(|(_, timeout)| *timeout)
+                .fold(0.0, f64::max),
+            times: times
+                .iter()
+                .map(|(aim, timeout)| (span_of_ms(*aim), span_of_ms(*timeout)))
+                .collect(),
+            windows: classes()
+                .map(|class| span_of_ms(ms(class, "dedup_window_ms")))
+                .collect(),
             kinds: settings::kinds(conf).map_err(|wrong| format!("settings: {wrong}"))?,
             fresh: settings::fresh(conf).map_err(|wrong| format!("settings: {wrong}"))?,
             places,
@@ -167,11 +211,16 @@
             settings: conf.clone(),
         };
         if config.name.is_empty()
-            || !config.name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+            || !config
+                .name
+                .bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
         {
             return Err("name may hold letters, digits, dots and dashes".to_string());
         }
-        config.plausible().map_err(|wrong| format!("settings: {wrong}"))?;
+        config
+            .plausible()
+            .map_err(|wrong| format!("settings: {wrong}"))?;
         config.decider(Time(0)).map(|_| config)
     }
 
@@ -202,7 +251,9 @@
         if let Some(customer) = operator.customers.first() {
             return both(&customer.at, "customer(...)");
         }
-        operator.check(&self.known()).map_err(|wrong| wrong.to_string())?;
+        operator
+            .check(&self.known())
+            .map_err(|wrong| wrong.to_string())?;
         self.connections = room(self.connections, self.memory, &operator)?;
         self.operator = Some(operator);
         Ok(self)
@@ -253,8 +304,8 @@
             "seed": format!("{:x}", serve.seed), "stop_ms": (serve.stop / 10).max(1),
             "limits": { "memory_mb": serve.memory_mb, "sockets": serve.sockets }, "settings": settings,
         });
-        let mut config =
-            Self::parse(&conf.to_string()).map_err(|wrong| format!("{}: {wrong}", operator.file))?;
+        let mut config = Self::parse(&conf.to_string())
+            .map_err(|wrong| format!("{}: {wrong}", operator.file))?;
         config.connections = room(config.connections, config.memory, &operator)?;
         (config.engine, config.control, config.records) = (None, None, None);
         config.operator = Some(operator);
@@ -271,8 +322,11 @@
             ("settings", new.settings != self.settings),
             ("front", new.callers_heard != self.callers_heard),
         ];
-        let in_vain: Vec<_> =
-            told.into_iter().filter(|(_, differs)| *differs).map(|(what, _)| what).collect();
+        let in_vain: Vec<_> = told
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(what, _)| what)
+            .collect();
         if let Some(operator) = &new.operator {
             if operator.serve.is_some() && !in_vain.is_empty() {
                 let file = &operator.file;
@@ -280,29 +334,63 @@
                     "{file}: serve, handler and customer cannot change while the server runs"
                 ));
             }
-            operator.check(&self.known()).map_err(|wrong| wrong.to_string())?;
+            operator
+                .check(&self.known())
+                .map_err(|wrong| wrong.to_string())?;
         }
         // Shares that are lent can't be told apart from fixed ones while calls of either are in hand.
-        let peers =
-            |config: &Config| config.operator.as_ref().is_some_and(|operator| operator.peers.is_some());
+        let peers = |config: &Config| {
+            config
+                .operator
+                .as_ref()
+                .is_some_and(|operator| operator.peers.is_some())
+        };
         if peers(self) != peers(&new) {
-            let file = new.operator.as_ref().map_or("the configuration", |operator| &operator.file);
-            return Err(format!("{file}: peers(...) cannot be added or taken out while the server runs"));
+            let file = new
+                .operator
+                .as_ref()
+                .map_or("the configuration", |operator| &operator.file);
+            return Err(format!(
+                "{file}: peers(...) cannot be added or taken out while the server runs"
+            ));
         }
-        let Config { engine, control, records, operator, stop, connections, memory, .. } = new;
-        let new = Config { engine, control, records, operator, stop, connections, memory, ..self.clone() };
+        let Config {
+            engine,
+            control,
+            records,
+            operator,
+            stop,
+            connections,
+            memory,
+            ..
+        } = new;
+        let new = Config {
+            engine,
+            control,
+            records,
+            operator,
+            stop,
+            connections,
+            memory,
+            ..self.clone()
+        };
         Ok((new, in_vain))
     }
 
     /// Settings that no server can have.
     fn plausible(&self) -> Result<(), Wrong> {
-        let part =
-            |key: &str| self.settings.get(key).filter(|p| p.is_object()).ok_or(format!("{key} is missing"));
+        let part = |key: &str| {
+            self.settings
+                .get(key)
+                .filter(|p| p.is_object())
+                .ok_or(format!("{key} is missing"))
+        };
         let (info, rules) = (part("family_info")?, part("obligations")?);
         let within = |of: &Value, key: &str, least: f64, most: f64| {
             let number = settings::number(of, key)?;
             let fits = (least..=most).contains(&number);
-            fits.then_some(()).ok_or(format!("{key} is {number}, which no server can have"))
+            fits.then_some(())
+                .ok_or(format!("{key} is {number}, which no server can have"))
         };
         within(info, "n_cores", 1.0, 65_536.0)?;
         within(info, "mem_limit_kb", 1.0, 1e15)?;
@@ -310,21 +398,28 @@
         // What lies below decides whether a records service is needed: no word of it may pass for another.
         let below = settings::text(info, "below")?;
         if !["none", "common", "next_hop"].contains(&below) {
-            return Err(format!("below is {below:?}: expected \"none\", \"common\" or \"next_hop\""));
+            return Err(format!(
+                "below is {below:?}: expected \"none\", \"common\" or \"next_hop\""
+            ));
         }
         let classes = self.settings.get("classes").and_then(Value::as_array);
-        classes.into_iter().flatten().zip(&self.kinds).try_for_each(|(class, kind)| {
-            // Missing, it would be no time at all, and repeats would run again.
-            if *kind == Kind::Uniqued {
-                within(class, "dedup_window_ms", 0.1, 1e12)?;
-            }
-            within(class, "deadline_ms", 0.1, 1e12)?;
-            within(class, "aim_ms", 0.1, 1e12)
-        })
+        classes
+            .into_iter()
+            .flatten()
+            .zip(&self.kinds)
+            .try_for_each(|(class, kind)| {
+                // Missing, it would be no time at all, and repeats would run again.
+                if *kind == Kind::Uniqued {
+                    within(class, "dedup_window_ms", 0.1, 1e12)?;
+                }
+                within(class, "deadline_ms", 0.1, 1e12)?;
+                within(class, "aim_ms", 0.1, 1e12)
+            })
     }
 
     /// The decider of a server whose engine started at `born`.
     pub fn decider(&self, born: Time) -> Result<Decider, Wrong> {
-        settings::decider(born, self.seed, &self.settings).map_err(|wrong| format!("settings: {wrong}"))
+        settings::decider(born, self.seed, &self.settings)
+            .map_err(|wrong| format!("settings: {wrong}"))
     }
 }
--- a/crates/server/src/cpu.rs
+++ b/crates/server/src/cpu.rs
@@ -13,12 +13,18 @@
 
 fn used() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
-    Duration::new(time.tv_sec.max(0) as u64, time.tv_nsec.clamp(0, 999_999_999) as u32)
+    Duration::new(
+        time.tv_sec.max(0) as u64,
+        time.tv_nsec.clamp(0, 999_999_999) as u32,
+    )
 }
 
 impl Gauge {
     pub fn start() -> Self {
-        Gauge { at: Instant::now(), used: used() }
+        Gauge {
+            at: Instant::now(),
+            used: used(),
+        }
     }
 
     /// The part of a core in use since the last reading.
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/desk.rs
@@ -19,7 +19,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use cottondyke_decide::decide::Decider;
+use cottondyke_decide::policy::Decider;
 use cottondyke_decide::types::*;
 use futures_lite::FutureExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -72,8 +72,17 @@
 
 impl Tally {
     fn log(self, calls: work::engine::Tally) {
-        let Tally { unfit, malformed, errored, shed } = self;
-        let work::engine::Tally { not_begun, failed, refused } = calls;
+        let Tally {
+            unfit,
+            malformed,
+            errored,
+            shed,
+        } = self;
+        let work::engine::Tally {
+            not_begun,
+            failed,
+            refused,
+        } = calls;
         if unfit + malformed + refused > 0 {
             tracing::warn!(unfit, malformed, refused, "bad input in the last second");
         }
@@ -81,7 +90,11 @@
             tracing::warn!(not_begun, failed, "calls in the last second");
         }
         if errored + shed > 0 {
-            tracing::info!(errored, shed, "answered without a run's result in the last second");
+            tracing::info!(
+                errored,
+                shed,
+                "answered without a run's result in the last second"
+            );
         }
     }
 }
@@ -123,19 +136,42 @@
 impl Desk {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        config: Rc<Config>, decider: Decider, clock: Clock, executor: Rc<LocalExecutor<'static>>,
-        inputs: Sender<Input>, room: Rc<Room>, lines: Lines, fleet: Option<Rc<Fleet>>,
+        config: Rc<Config>,
+        decider: Decider,
+        clock: Clock,
+        executor: Rc<LocalExecutor<'static>>,
+        inputs: Sender<Input>,
+        room: Rc<Room>,
+        lines: Lines,
+        fleet: Option<Rc<Fleet>>,
     ) -> Self {
         let now = clock.now();
-        let classes = config.places.handlers.iter().map(|name| name.as_str().into()).collect();
+        let classes = config
+            .places
+            .handlers
+            .iter()
+            .map(|name| name.as_str().into())
+            .collect();
         let busy = config.places.busy;
-        let engine = config
-            .engine
-            .map(|_| work::engine::Runs::new(now, config.records, busy, executor.clone(), inputs.clone()));
+        let engine = config.engine.map(|_| {
+            work::engine::Runs::new(now, config.records, busy, executor.clone(), inputs.clone())
+        });
         let pages = config.operator.as_ref().map(|operator| {
             let plan = operator.plan(&config.known());
-            let values = config.places.handlers.iter().map(|name| operator.value(name)).collect();
-            work::pages::Runs::new(clock, plan, (config.seed, values), fleet.clone(), executor, inputs)
+            let values = config
+                .places
+                .handlers
+                .iter()
+                .map(|name| operator.value(name))
+                .collect();
+            work::pages::Runs::new(
+                clock,
+                plan,
+                (config.seed, values),
+                fleet.clone(),
+                executor,
+                inputs,
+            )
         });
         let works = Works::new(engine, pages, classes, config.kinds.clone());
         Desk {
@@ -204,7 +240,14 @@
     fn timers(&mut self) -> bool {
         let now = self.clock.now();
         for (conn, stream) in self.health.overdue(now) {
-            self.connections.send(now, conn, &Reply::Checked { stream, good: false });
+            self.connections.send(
+                now,
+                conn,
+                &Reply::Checked {
+                    stream,
+                    good: false,
+                },
+            );
         }
         if self.asked.is_some_and(|until| until <= now) {
             self.asked = None;
@@ -216,13 +259,23 @@
         let waiting = self.wakes.len();
         self.wakes.retain(|at| *at > now);
         if self.wakes.len() < waiting && self.asked.is_none() {
-            let asked = self.works.engine.as_mut().map(work::engine::Runs::ask_gauges);
+            let asked = self
+                .works
+                .engine
+                .as_mut()
+                .map(work::engine::Runs::ask_gauges);
             match asked {
                 Some(true) => self.asked = Some(now + GAUGES_WITHIN),
                 Some(false) => self.wake(now, Gauges::default()),
                 None => {
                     let busy = self.cpu.read();
-                    self.wake(now, Gauges { busy, runnable: None });
+                    self.wake(
+                        now,
+                        Gauges {
+                            busy,
+                            runnable: None,
+                        },
+                    );
                 }
             }
         }
@@ -232,7 +285,12 @@
         if now < self.next_chores {
             return false;
         }
-        self.next_chores = now + if self.notice.is_some() { CHORES_LEAVING } else { CHORES };
+        self.next_chores = now
+            + if self.notice.is_some() {
+                CHORES_LEAVING
+            } else {
+                CHORES
+            };
         let stage = drain::stage(self.notice, self.left(), now);
         self.connections.chores(now, stage >= Stage::Closed);
         self.make_room(now);
@@ -290,7 +348,15 @@
             Input::Req(conn, req) => self.arrived(now, conn, req),
             Input::Surplus(conn, stream) => {
                 self.connections.took(now, conn);
-                self.connections.send(now, conn, &Reply::Shed { stream, after_ms: 0.0, last: false });
+                self.connections.send(
+                    now,
+                    conn,
+                    &Reply::Shed {
+                        stream,
+                        after_ms: 0.0,
+                        last: false,
+                    },
+                );
             }
             Input::Unfit(conn, stream, why) => {
                 tracing::debug!(conn = conn.0, why, "a req that cannot be run");
@@ -302,7 +368,11 @@
             Input::Cancelled(conn, stream) => self.cancelled(now, conn, stream),
             Input::Finished(conn) => self.connections.end(conn),
             Input::Malformed(conn, why) => {
-                tracing::debug!(conn = conn.0, why, "a malformed frame; the connection is closed");
+                tracing::debug!(
+                    conn = conn.0,
+                    why,
+                    "a malformed frame; the connection is closed"
+                );
                 self.tally.malformed += 1;
                 self.connections.fault(now, conn, why);
             }
@@ -317,20 +387,39 @@
                 }
             }
             Input::Notice(notice) => {
-                let told = self.works.engine.as_mut().map(|engine| engine.noticed(notice));
-                told.into_iter().flatten().for_each(|event| self.worked(now, event));
+                let told = self
+                    .works
+                    .engine
+                    .as_mut()
+                    .map(|engine| engine.noticed(notice));
+                told.into_iter()
+                    .flatten()
+                    .for_each(|event| self.worked(now, event));
             }
             Input::Called(id, no, result) => {
-                let told = self.works.engine.as_mut().and_then(|engine| engine.called(now, id, no, result));
+                let told = self
+                    .works
+                    .engine
+                    .as_mut()
+                    .and_then(|engine| engine.called(now, id, no, result));
                 told.into_iter().for_each(|event| self.worked(now, event));
             }
             Input::Fetched(call, outcome) => {
-                let told = self.works.pages.as_mut().map(|pages| pages.fetched(now, call, outcome));
-                told.into_iter().flatten().for_each(|event| self.worked(now, event));
+                let told = self
+                    .works
+                    .pages
+                    .as_mut()
+                    .map(|pages| pages.fetched(now, call, outcome));
+                told.into_iter()
+                    .flatten()
+                    .for_each(|event| self.worked(now, event));
             }
             Input::Reload(Ok(new)) => self.reload(now, *new),
             Input::Reload(Err(wrong)) => {
-                tracing::error!(wrong, "the configuration read anew is no good; the old one stays in force");
+                tracing::error!(
+                    wrong,
+                    "the configuration read anew is no good; the old one stays in force"
+                );
             }
             Input::Leave if self.notice.is_some() => tracing::info!("told to leave again"),
             Input::Leave => {
@@ -350,12 +439,18 @@
         let (mut config, in_vain) = match self.config.renewed(new) {
             Ok(renewed) => renewed,
             Err(wrong) => {
-                tracing::error!(wrong, "what was read anew cannot be obeyed; the old files stay in force");
+                tracing::error!(
+                    wrong,
+                    "what was read anew cannot be obeyed; the old files stay in force"
+                );
                 return;
             }
         };
         if !in_vain.is_empty() {
-            tracing::warn!(?in_vain, "cannot change while the server runs; what was in force stays");
+            tracing::warn!(
+                ?in_vain,
+                "cannot change while the server runs; what was in force stays"
+            );
         }
         if self.notice.is_some() {
             config.stop = self.config.stop;
@@ -364,7 +459,9 @@
             config.engine.map(|engine| self.moves.try_send(engine));
         }
         if config.control != self.config.control {
-            config.control.map(|control| self.news.try_send(News::Moved(control)));
+            config
+                .control
+                .map(|control| self.news.try_send(News::Moved(control)));
         }
         if let Some(engine) = &mut self.works.engine {
             engine.moved(config.records);
@@ -380,7 +477,11 @@
         );
         self.config = Rc::new(config);
         if let (Some(fleet), Some(operator)) = (&self.fleet, &self.config.operator) {
-            if operator.peers.as_ref().is_some_and(|peers| fleet.differs(peers)) {
+            if operator
+                .peers
+                .as_ref()
+                .is_some_and(|peers| fleet.differs(peers))
+            {
                 tracing::warn!(
                     "of peers only keepers can change while the server runs; what was in force stays"
                 );
@@ -398,14 +499,19 @@
     /// The first hello tells when the engine started. The decider reckons from there, but not from before this
     /// program could observe anything. Nothing has run by then: what is open arrives anew.
     fn engine_up(&mut self, now: Time, age_ms: f64, outlet: Sender<Command>) {
-        let Some(engine) = &mut self.works.engine else { return };
+        let Some(engine) = &mut self.works.engine else {
+            return;
+        };
         let first = !engine.greeted();
         engine.up(now, outlet);
         tracing::info!(first, age_ms, "the engine is there");
         if !first {
             return;
         }
-        match self.config.decider((now - span_of_ms(age_ms)).max(self.started)) {
+        match self
+            .config
+            .decider((now - span_of_ms(age_ms)).max(self.started))
+        {
             Ok(decider) => self.decider = decider,
             Err(wrong) => tracing::error!(wrong, "the settings no longer give a decider"),
         }
@@ -420,17 +526,36 @@
             let results = self.decider.leaving(now, notice + self.left() - now);
             self.carry_all(now, results);
         }
-        let open: Vec<_> = self.reqs.iter().filter(|(_, r)| !r.answered).map(|(id, _)| *id).collect();
+        let open: Vec<_> = self
+            .reqs
+            .iter()
+            .filter(|(_, r)| !r.answered)
+            .map(|(id, _)| *id)
+            .collect();
         open.into_iter().for_each(|id| self.again(now, id));
     }
 
     fn checked(&mut self, now: Time, conn: ConnId, stream: Stream, deep: bool) {
         self.connections.took(now, conn);
         match self.health.answer(deep, self.works.is_up()) {
-            Some(good) => self.connections.send(now, conn, &Reply::Checked { stream, good }),
-            None => match self.works.engine.as_mut().and_then(work::engine::Runs::test) {
+            Some(good) => self
+                .connections
+                .send(now, conn, &Reply::Checked { stream, good }),
+            None => match self
+                .works
+                .engine
+                .as_mut()
+                .and_then(work::engine::Runs::test)
+            {
                 Some(tag) => self.health.testing(now, tag, conn, stream),
-                None => self.connections.send(now, conn, &Reply::Checked { stream, good: false }),
+                None => self.connections.send(
+                    now,
+                    conn,
+                    &Reply::Checked {
+                        stream,
+                        good: false,
+                    },
+                ),
             },
         }
     }
@@ -471,7 +596,9 @@
         // more than what was learned so does.
         let lay = since_unix(req.at);
         let proven = self.connections.proven(conn);
-        let repeats = key.as_ref().and_then(|key| self.keys.repeats(now, now - lay, key));
+        let repeats = key
+            .as_ref()
+            .and_then(|key| self.keys.repeats(now, now - lay, key));
         // Guards results against clients that copy a mark: a repeat takes its answer from the table, where no engine
         // says whether it knows the req. So it takes it only on the connection of the open first try, or on one of
         // which the engine has known a req. A read on any other runs by itself; a uniqued req, which may not run
@@ -481,7 +608,8 @@
         if copied && kind == Kind::Uniqued {
             tracing::debug!(conn = conn.0, id = ?req.id, "a repeat from where the engine has known no req");
             self.tally.unfit += 1;
-            self.connections.send(now, conn, &Reply::Errored(req.stream));
+            self.connections
+                .send(now, conn, &Reply::Errored(req.stream));
             return;
         }
         let (repeats, key) = if copied { (None, None) } else { (repeats, key) };
@@ -529,7 +657,10 @@
         if !self.connections.proven(conn) {
             return later;
         }
-        let open = self.reqs.values_mut().find(|e| e.wire == req.id && !e.answered);
+        let open = self
+            .reqs
+            .values_mut()
+            .find(|e| e.wire == req.id && !e.answered);
         match open.filter(|e| !self.connections.proven(e.conn) && e.body[..] == req.body[..]) {
             Some(entry) => {
                 let earlier = (entry.conn, entry.stream);
@@ -548,7 +679,11 @@
         let HandlerId(handler) = key.0;
         let uniqued = self.config.kinds[handler] == Kind::Uniqued;
         let until = uniqued.then(|| now + self.config.windows[handler] + SLACK);
-        let tail = if uniqued { span_of_ms(self.config.longest) } else { Time(0) };
+        let tail = if uniqued {
+            span_of_ms(self.config.longest)
+        } else {
+            Time(0)
+        };
         self.keys.keep(id, key.clone(), until, tail);
     }
 
@@ -562,7 +697,11 @@
     fn told(&mut self, now: Time, event: Event) -> Option<Results> {
         match event {
             Event::Ended(id, end, output) => {
-                let waiting = if end == RunEnd::Void { self.never_started(id) } else { Vec::new() };
+                let waiting = if end == RunEnd::Void {
+                    self.never_started(id)
+                } else {
+                    Vec::new()
+                };
                 let results = self.run_over(now, id, end, output)?;
                 if waiting.is_empty() {
                     return Some(results);
@@ -575,7 +714,13 @@
             Event::CallEnded(id, end) => return Some(self.decider.call_ended(now, id, end)),
             Event::Gauges(busy) => {
                 self.asked = None;
-                return Some(self.decider.wake(now, Gauges { busy, runnable: None }));
+                return Some(self.decider.wake(
+                    now,
+                    Gauges {
+                        busy,
+                        runnable: None,
+                    },
+                ));
             }
             Event::Lives(id) => {
                 if let Some(entry) = self.reqs.get(&id) {
@@ -584,7 +729,8 @@
             }
             Event::Tested(tag, good) => {
                 if let Some((conn, stream)) = self.health.tested(tag) {
-                    self.connections.send(now, conn, &Reply::Checked { stream, good });
+                    self.connections
+                        .send(now, conn, &Reply::Checked { stream, good });
                 }
             }
         }
@@ -594,7 +740,10 @@
     /// Runs of which nothing was heard since long after their clients gave up.
     fn forget_runs(&mut self, now: Time) {
         let long = span_of_ms(self.config.longest).times(FORGOTTEN);
-        let lost = self.reqs.iter().filter(|(_, e)| e.running && e.answered && now - e.arrived > long);
+        let lost = self
+            .reqs
+            .iter()
+            .filter(|(_, e)| e.running && e.answered && now - e.arrived > long);
         for id in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
             tracing::warn!("a run that never ended is given up");
             // It may have run, so its entry stays.
@@ -609,22 +758,39 @@
     fn never_started(&mut self, id: ReqId) -> Vec<ReqId> {
         self.keys.release(id);
         let joined = self.reqs.iter_mut().filter(|(_, e)| !e.answered);
-        joined.filter_map(|(each, e)| e.joined.take_if(|of| *of == id).map(|_| *each)).collect()
+        joined
+            .filter_map(|(each, e)| e.joined.take_if(|of| *of == id).map(|_| *each))
+            .collect()
     }
 
     /// An open req whose first try was none comes anew, as it stands now: as the first try, or as a repeat of the next.
     fn again(&mut self, now: Time, id: ReqId) {
-        let Some(entry) = self.reqs.get(&id) else { return };
+        let Some(entry) = self.reqs.get(&id) else {
+            return;
+        };
         let key = entry.key.clone();
-        let repeats = key.as_ref().and_then(|key| self.keys.repeats(now, entry.arrived, key));
+        let repeats = key
+            .as_ref()
+            .and_then(|key| self.keys.repeats(now, entry.arrived, key));
         if repeats.is_none() {
             self.keep(now, id, key.as_ref());
         }
-        let Some(entry) = self.reqs.get_mut(&id) else { return };
+        let Some(entry) = self.reqs.get_mut(&id) else {
+            return;
+        };
         (entry.running, entry.joined) = (false, None);
         let lay = now - entry.arrived;
-        let wait = entry.new.wait.map(|wait| (wait + entry.new.lay - lay).max(Time(0)));
-        entry.new = Arrival { lay, unread: Time(0), wait, repeats, ..entry.new };
+        let wait = entry
+            .new
+            .wait
+            .map(|wait| (wait + entry.new.lay - lay).max(Time(0)));
+        entry.new = Arrival {
+            lay,
+            unread: Time(0),
+            wait,
+            repeats,
+            ..entry.new
+        };
         let results = self.decider.arrival(now, entry.new);
         self.carry_all(now, results);
     }
@@ -639,10 +805,20 @@
         }
         let (stream, shared) = (entry.stream, entry.key.is_some());
         let kept = (end == RunEnd::Done && shared).then(|| Rc::new(output.clone()));
-        let reply = if end == RunEnd::Done { Reply::Done(stream, output) } else { Reply::Errored(stream) };
+        let reply = if end == RunEnd::Done {
+            Reply::Done(stream, output)
+        } else {
+            Reply::Errored(stream)
+        };
         self.answer(now, id, reply);
         if shared {
-            self.keys.ended(now, id, kept.clone(), self.config.fresh, self.room.results());
+            self.keys.ended(
+                now,
+                id,
+                kept.clone(),
+                self.config.fresh,
+                self.room.results(),
+            );
             self.settle_joined(now, id, kept);
         }
         Some(self.decider.run_ended(now, id, end))
@@ -650,7 +826,10 @@
 
     /// Reqs that wait for the answer of `of` get it.
     fn settle_joined(&mut self, now: Time, of: ReqId, result: Option<Rc<Output>>) {
-        let waiting = self.reqs.iter().filter(|(_, e)| !e.answered && e.joined == Some(of));
+        let waiting = self
+            .reqs
+            .iter()
+            .filter(|(_, e)| !e.answered && e.joined == Some(of));
         let waiting: Vec<_> = waiting.map(|(id, e)| (*id, e.stream)).collect();
         for (id, stream) in waiting {
             let (reply, end) = match &result {
@@ -664,7 +843,9 @@
 
     /// The final answer, once.
     fn answer(&mut self, now: Time, id: ReqId, reply: Reply) {
-        let Some(entry) = self.reqs.get_mut(&id) else { return };
+        let Some(entry) = self.reqs.get_mut(&id) else {
+            return;
+        };
         if !entry.answered {
             entry.answered = true;
             self.connections.send(now, entry.conn, &reply);
@@ -682,7 +863,9 @@
     fn cancelled(&mut self, now: Time, conn: ConnId, stream: Stream) {
         self.connections.heard(now, conn);
         let of = |e: &Entry| e.conn == conn && e.stream == stream && !e.answered && e.key.is_none();
-        let Some(id) = self.reqs.iter().find(|(_, e)| of(e)).map(|(id, _)| *id) else { return };
+        let Some(id) = self.reqs.iter().find(|(_, e)| of(e)).map(|(id, _)| *id) else {
+            return;
+        };
         self.answer(now, id, Reply::Errored(stream));
         let results = self.decider.caller_gone(now, id);
         self.carry_all(now, results);
@@ -691,7 +874,10 @@
     /// Nobody hears what a lost connection still owes: the decider is told of all that was open on it. A req with
     /// a key goes on, for its repeats.
     fn gone(&mut self, now: Time, conn: ConnId) {
-        let open = self.reqs.iter().filter(|(_, e)| e.conn == conn && !e.answered && e.key.is_none());
+        let open = self
+            .reqs
+            .iter()
+            .filter(|(_, e)| e.conn == conn && !e.answered && e.key.is_none());
         for id in open.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.answer(now, id, Reply::Errored(Stream(0)));
             let results = self.decider.caller_gone(now, id);
@@ -724,7 +910,9 @@
             }
         }
         for id in results.fail {
-            let Some(entry) = self.reqs.get(&id) else { continue };
+            let Some(entry) = self.reqs.get(&id) else {
+                continue;
+            };
             let (stream, running) = (entry.stream, entry.running);
             self.tally.errored += 1;
             self.answer(now, id, Reply::Errored(stream));
@@ -733,16 +921,27 @@
             }
         }
         for shed in results.shed {
-            let Some(entry) = self.reqs.get(&shed.id) else { continue };
-            let reply = Reply::Shed { stream: entry.stream, after_ms: ms(shed.pause), last: shed.last };
+            let Some(entry) = self.reqs.get(&shed.id) else {
+                continue;
+            };
+            let reply = Reply::Shed {
+                stream: entry.stream,
+                after_ms: ms(shed.pause),
+                last: shed.last,
+            };
             self.tally.shed += 1;
             self.answer(now, shed.id, reply);
             self.never_ran(now, shed.id);
         }
         // What the decider keeps it books; the entry itself stands since the req was read.
-        results.release.into_iter().for_each(|id| self.keys.release(id));
+        results
+            .release
+            .into_iter()
+            .for_each(|id| self.keys.release(id));
         for id in results.start {
-            let Some(entry) = self.reqs.get_mut(&id) else { continue };
+            let Some(entry) = self.reqs.get_mut(&id) else {
+                continue;
+            };
             entry.running = true;
             let (target, timeout) = self.config.times[entry.new.handler.0];
             let job = Job {
@@ -787,7 +986,9 @@
     }
 
     fn join(&mut self, now: Time, id: ReqId) {
-        let Some(entry) = self.reqs.get_mut(&id) else { return };
+        let Some(entry) = self.reqs.get_mut(&id) else {
+            return;
+        };
         let Some(of) = entry.new.repeats else { return };
         entry.joined = Some(of);
         let known = match self.keys.outcome(of) {
--- a/crates/server/src/drain.rs
+++ b/crates/server/src/drain.rs
@@ -78,7 +78,10 @@
 }
 
 async fn reread(reading: &Reading) -> Result<Box<Config>, String> {
-    reading.recv().await.unwrap_or_else(|_| Err("reading the files anew panicked".to_string()))
+    reading
+        .recv()
+        .await
+        .unwrap_or_else(|_| Err("reading the files anew panicked".to_string()))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -92,8 +95,17 @@
 
 /// How far a server that was told to leave at `notice` has come.
 pub fn stage(notice: Option<Time>, left: Time, now: Time) -> Stage {
-    let Some(notice) = notice else { return Stage::Serving };
+    let Some(notice) = notice else {
+        return Stage::Serving;
+    };
     let reached = |part: f64| now >= notice + left.times(part);
-    let stages = [(OVER_PART, Stage::Over), (END_PART, Stage::Ended), (CLOSE_PART, Stage::Closed)];
-    stages.into_iter().find(|(part, _)| reached(*part)).map_or(Stage::Leaving, |(_, stage)| stage)
+    let stages = [
+        (OVER_PART, Stage::Over),
+        (END_PART, Stage::Ended),
+        (CLOSE_PART, Stage::Closed),
+    ];
+    stages
+        .into_iter()
+        .find(|(part, _)| reached(*part))
+        .map_or(Stage::Leaving, |(_, stage)| stage)
 }
--- a/crates/server/src/fetch.rs
+++ b/crates/server/src/fetch.rs
@@ -9,19 +9,33 @@
 
 /// Asks `to`. Dropping the future closes its connection. Nothing here limits its time: who waits does.
 pub async fn fetch(
-    pool: Rc<Pool>, (clock, stamp): (Clock, Rc<Stamp>), to: Rc<Dependency>, of: WireId, body: Rc<[u8]>,
-    within: Time, reuse: bool,
+    pool: Rc<Pool>,
+    (clock, stamp): (Clock, Rc<Stamp>),
+    to: Rc<Dependency>,
+    of: WireId,
+    body: Rc<[u8]>,
+    within: Time,
+    reuse: bool,
 ) -> Outcome {
     let mut bytes = Vec::with_capacity(256 + body.len());
     let left = (ms(within).floor() as u64).to_string();
     let headers = [("Req-Id", of.as_str()), ("Time-Left-Ms", left.as_str())];
-    http::request("POST", &to.path, &to.addr.to_string(), &headers, &body, &mut bytes);
+    http::request(
+        "POST",
+        &to.path,
+        &to.addr.to_string(),
+        &headers,
+        &body,
+        &mut bytes,
+    );
     let pooled = if reuse { pool.take(to.addr) } else { None };
     let (used, connected) = match pooled {
         Some(stream) => (true, Ok(stream)),
         None => (false, client::connect(to.addr).await),
     };
-    let Ok(mut stream) = connected else { return Outcome::Refused };
+    let Ok(mut stream) = connected else {
+        return Outcome::Refused;
+    };
     // The last look at a share that is lent, in the same step as the first byte: connecting may have taken long, and
     // so may a stop of the whole process.
     let now = clock.now();
--- a/crates/server/src/fleet/disk.rs
+++ b/crates/server/src/fleet/disk.rs
@@ -14,13 +14,18 @@
 
 /// A number that differs from life to life, also where clocks were stepped back: milliseconds with a draw below.
 pub fn fresh() -> u64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64;
     unix << 16 | draw() & 0xffff
 }
 
 /// A draw from the system, by the only way that the standard library has.
 fn draw() -> u64 {
-    std::collections::hash_map::RandomState::new().build_hasher().finish()
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
 }
 
 /// While it is held no other process runs from the folder: so the life that is noted there is over.
@@ -54,7 +59,12 @@
         };
         let life = former.map_or_else(fresh, |former| fresh().max(former + 1));
         note(&folder, life).map_err(wrong)?;
-        Ok(Home { life, former, _lock: lock, folder })
+        Ok(Home {
+            life,
+            former,
+            _lock: lock,
+            folder,
+        })
     }
 
     /// The registry's file, and what it holds.
@@ -80,18 +90,20 @@
     pub fn start(mut disk: Disk) -> io::Result<(Self, Receiver<Result<u64, String>>)> {
         let (to_disk, writes) = async_channel::unbounded::<Write>();
         let (told, stored) = async_channel::unbounded();
-        std::thread::Builder::new().name("registry".into()).spawn(move || {
-            while let Ok(first) = writes.recv_blocking() {
-                let rest = std::iter::from_fn(|| writes.try_recv().ok()).take(AT_ONCE - 1);
-                let batch: Vec<Write> = std::iter::once(first).chain(rest).collect();
-                let number = batch.last().map_or(0, |write| write.number);
-                let result = disk.write(&batch).map(|()| number);
-                let failed = result.is_err();
-                if told.send_blocking(result).is_err() || failed {
-                    return;
+        std::thread::Builder::new()
+            .name("registry".into())
+            .spawn(move || {
+                while let Ok(first) = writes.recv_blocking() {
+                    let rest = std::iter::from_fn(|| writes.try_recv().ok()).take(AT_ONCE - 1);
+                    let batch: Vec<Write> = std::iter::once(first).chain(rest).collect();
+                    let number = batch.last().map_or(0, |write| write.number);
+                    let result = disk.write(&batch).map(|()| number);
+                    let failed = result.is_err();
+                    if told.send_blocking(result).is_err() || failed {
+                        return;
+                    }
                 }
-            }
-        })?;
+            })?;
         Ok((Writer(to_disk), stored))
     }
 
--- a/crates/server/src/fleet/links.rs
+++ b/crates/server/src/fleet/links.rs
@@ -43,18 +43,28 @@
     pub fn keep(&self, known: impl Iterator<Item = SocketAddr>) {
         *self.known.borrow_mut() = known.collect();
         let known = self.known.borrow();
-        self.open.borrow_mut().retain(|addr, link| link._dialling.is_none() || known.contains(addr));
+        self.open
+            .borrow_mut()
+            .retain(|addr, link| link._dialling.is_none() || known.contains(addr));
     }
 
     pub fn send(&self, fleet: &Fleet, to: SocketAddr, word: &[u8]) {
         let mut open = self.open.borrow_mut();
         if !open.contains_key(&to) {
-            let dials =
-                fleet.own.keepers.iter().any(|(_, addr)| *addr == to) || self.known.borrow().contains(&to);
-            let Some(fleet) = fleet.this().filter(|_| dials && open.len() < MOST_LINKS) else { return };
+            let dials = fleet.own.keepers.iter().any(|(_, addr)| *addr == to)
+                || self.known.borrow().contains(&to);
+            let Some(fleet) = fleet.this().filter(|_| dials && open.len() < MOST_LINKS) else {
+                return;
+            };
             let (out, words) = async_channel::bounded(MOST_WAITING);
             let dialling = fleet.executor.clone().spawn(dial(fleet, to, words));
-            open.insert(to, Link { out, _dialling: Some(dialling) });
+            open.insert(
+                to,
+                Link {
+                    out,
+                    _dialling: Some(dialling),
+                },
+            );
         }
         if let Some(link) = open.get(&to) {
             let _ = link.out.try_send(encode(word));
@@ -87,7 +97,10 @@
 
 /// Words in both directions until the link breaks; true if any came.
 async fn carry(
-    fleet: &Fleet, stream: &Async<TcpStream>, peer: SocketAddr, words: &Receiver<Vec<u8>>,
+    fleet: &Fleet,
+    stream: &Async<TcpStream>,
+    peer: SocketAddr,
+    words: &Receiver<Vec<u8>>,
 ) -> bool {
     let mut any = false;
     let reading = async {
@@ -143,7 +156,13 @@
         }
         let _ = stream.get_ref().set_nodelay(true);
         let (out, words) = async_channel::bounded(MOST_WAITING);
-        fleet.links.open.borrow_mut().insert(peer, Link { out, _dialling: None });
+        fleet.links.open.borrow_mut().insert(
+            peer,
+            Link {
+                out,
+                _dialling: None,
+            },
+        );
         let of = fleet.clone();
         let carrying = async move {
             carry(&of, &stream, peer, &words).await;
--- a/crates/server/src/fleet/look.rs
+++ b/crates/server/src/fleet/look.rs
@@ -13,16 +13,23 @@
     let mut stream = TcpStream::connect_timeout(&addr, LIMIT).map_err(wrong)?;
     stream.set_read_timeout(Some(LIMIT)).map_err(wrong)?;
     stream.set_write_timeout(Some(LIMIT)).map_err(wrong)?;
-    stream.write_all(&encode(&Word::Look.encode())).map_err(wrong)?;
+    stream
+        .write_all(&encode(&Word::Look.encode()))
+        .map_err(wrong)?;
     let (mut decoder, mut bytes) = (Decoder::default(), [0; 4_096]);
     let until = Instant::now() + LIMIT;
     while Instant::now() < until {
         let count = stream.read(&mut bytes).map_err(wrong)?;
         if count == 0 {
-            return Err(format!("{addr}: closed without an answer: expected the peers port of an instance"));
+            return Err(format!(
+                "{addr}: closed without an answer: expected the peers port of an instance"
+            ));
         }
         decoder.feed(&bytes[..count]);
-        while let Some(word) = decoder.word().map_err(|wrong| format!("{addr}: {}", wrong.0))? {
+        while let Some(word) = decoder
+            .word()
+            .map_err(|wrong| format!("{addr}: {}", wrong.0))?
+        {
             if let Some(Word::View(view)) = Word::decode(&word) {
                 return Ok(*view);
             }
@@ -47,8 +54,11 @@
     );
     for member in &view.members {
         let standing = format!("{:?}", member.standing).to_lowercase();
-        let _ =
-            writeln!(text, "  {} (life {}) in zone {}: {standing}", member.name, member.life, member.zone);
+        let _ = writeln!(
+            text,
+            "  {} (life {}) in zone {}: {standing}",
+            member.name, member.life, member.zone
+        );
     }
     for (budget, units) in &view.shares {
         let _ = writeln!(text, "  may use {units} of {budget}");
@@ -56,15 +66,29 @@
     for budget in &view.budgets {
         let used: u32 = budget.shares.iter().map(|s| s.amount).sum();
         let (name, whole, linger) = (&budget.name, budget.whole, budget.linger_ms);
-        let _ = writeln!(text, "budget {name}: {used} of {whole} lent, a unit lingers up to {linger} ms");
+        let _ = writeln!(
+            text,
+            "budget {name}: {used} of {whole} lent, a unit lingers up to {linger} ms"
+        );
         for share in &budget.shares {
-            let back = if share.fenced { ", kept back: its lease ran out" } else { "" };
-            let _ = writeln!(text, "  {} {}, epoch {}{back}", share.holder, share.amount, share.epoch);
+            let back = if share.fenced {
+                ", kept back: its lease ran out"
+            } else {
+                ""
+            };
+            let _ = writeln!(
+                text,
+                "  {} {}, epoch {}{back}",
+                share.holder, share.amount, share.epoch
+            );
         }
     }
     for back in &view.held_back {
         let (units, budget, holder, ms) = (back.units, &back.budget, &back.holder, back.for_ms);
-        let _ = writeln!(text, "held back: {units} of {budget} for {holder}, {ms} ms more at the most");
+        let _ = writeln!(
+            text,
+            "held back: {units} of {budget} for {holder}, {ms} ms more at the most"
+        );
     }
     text
 }
