--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -75,14 +75,32 @@
 
 /// Opens the folder and the port. An error says in one line what is wrong.
 pub fn start(
-    operator: &Operator, peers: &Peers, clock: Clock, executor: Rc<LocalExecutor<'static>>, seed: u64,
+    operator: &Operator,
+    peers: &Peers,
+    clock: Clock,
+    executor: Rc<LocalExecutor<'static>>,
+    seed: u64,
 ) -> Result<Started, String> {
     let at = |what: String| format!("{}:{}: peers: {what}", peers.at.file, peers.at.line);
-    let (listener, datagrams) = bind(peers.listen)
-        .map_err(|e| at(format!("listen = {:?}: cannot listen there: {e}", peers.listen.to_string())))?;
-    let home = peers.data.as_ref().map(|folder| disk::Home::open(folder)).transpose().map_err(at)?;
+    let (listener, datagrams) = bind(peers.listen).map_err(|e| {
+        at(format!(
+            "listen = {:?}: cannot listen there: {e}",
+            peers.listen.to_string()
+        ))
+    })?;
+    let home = peers
+        .data
+        .as_ref()
+        .map(|folder| disk::Home::open(folder))
+        .transpose()
+        .map_err(at)?;
     let keeps = peers.keepers.iter().any(|(name, _)| *name == peers.name);
-    let opened = home.as_ref().filter(|_| keeps).map(disk::Home::registry).transpose().map_err(at)?;
+    let opened = home
+        .as_ref()
+        .filter(|_| keeps)
+        .map(disk::Home::registry)
+        .transpose()
+        .map_err(at)?;
     let (writer, saved, stored) = match opened {
         Some((db, saved)) => {
             let (writer, stored) = disk::Writer::start(db).map_err(|e| at(e.to_string()))?;
@@ -90,7 +108,9 @@
         }
         None => (None, None, None),
     };
-    let (life, former) = home.as_ref().map_or_else(|| (disk::fresh(), None), |home| (home.life, home.former));
+    let (life, former) = home
+        .as_ref()
+        .map_or_else(|| (disk::fresh(), None), |home| (home.life, home.former));
     let terms = Terms {
         lease: Time(peers.lease),
         slip: Time(peers.longest_stop),
@@ -107,7 +127,10 @@
         addr: peers.advertise.unwrap_or(bound),
         probe: Time(peers.probe),
         suspicion: operator.keeps("suspicion"),
-        me: Holder { name: peers.name.clone(), life },
+        me: Holder {
+            name: peers.name.clone(),
+            life,
+        },
         former,
         keepers: peers.keepers.iter().cloned().collect(),
         wholes: wholes(operator),
@@ -128,25 +151,42 @@
         own: peers.clone(),
     });
     tracing::info!(name = peers.name, life, listen = %bound, "among peers");
-    Ok(Started { fleet, listener, stored, _home: home })
+    Ok(Started {
+        fleet,
+        listener,
+        stored,
+        _home: home,
+    })
 }
 
 impl Started {
     /// Serves the links, the disk and the instance's own timers; does not end.
     pub async fn run(self) {
-        let Started { fleet, listener, stored, _home } = self;
+        let Started {
+            fleet,
+            listener,
+            stored,
+            _home,
+        } = self;
         let hearing = fleet.executor.spawn(fleet.clone().datagrams());
         let accepting = fleet.executor.spawn(links::accept(fleet.clone(), listener));
         let storing = stored.map(|stored| fleet.executor.spawn(fleet.clone().store(stored)));
         loop {
             let now = fleet.clock.now();
             fleet.with(|instance| instance.timer(now));
-            let next = fleet.instance.borrow().next().min(now + LOOK).max(now + Time(1));
+            let next = fleet
+                .instance
+                .borrow()
+                .next()
+                .min(now + LOOK)
+                .max(now + Time(1));
             Timer::at(fleet.clock.instant(next)).await;
             // A task that ended by a panic must not be missed.
             if accepting.is_finished()
                 || hearing.is_finished()
-                || storing.as_ref().is_some_and(async_executor::Task::is_finished)
+                || storing
+                    .as_ref()
+                    .is_some_and(async_executor::Task::is_finished)
             {
                 break;
             }
@@ -180,7 +220,10 @@
     pub fn starts(&self, dependency: &str, value: f64) {
         let mut learnt = self.learnt.borrow_mut();
         for budget in [budget_of(dependency), rate_of(dependency)] {
-            let one = learnt.entry(budget).or_insert(Learnt { need: 0.0, worth: value });
+            let one = learnt.entry(budget).or_insert(Learnt {
+                need: 0.0,
+                worth: value,
+            });
             one.worth += (value - one.worth) * LEARNS;
         }
     }
@@ -191,7 +234,11 @@
             let mut learnt = self.learnt.borrow_mut();
             let mut instance = self.instance.borrow_mut();
             for one in uses {
-                let name = if one.rate { rate_of(&one.dependency) } else { budget_of(&one.dependency) };
+                let name = if one.rate {
+                    rate_of(&one.dependency)
+                } else {
+                    budget_of(&one.dependency)
+                };
                 let known = learnt.entry(name.clone()).or_default();
                 known.need = (known.need * FADES).max(one.need as f64);
                 let usage = Usage {
@@ -220,7 +267,14 @@
     pub fn differs(&self, new: &Peers) -> bool {
         let fixed = |p: &Peers| {
             let times = (p.lease, p.longest_stop, p.probe);
-            (p.name.clone(), p.zone.clone(), p.listen, p.advertise, p.data.clone(), times)
+            (
+                p.name.clone(),
+                p.zone.clone(),
+                p.listen,
+                p.advertise,
+                p.data.clone(),
+                times,
+            )
         };
         fixed(&self.own) != fixed(new)
     }
@@ -264,7 +318,10 @@
             match result {
                 Ok(number) => self.with(|instance| instance.stored(now, number)),
                 Err(wrong) => {
-                    tracing::error!(wrong, "the registry's disk failed; this keeper takes part no longer");
+                    tracing::error!(
+                        wrong,
+                        "the registry's disk failed; this keeper takes part no longer"
+                    );
                     self.with(|instance| instance.store_failed(now));
                 }
             }
@@ -278,7 +335,9 @@
             match effect {
                 Effect::Send { to, bytes } => self.links.send(self, to, &bytes),
                 // One that cannot go out at once is lost, as any may be on its way.
-                Effect::Datagram { to, bytes } => drop(self.datagrams.get_ref().send_to(&bytes, to)),
+                Effect::Datagram { to, bytes } => {
+                    drop(self.datagrams.get_ref().send_to(&bytes, to))
+                }
                 Effect::Store(write) => {
                     if let Some(disk) = &self.disk {
                         disk.write(write);
@@ -293,7 +352,11 @@
     fn refresh(&self, now: Time) {
         let instance = self.instance.borrow();
         for (name, lent) in self.lent.borrow().iter() {
-            lent.set(now, instance.ceiling(now, name) as usize, instance.until(name));
+            lent.set(
+                now,
+                instance.ceiling(now, name) as usize,
+                instance.until(name),
+            );
         }
     }
 }
@@ -301,20 +364,34 @@
 /// One line in the log for each change.
 fn told(change: &Change) {
     match change {
-        Change::Share { budget, before, now, epoch } => {
+        Change::Share {
+            budget,
+            before,
+            now,
+            epoch,
+        } => {
             tracing::debug!(budget, before, now, epoch = epoch.0, "its share changed");
         }
         Change::Lease(true) => tracing::info!("the lease of its shares is in force"),
         Change::Lease(false) => {
-            tracing::warn!("the lease of its shares is over: it uses nothing of the fleet's budgets")
+            tracing::warn!(
+                "the lease of its shares is over: it uses nothing of the fleet's budgets"
+            )
         }
         Change::Leads(true) => tracing::info!("leads the registry"),
         Change::Leads(false) => tracing::info!("leads the registry no longer"),
         Change::Founded(keepers) => tracing::info!(keepers, "the registry is founded"),
         Change::Up(member) => {
-            tracing::info!(name = member.name, zone = member.zone, life = member.life, "a member is there")
+            tracing::info!(
+                name = member.name,
+                zone = member.zone,
+                life = member.life,
+                "a member is there"
+            )
+        }
+        Change::Down(member) => {
+            tracing::warn!(name = member.name, life = member.life, "a member is gone")
         }
-        Change::Down(member) => tracing::warn!(name = member.name, life = member.life, "a member is gone"),
         Change::Refuted => tracing::warn!("others took this instance for dead; it says otherwise"),
         Change::Doubled(member) => {
             tracing::error!(name = member.name, addr = %member.addr, "another process has this instance's name");
--- a/crates/server/src/health.rs
+++ b/crates/server/src/health.rs
@@ -26,7 +26,11 @@
     /// What a check hears at once; none where only a test can tell.
     pub fn answer(&self, deep: bool, engine_up: bool) -> Option<bool> {
         let out = self.tests.len() >= MOST_TESTS || !engine_up;
-        self.stored.or(if out { Some(false) } else { (!deep).then_some(true) })
+        self.stored.or(if out {
+            Some(false)
+        } else {
+            (!deep).then_some(true)
+        })
     }
 
     pub fn testing(&mut self, now: Time, tag: Tag, conn: ConnId, stream: Stream) {
@@ -34,13 +38,22 @@
     }
 
     pub fn tested(&mut self, tag: Tag) -> Option<(ConnId, Stream)> {
-        self.tests.remove(&tag).map(|(_, conn, stream)| (conn, stream))
+        self.tests
+            .remove(&tag)
+            .map(|(_, conn, stream)| (conn, stream))
     }
 
     /// The checks that have waited long enough.
     pub fn overdue(&mut self, now: Time) -> Vec<(ConnId, Stream)> {
-        let late: Vec<_> = self.tests.iter().filter(|(_, t)| t.0 <= now).map(|(tag, _)| *tag).collect();
-        late.into_iter().filter_map(|tag| self.tested(tag)).collect()
+        let late: Vec<_> = self
+            .tests
+            .iter()
+            .filter(|(_, t)| t.0 <= now)
+            .map(|(tag, _)| *tag)
+            .collect();
+        late.into_iter()
+            .filter_map(|tag| self.tested(tag))
+            .collect()
     }
 
     pub fn next(&self) -> Option<Time> {
--- a/crates/server/src/intake.rs
+++ b/crates/server/src/intake.rs
@@ -61,7 +61,14 @@
         // The writer ends the connection once the desk has settled what is open.
         std::future::pending().await
     };
-    let ended = reading.or(answer::write(&stream, outgoing, &progress, front.write_timeout)).await;
+    let ended = reading
+        .or(answer::write(
+            &stream,
+            outgoing,
+            &progress,
+            front.write_timeout,
+        ))
+        .await;
     drop(over);
     // From here on nothing that comes is handed on: what is read after the half-close could not be answered.
     if ended == Written::All && stream.get_ref().shutdown(Shutdown::Write).is_ok() {
@@ -78,21 +85,34 @@
         Ok(0)
     };
     let some = |stream: &TcpStream| front.room.read(|bytes| (&mut &*stream).read(bytes), |_| {});
-    while !front.room.full() && stream.read_with(some).or(quiet()).await.is_ok_and(|count| count > 0) {
+    while !front.room.full()
+        && stream
+            .read_with(some)
+            .or(quiet())
+            .await
+            .is_ok_and(|count| count > 0)
+    {
         future::yield_now().await;
     }
 }
 
 /// Reads until the sidecar ends its side, or the desk has let it go.
 async fn read(
-    conn: ConnId, stream: &Async<TcpStream>, front: &Front, progress: &Progress, over: &Receiver<Outgoing>,
+    conn: ConnId,
+    stream: &Async<TcpStream>,
+    front: &Front,
+    progress: &Progress,
+    over: &Receiver<Outgoing>,
 ) -> Result<End, Malformed> {
     let mut decoder = Decoder::new(front.names.clone());
     let mut part = front.room.part();
     let mut whole_by = Some(Instant::now() + WHOLE_WITHIN);
     loop {
         let mut take = |stream: &TcpStream| {
-            front.room.read(|bytes| (&mut &*stream).read(bytes), |bytes| decoder.feed(bytes))
+            front.room.read(
+                |bytes| (&mut &*stream).read(bytes),
+                |bytes| decoder.feed(bytes),
+            )
         };
         let late = async {
             match whole_by {
--- a/crates/server/src/keys.rs
+++ b/crates/server/src/keys.rs
@@ -46,7 +46,10 @@
     /// Keeps a req's entry for what comes before `until`, or while it is open, and for `tail` longer for what of
     /// that is read late. The entry moves here from an older req.
     pub fn keep(&mut self, id: ReqId, key: IdempotencyKey, until: Option<Time>, tail: Time) {
-        let outcome = self.entries.get(&id).map_or(Outcome::Open, |e| e.outcome.clone());
+        let outcome = self
+            .entries
+            .get(&id)
+            .map_or(Outcome::Open, |e| e.outcome.clone());
         if let Some(older) = self.by_key.insert(key.clone(), id) {
             self.drop_entry(older);
         }
@@ -54,7 +57,15 @@
         if let Outcome::Done(Some(result)) = &outcome {
             self.bytes += result.size();
         }
-        self.entries.insert(id, Entry { key, until, tail, outcome });
+        self.entries.insert(
+            id,
+            Entry {
+                key,
+                until,
+                tail,
+                outcome,
+            },
+        );
         if let Some(until) = until {
             self.ends.insert((until + tail, id), ());
         }
@@ -79,8 +90,17 @@
 
     /// Notes how a kept req ended; an open read's entry stays for `fresh` if it went well, else it goes. Results
     /// take `most` bytes; past that the oldest go, and their repeats are errored.
-    pub fn ended(&mut self, now: Time, id: ReqId, result: Option<Rc<Output>>, fresh: Time, most: usize) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+    pub fn ended(
+        &mut self,
+        now: Time,
+        id: ReqId,
+        result: Option<Rc<Output>>,
+        fresh: Time,
+        most: usize,
+    ) {
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         let read = entry.until.is_none();
         entry.outcome = result.map_or(Outcome::Failed, |result| Outcome::Done(Some(result)));
         let went_well = matches!(entry.outcome, Outcome::Done(_));
@@ -97,7 +117,9 @@
         }
         let mut oldest = self.entries.iter_mut();
         while self.bytes > most {
-            let Some((_, entry)) = oldest.next() else { break };
+            let Some((_, entry)) = oldest.next() else {
+                break;
+            };
             if let Outcome::Done(result) = &mut entry.outcome {
                 self.bytes -= result.take().map_or(0, |r| r.size());
             }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -67,7 +67,11 @@
 
 /// What is in force, for people.
 fn checked(config: &Config) -> String {
-    let summary = config.operator.as_ref().map(|o| o.summary(&config.known())).unwrap_or_default();
+    let summary = config
+        .operator
+        .as_ref()
+        .map(|o| o.summary(&config.known()))
+        .unwrap_or_default();
     format!("{}: the configuration is good\n{summary}", config.name)
 }
 
@@ -87,8 +91,10 @@
                 Err(wrong) => return fail(&format!("cannot watch for signals: {wrong}"), 1),
             };
             let mut sources = usage.sources;
-            sources.config =
-                sources.config.or_else(|| std::env::var("GW_CONFIG").ok()).filter(|p| !p.is_empty());
+            sources.config = sources
+                .config
+                .or_else(|| std::env::var("GW_CONFIG").ok())
+                .filter(|p| !p.is_empty());
             let config = match sources.read() {
                 Ok(read) => read,
                 Err(wrong) => return fail(&wrong, 2),
@@ -97,7 +103,9 @@
                 print!("{}", checked(&config));
                 return ExitCode::SUCCESS;
             };
-            let log = tracing_subscriber::fmt().with_max_level(usage.log).with_ansi(false);
+            let log = tracing_subscriber::fmt()
+                .with_max_level(usage.log)
+                .with_ansi(false);
             log.with_writer(std::io::stderr).init();
             if let Err(wrong) = serve::serve(signals, sources, config) {
                 return fail(&wrong, 1);
@@ -106,8 +114,9 @@
         "peers" => {
             let addr = usage.addr.unwrap_or_default();
             let Ok(addr) = addr.parse() else {
-                let what =
-                    format!("peers {addr:?}: expected an IP address with a port such as 127.0.0.1:7100");
+                let what = format!(
+                    "peers {addr:?}: expected an IP address with a port such as 127.0.0.1:7100"
+                );
                 return fail(&what, 2);
             };
             match fleet::look::look(addr) {
@@ -116,7 +125,12 @@
                 Err(wrong) => return fail(&wrong, 1),
             }
         }
-        other => return fail(&format!("unknown command {other:?}; see cottondyke --help"), 2),
+        other => {
+            return fail(
+                &format!("unknown command {other:?}; see cottondyke --help"),
+                2,
+            )
+        }
     }
     ExitCode::SUCCESS
 }
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -76,7 +76,9 @@
     loop {
         let count = stream.read(&mut read).await?;
         decoder.feed(&read[..count]);
-        let reply = decoder.reply().map_err(|wrong| io::Error::new(io::ErrorKind::InvalidData, wrong.0))?;
+        let reply = decoder
+            .reply()
+            .map_err(|wrong| io::Error::new(io::ErrorKind::InvalidData, wrong.0))?;
         match reply {
             Some(reply) if (200..300).contains(&reply.status) => return Ok(()),
             Some(reply) => return Err(io::Error::other(format!("answered {}", reply.status))),
--- a/crates/server/src/room.rs
+++ b/crates/server/src/room.rs
@@ -62,7 +62,10 @@
     /// How many connections there are, and how many should stay.
     pub fn connections(&self) -> (usize, usize) {
         let most = self.connections.get();
-        (self.taken.get(), ((most as f64 * SOFT_PART) as usize).max(1))
+        (
+            self.taken.get(),
+            ((most as f64 * SOFT_PART) as usize).max(1),
+        )
     }
 
     pub fn part(self: &Rc<Self>) -> Part {
@@ -76,7 +79,9 @@
 
     /// Hands what `read` brings to `take`, before anything else can be read.
     pub fn read(
-        &self, read: impl FnOnce(&mut [u8]) -> io::Result<usize>, take: impl FnOnce(&[u8]),
+        &self,
+        read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
+        take: impl FnOnce(&[u8]),
     ) -> io::Result<usize> {
         let mut bytes = self.bytes.borrow_mut();
         let count = read(&mut bytes)?;
--- a/crates/server/src/run.rs
+++ b/crates/server/src/run.rs
@@ -74,7 +74,10 @@
 /// One link, from `ATTACH` until it breaks or `moving` ends; true if the engine said hello on it. A link that
 /// was left for it stays open a little: closed with notices unread, it could take the last commands with it.
 async fn attached(
-    stream: &Async<TcpStream>, last: &mut NoticeNo, desk: &Sender<Input>, moving: impl Future<Output = ()>,
+    stream: &Async<TcpStream>,
+    last: &mut NoticeNo,
+    desk: &Sender<Input>,
+    moving: impl Future<Output = ()>,
     before: &mut Option<Async<TcpStream>>,
 ) -> bool {
     let (outlet, commands) = async_channel::unbounded();
@@ -98,7 +101,9 @@
     tracing::warn!(why, "the link to the engine broke");
     commands.close();
     let left = unsent.into_iter().map(|(command, _)| command);
-    let left: Vec<_> = left.chain(std::iter::from_fn(|| commands.try_recv().ok())).collect();
+    let left: Vec<_> = left
+        .chain(std::iter::from_fn(|| commands.try_recv().ok()))
+        .collect();
     if greeted.is_some() {
         let _ = desk.send(Input::EngineDown(left)).await;
     }
@@ -106,7 +111,10 @@
 }
 
 async fn read(
-    stream: &Async<TcpStream>, last: &mut NoticeNo, desk: &Sender<Input>, outlet: Sender<Command>,
+    stream: &Async<TcpStream>,
+    last: &mut NoticeNo,
+    desk: &Sender<Input>,
+    outlet: Sender<Command>,
     greeted: &mut Option<()>,
 ) -> &'static str {
     let mut decoder = Decoder::default();
@@ -131,7 +139,10 @@
             let input = match notice {
                 Notice::Hello { age_ms } => {
                     *greeted = Some(());
-                    Input::EngineUp { age_ms, outlet: outlet.clone() }
+                    Input::EngineUp {
+                        age_ms,
+                        outlet: outlet.clone(),
+                    }
                 }
                 Notice::Remark(_) => {
                     *last = number.unwrap_or(*last);
@@ -153,12 +164,15 @@
 
 /// Writes commands; what was not written to its last byte stays in `unsent`.
 async fn write(
-    stream: &Async<TcpStream>, commands: &Receiver<Command>, unsent: &mut VecDeque<(Command, usize)>,
+    stream: &Async<TcpStream>,
+    commands: &Receiver<Command>,
+    unsent: &mut VecDeque<(Command, usize)>,
 ) -> &'static str {
     let mut bytes = Vec::new();
     while let Ok(first) = commands.recv().await {
         bytes.clear();
-        for command in std::iter::once(first).chain(std::iter::from_fn(|| commands.try_recv().ok())) {
+        for command in std::iter::once(first).chain(std::iter::from_fn(|| commands.try_recv().ok()))
+        {
             command.encode(&mut bytes);
             unsent.push_back((command, bytes.len()));
         }
@@ -202,7 +216,10 @@
     pub fn down(&mut self, unsent: Vec<Command>) {
         (self.outlet, self.fence, self.unanswered) = (None, None, None);
         let since = std::mem::take(&mut self.backlog);
-        unsent.into_iter().chain(since).for_each(|command| self.send(command));
+        unsent
+            .into_iter()
+            .chain(since)
+            .for_each(|command| self.send(command));
     }
 
     /// True once the fence is passed: now the backlog can go out.
@@ -218,7 +235,10 @@
     /// Sends what waited, after runs that may have been lost with the last link.
     pub fn resume(&mut self, again: Vec<Command>) {
         let backlog = std::mem::take(&mut self.backlog);
-        again.into_iter().chain(backlog).for_each(|command| self.send(command));
+        again
+            .into_iter()
+            .chain(backlog)
+            .for_each(|command| self.send(command));
     }
 
     pub fn waits(&self, command: &Command) -> bool {
@@ -240,7 +260,10 @@
             _ => command,
         };
         // Halts are asked for again and again; gauges and tests are of no use later.
-        let useless = matches!(command, Command::Stat(_) | Command::Test(_) | Command::Attach(_));
+        let useless = matches!(
+            command,
+            Command::Stat(_) | Command::Test(_) | Command::Attach(_)
+        );
         let twice = halt && self.backlog.contains(&command);
         if !useless && !twice {
             self.backlog.push(command);
@@ -251,7 +274,10 @@
     pub fn ask(&mut self, command: fn(Tag) -> Command) -> Option<Tag> {
         let tag = Tag(self.tags);
         self.tags += 1;
-        let sent = self.outlet.as_ref().is_some_and(|outlet| outlet.try_send(command(tag)).is_ok());
+        let sent = self
+            .outlet
+            .as_ref()
+            .is_some_and(|outlet| outlet.try_send(command(tag)).is_ok());
         sent.then_some(tag)
     }
 
--- a/crates/server/src/serve.rs
+++ b/crates/server/src/serve.rs
@@ -17,8 +17,8 @@
 /// Serves until the server has left; an error says in one line why it could not.
 /// `sources` are read anew on SIGHUP; `signals` have been caught since before they were first read.
 pub fn serve(signals: Signals, sources: Sources, config: Config) -> Result<(), String> {
-    let listener =
-        accept::bind(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
+    let listener = accept::bind(config.listen)
+        .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
     let listen = listener.get_ref().local_addr().unwrap_or(config.listen);
     let clock = Clock::start();
     let decider = config.decider(clock.now())?;
@@ -37,22 +37,49 @@
     tracing::info!(name = config.name, %listen, "serving");
 
     let write_timeout = answer::write_timeout(names.longest_ms);
-    let front = Front { names: Rc::new(names), room: room.clone(), desk: to_desk.clone(), write_timeout };
+    let front = Front {
+        names: Rc::new(names),
+        room: room.clone(),
+        desk: to_desk.clone(),
+        write_timeout,
+    };
     let accepting = accept::listen(executor.clone(), listener, Rc::new(front), closed);
     let accepting = executor.spawn(accepting);
     let (desk_of, name) = (to_desk.clone(), config.name.clone());
-    let running = config.engine.map(|engine| executor.spawn(run::keep(engine, moves, desk_of)));
-    let reporting = config.control.map(|control| executor.spawn(report::keep(control, name, changes)));
+    let running = config
+        .engine
+        .map(|engine| executor.spawn(run::keep(engine, moves, desk_of)));
+    let reporting = config
+        .control
+        .map(|control| executor.spawn(report::keep(control, name, changes)));
     let watching = executor.spawn(drain::watch(signals, sources, to_desk.clone()));
-    let among = config.operator.as_ref().and_then(|operator| Some((operator, operator.peers.as_ref()?)));
+    let among = config
+        .operator
+        .as_ref()
+        .and_then(|operator| Some((operator, operator.peers.as_ref()?)));
     let among = among
-        .map(|(operator, peers)| fleet::start(operator, peers, clock, executor.clone(), config.seed))
+        .map(|(operator, peers)| {
+            fleet::start(operator, peers, clock, executor.clone(), config.seed)
+        })
         .transpose()?;
     let fleet = among.as_ref().map(|started| started.fleet.clone());
     let among_peers = fleet.clone();
     let among = among.map(|started| executor.spawn(started.run()));
-    let lines = Lines { news, engine, close };
-    let desk = Desk::new(config, decider, clock, executor.clone(), to_desk, room, lines, fleet);
+    let lines = Lines {
+        news,
+        engine,
+        close,
+    };
+    let desk = Desk::new(
+        config,
+        decider,
+        clock,
+        executor.clone(),
+        to_desk,
+        room,
+        lines,
+        fleet,
+    );
     // Without any of these the server would be half alive: a panic in one ends it, with a word why.
     let all = desk
         .run(inputs)
--- a/crates/server/src/sources.rs
+++ b/crates/server/src/sources.rs
@@ -29,9 +29,10 @@
             (Some(path), None) => Config::read(path),
             (Some(path), Some(operator)) => Config::read(path)?.with(operator),
             (None, Some(operator)) => Config::alone(operator),
-            (None, None) => {
-                Err("no configuration: give --config FILE, --operator FILE or both, or set GW_CONFIG".into())
-            }
+            (None, None) => Err(
+                "no configuration: give --config FILE, --operator FILE or both, or set GW_CONFIG"
+                    .into(),
+            ),
         }
     }
 }
@@ -54,7 +55,9 @@
     let stdout = child.stdout.take();
     let reading = std::thread::spawn(move || {
         let mut text = Vec::new();
-        stdout.map_or(Ok(0), |out| out.take(MOST_RESULT).read_to_end(&mut text)).map(|_| text)
+        stdout
+            .map_or(Ok(0), |out| out.take(MOST_RESULT).read_to_end(&mut text))
+            .map(|_| text)
     });
     let start = Instant::now();
     let status = loop {
@@ -73,8 +76,11 @@
     };
     let text = reading.join().ok().and_then(Result::ok).unwrap_or_default();
     if !status.success() {
-        return Err(broke(format!("{EVALUATOR} ended with {status}: expected the script to need less")));
+        return Err(broke(format!(
+            "{EVALUATOR} ended with {status}: expected the script to need less"
+        )));
     }
-    let result: Result<Operator, Wrong> = serde_json::from_slice(&text).map_err(|e| broke(e.to_string()))?;
+    let result: Result<Operator, Wrong> =
+        serde_json::from_slice(&text).map_err(|e| broke(e.to_string()))?;
     result.map_err(|wrong| wrong.to_string())
 }
--- a/crates/server/src/time.rs
+++ b/crates/server/src/time.rs
@@ -41,7 +41,9 @@
 
 /// How long ago `at` (Unix milliseconds) was, rounded up; none where the clocks differ.
 pub fn since_unix(at: u64) -> Time {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     since(at, unix)
 }
 
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/wire/engine.rs
@@ -16,7 +16,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     Attach(NoticeNo),
-    Run { id: WireId, class: Rc<str>, body: Rc<[u8]> },
+    Run {
+        id: WireId,
+        class: Rc<str>,
+        body: Rc<[u8]>,
+    },
     Halt(WireId),
     Feed(WireId, Vec<u8>),
     Skip(WireId, NoticeNo),
@@ -36,7 +40,9 @@
         };
         match self {
             Command::Attach(last) => put(format!("ATTACH {}", last.0), None),
-            Command::Run { id, class, body } => put(format!("RUN {} {class}", id.as_str()), Some(body)),
+            Command::Run { id, class, body } => {
+                put(format!("RUN {} {class}", id.as_str()), Some(body))
+            }
             Command::Halt(id) => put(format!("HALT {}", id.as_str()), None),
             Command::Feed(id, body) => put(format!("FEED {}", id.as_str()), Some(body)),
             Command::Skip(id, need) => put(format!("SKIP {} {}", id.as_str(), need.0), None),
@@ -48,12 +54,32 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    Hello { age_ms: f64 },
-    Done { no: NoticeNo, id: WireId, end: RunEnd, result: Vec<u8> },
-    Need { no: NoticeNo, id: WireId, body: Vec<u8> },
-    Stats { tag: Tag, gauges: Vec<f64> },
-    Tested { tag: Tag, good: bool },
-    Refused { command: String, id: Option<WireId> },
+    Hello {
+        age_ms: f64,
+    },
+    Done {
+        no: NoticeNo,
+        id: WireId,
+        end: RunEnd,
+        result: Vec<u8>,
+    },
+    Need {
+        no: NoticeNo,
+        id: WireId,
+        body: Vec<u8>,
+    },
+    Stats {
+        tag: Tag,
+        gauges: Vec<f64>,
+    },
+    Tested {
+        tag: Tag,
+        good: bool,
+    },
+    Refused {
+        command: String,
+        id: Option<WireId>,
+    },
     Remark(Option<NoticeNo>),
     Unknown(String),
 }
@@ -82,12 +108,19 @@
     pub fn notice(&mut self) -> Result<Option<Notice>, Malformed> {
         let Some((line, end)) = self.pending.line() else {
             let long = self.pending.rest().len() > MOST_LINE;
-            return if long { Err(Malformed("a line without an end")) } else { Ok(None) };
+            return if long {
+                Err(Malformed("a line without an end"))
+            } else {
+                Ok(None)
+            };
         };
         let line = std::str::from_utf8(line).map_err(|_| Malformed("a line is not text"))?;
         let words: Vec<&str> = line.split(' ').collect();
         let length = match words[0] {
-            "DONE" | "NEED" => words.last().and_then(|w| w.parse().ok()).ok_or(Malformed("no length"))?,
+            "DONE" | "NEED" => words
+                .last()
+                .and_then(|w| w.parse().ok())
+                .ok_or(Malformed("no length"))?,
             _ => 0,
         };
         if length > MOST_BODY {
@@ -95,9 +128,13 @@
         }
         let with_body = matches!(words[0], "DONE" | "NEED");
         let whole = end + if with_body { length + 2 } else { 0 };
-        let Some(body) = self.pending.rest().get(end..whole) else { return Ok(None) };
+        let Some(body) = self.pending.rest().get(end..whole) else {
+            return Ok(None);
+        };
         let body = if with_body {
-            body.strip_suffix(b"\r\n").ok_or(Malformed("a body without its end"))?.to_vec()
+            body.strip_suffix(b"\r\n")
+                .ok_or(Malformed("a body without its end"))?
+                .to_vec()
         } else {
             Vec::new()
         };
@@ -110,9 +147,12 @@
 fn notice(words: &[&str], body: Vec<u8>) -> Option<Notice> {
     let number = |w: &str| w.parse().ok();
     Some(match *words {
-        ["HELLO", _, ms] => {
-            Notice::Hello { age_ms: ms.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0)? }
-        }
+        ["HELLO", _, ms] => Notice::Hello {
+            age_ms: ms
+                .parse::<f64>()
+                .ok()
+                .filter(|ms| ms.is_finite() && *ms >= 0.0)?,
+        },
         ["DONE", no, id, end, _, _] => {
             let end = match end {
                 "fine" => RunEnd::Done,
@@ -121,15 +161,33 @@
                 "late" => RunEnd::Void,
                 _ => return None,
             };
-            Notice::Done { no: NoticeNo(number(no)?), id: WireId::new(id)?, end, result: body }
+            Notice::Done {
+                no: NoticeNo(number(no)?),
+                id: WireId::new(id)?,
+                end,
+                result: body,
+            }
         }
-        ["NEED", no, id, _] => Notice::Need { no: NoticeNo(number(no)?), id: WireId::new(id)?, body },
+        ["NEED", no, id, _] => Notice::Need {
+            no: NoticeNo(number(no)?),
+            id: WireId::new(id)?,
+            body,
+        },
         ["STATS", tag, ref gauges @ ..] => Notice::Stats {
             tag: Tag(number(tag)?),
-            gauges: gauges.iter().map(|g| g.parse().unwrap_or(f64::NAN)).collect(),
+            gauges: gauges
+                .iter()
+                .map(|g| g.parse().unwrap_or(f64::NAN))
+                .collect(),
+        },
+        ["TESTED", tag, end] => Notice::Tested {
+            tag: Tag(number(tag)?),
+            good: end == "fine",
+        },
+        ["NO", command, id] => Notice::Refused {
+            command: command.to_string(),
+            id: WireId::new(id),
         },
-        ["TESTED", tag, end] => Notice::Tested { tag: Tag(number(tag)?), good: end == "fine" },
-        ["NO", command, id] => Notice::Refused { command: command.to_string(), id: WireId::new(id) },
         ["NOTE", no, ..] => Notice::Remark(number(no).map(NoticeNo)),
         _ => Notice::Unknown(words.join(" ")),
     })
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -5,7 +5,14 @@
 const MOST_BODY: usize = 262_144;
 
 /// Appends a request with a body. Names and values hold no line ends.
-pub fn request(verb: &str, path: &str, host: &str, headers: &[(&str, &str)], body: &[u8], to: &mut Vec<u8>) {
+pub fn request(
+    verb: &str,
+    path: &str,
+    host: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+    to: &mut Vec<u8>,
+) {
     let mut head = format!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n");
     for (name, value) in headers {
         head += &format!("{name}: {value}\r\n");
@@ -55,14 +62,20 @@
             let rest = self.pending.rest();
             let Some(end) = head_end(rest) else {
                 let long = rest.len() > MOST_HEAD;
-                return if long { Err(Malformed("a head without an end")) } else { Ok(None) };
+                return if long {
+                    Err(Malformed("a head without an end"))
+                } else {
+                    Ok(None)
+                };
             };
             let head = head(&rest[..end])?;
             self.pending.take(end);
             // A reply before the reply says nothing.
             self.head = Some(head).filter(|(reply, _)| reply.status >= 200);
         }
-        let Some((mut reply, body)) = self.head.take() else { return Ok(None) };
+        let Some((mut reply, body)) = self.head.take() else {
+            return Ok(None);
+        };
         match body {
             Body::Sized(length) if self.pending.rest().len() >= length => {
                 reply.body = self.pending.rest()[..length].to_vec();
@@ -70,7 +83,9 @@
                 return Ok(Some(reply));
             }
             Body::Chunked if self.chunks(&mut reply.body)? => return Ok(Some(reply)),
-            _ if self.pending.rest().len() > MOST_BODY => return Err(Malformed("a body is too long")),
+            _ if self.pending.rest().len() > MOST_BODY => {
+                return Err(Malformed("a body is too long"))
+            }
             _ => {}
         }
         self.head = Some((reply, body));
@@ -82,42 +97,72 @@
         loop {
             let Some((line, end)) = self.pending.line() else {
                 let long = self.pending.rest().len() > MOST_HEAD;
-                return if long { Err(Malformed("a chunk without a size")) } else { Ok(false) };
+                return if long {
+                    Err(Malformed("a chunk without a size"))
+                } else {
+                    Ok(false)
+                };
             };
-            let size = std::str::from_utf8(line).ok().and_then(|l| l.split(';').next());
+            let size = std::str::from_utf8(line)
+                .ok()
+                .and_then(|l| l.split(';').next());
             let size = size.and_then(|s| usize::from_str_radix(s.trim(), 16).ok());
-            let size = size.filter(|s| *s <= MOST_BODY - to.len()).ok_or(Malformed("a chunk's size"))?;
+            let size = size
+                .filter(|s| *s <= MOST_BODY - to.len())
+                .ok_or(Malformed("a chunk's size"))?;
             if size == 0 {
                 let trailer = &self.pending.rest()[end..];
-                let done = trailer.starts_with(b"\r\n").then_some(2).or_else(|| head_end(trailer));
+                let done = trailer
+                    .starts_with(b"\r\n")
+                    .then_some(2)
+                    .or_else(|| head_end(trailer));
                 if let Some(length) = done {
                     self.pending.take(end + length);
                 }
                 return Ok(done.is_some());
             }
-            let Some(chunk) = self.pending.rest().get(end..end + size + 2) else { return Ok(false) };
-            to.extend(chunk.strip_suffix(b"\r\n").ok_or(Malformed("a chunk without its end"))?);
+            let Some(chunk) = self.pending.rest().get(end..end + size + 2) else {
+                return Ok(false);
+            };
+            to.extend(
+                chunk
+                    .strip_suffix(b"\r\n")
+                    .ok_or(Malformed("a chunk without its end"))?,
+            );
             self.pending.take(end + size + 2);
         }
     }
 }
 
 fn head_end(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4)
+    bytes
+        .windows(4)
+        .position(|w| w == b"\r\n\r\n")
+        .map(|at| at + 4)
 }
 
 fn head(bytes: &[u8]) -> Result<(Reply, Body), Malformed> {
     let text = std::str::from_utf8(bytes).map_err(|_| Malformed("a head is not text"))?;
     let mut lines = text.split("\r\n");
     let mut first = lines.next().unwrap_or_default().splitn(3, ' ');
-    let version = first.next().filter(|v| v.starts_with("HTTP/1.")).ok_or(Malformed("not HTTP/1"))?;
+    let version = first
+        .next()
+        .filter(|v| v.starts_with("HTTP/1."))
+        .ok_or(Malformed("not HTTP/1"))?;
     let mut close = version == "HTTP/1.0";
-    let status = first.next().filter(|s| s.len() == 3).and_then(|s| s.parse::<u16>().ok());
-    let status = status.filter(|s| (100..600).contains(s)).ok_or(Malformed("no status"))?;
+    let status = first
+        .next()
+        .filter(|s| s.len() == 3)
+        .and_then(|s| s.parse::<u16>().ok());
+    let status = status
+        .filter(|s| (100..600).contains(s))
+        .ok_or(Malformed("no status"))?;
     let mut body = (status != 200).then_some(Body::Sized(0));
     let (bodiless, mut not_begun) = (body.is_some(), false);
     for line in lines.filter(|l| !l.is_empty()) {
-        let (name, value) = line.split_once(':').ok_or(Malformed("a header without a colon"))?;
+        let (name, value) = line
+            .split_once(':')
+            .ok_or(Malformed("a header without a colon"))?;
         let (name, value) = (name.to_ascii_lowercase(), value.trim());
         match name.as_str() {
             "content-length" if body != Some(Body::Chunked) && !bodiless => {
@@ -131,14 +176,30 @@
             }
             "transfer-encoding" if !bodiless => {
                 let chunked = value.eq_ignore_ascii_case("chunked");
-                body = if chunked { Some(Body::Chunked) } else { Err(Malformed("an unknown encoding"))? };
+                body = if chunked {
+                    Some(Body::Chunked)
+                } else {
+                    Err(Malformed("an unknown encoding"))?
+                };
+            }
+            "connection" => {
+                close |= value
+                    .split(',')
+                    .any(|v| v.trim().eq_ignore_ascii_case("close"))
             }
-            "connection" => close |= value.split(',').any(|v| v.trim().eq_ignore_ascii_case("close")),
             "op-not-begun" => not_begun = value == "1",
             _ => {}
         }
     }
     // One that ends with its connection may have been cut short: it is not believed.
     let body = body.ok_or(Malformed("a body without a length"))?;
-    Ok((Reply { status, not_begun, close, body: Vec::new() }, body))
+    Ok((
+        Reply {
+            status,
+            not_begun,
+            close,
+            body: Vec::new(),
+        },
+        body,
+    ))
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -59,7 +59,10 @@
 impl WireId {
     pub fn new(text: &str) -> Option<Self> {
         let bytes: [u8; 16] = text.as_bytes().try_into().ok()?;
-        bytes.iter().all(u8::is_ascii_hexdigit).then_some(WireId(bytes))
+        bytes
+            .iter()
+            .all(u8::is_ascii_hexdigit)
+            .then_some(WireId(bytes))
     }
 
     pub fn as_str(&self) -> &str {
--- a/crates/server/src/wire/peers.rs
+++ b/crates/server/src/wire/peers.rs
@@ -26,13 +26,20 @@
     /// The next word; none until all of it has come.
     pub fn word(&mut self) -> Result<Option<Vec<u8>>, Malformed> {
         let rest = self.0.rest();
-        let Some(head) = rest.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = rest.first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         if !(TAG.len()..=MOST_WORD + TAG.len()).contains(&length) {
             return Err(Malformed("a frame of a length that no word has"));
         }
-        let Some(frame) = rest.get(HEAD..HEAD + length) else { return Ok(None) };
-        let word = frame.strip_prefix(&TAG).ok_or(Malformed("a frame that is no word"))?.to_vec();
+        let Some(frame) = rest.get(HEAD..HEAD + length) else {
+            return Ok(None);
+        };
+        let word = frame
+            .strip_prefix(&TAG)
+            .ok_or(Malformed("a frame that is no word"))?
+            .to_vec();
         self.0.take(HEAD + length);
         Ok(Some(word))
     }
--- a/crates/server/src/wire/sidecar.rs
+++ b/crates/server/src/wire/sidecar.rs
@@ -81,7 +81,12 @@
 
 impl Decoder {
     pub fn new(names: Rc<Names>) -> Self {
-        Decoder { names, pending: Pending::default(), through: 0, ahead: BTreeSet::new() }
+        Decoder {
+            names,
+            pending: Pending::default(),
+            through: 0,
+            ahead: BTreeSet::new(),
+        }
     }
 
     pub fn feed(&mut self, bytes: &[u8]) {
@@ -96,20 +101,29 @@
     /// The next message, once it has come whole. After an error nothing more can be decoded.
     pub fn message(&mut self) -> Result<Option<Message>, Malformed> {
         let rest = self.pending.rest();
-        let Some(head) = rest.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = rest.first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         if !LENGTH.contains(&length) {
             return Err(Malformed("a frame's length is out of bounds"));
         }
-        let Some(frame) = rest.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(frame) = rest.get(HEAD..HEAD + length) else {
+            return Ok(None);
+        };
         let stream = Stream(u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]));
         let (kind, payload) = (frame[0], &frame[5..]);
         let message = match kind {
             REQUEST if stream.0 == 0 => return Err(Malformed("a req on stream 0")),
-            REQUEST => req(&self.names, stream, payload).unwrap_or_else(|why| Message::Unfit(stream, why)),
+            REQUEST => {
+                req(&self.names, stream, payload).unwrap_or_else(|why| Message::Unfit(stream, why))
+            }
             CHECK => {
                 let deep = fields(payload).map(|(fields, _)| fields.contains(&("deep", "1")));
-                Message::Check { stream, deep: deep.map_err(Malformed)? }
+                Message::Check {
+                    stream,
+                    deep: deep.map_err(Malformed)?,
+                }
             }
             CANCEL if stream.0 > 0 => Message::Cancel(stream),
             _ => return Err(Malformed("a frame of unknown type")),
@@ -135,20 +149,31 @@
 type Fields<'a> = Vec<(&'a str, &'a str)>;
 
 fn text<'a>(bytes: &mut &'a [u8], size: usize) -> Result<&'a str, &'static str> {
-    let (text, rest) = bytes.split_at_checked(size).ok_or("a field reaches past its frame")?;
+    let (text, rest) = bytes
+        .split_at_checked(size)
+        .ok_or("a field reaches past its frame")?;
     *bytes = rest;
     std::str::from_utf8(text).map_err(|_| "a field is not text")
 }
 
 fn fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), &'static str> {
-    let (count, mut rest) = payload.split_first().ok_or("a frame without its count of fields")?;
+    let (count, mut rest) = payload
+        .split_first()
+        .ok_or("a frame without its count of fields")?;
     let mut fields = Vec::new();
     for _ in 0..*count {
-        let size = rest.split_off_first().ok_or("a field reaches past its frame")?;
+        let size = rest
+            .split_off_first()
+            .ok_or("a field reaches past its frame")?;
         let name = text(&mut rest, usize::from(*size))?;
-        let (size, after) = rest.split_first_chunk::<2>().ok_or("a field reaches past its frame")?;
+        let (size, after) = rest
+            .split_first_chunk::<2>()
+            .ok_or("a field reaches past its frame")?;
         rest = after;
-        fields.push((name, text(&mut rest, usize::from(u16::from_be_bytes(*size)))?));
+        fields.push((
+            name,
+            text(&mut rest, usize::from(u16::from_be_bytes(*size)))?,
+        ));
     }
     Ok((fields, rest))
 }
@@ -161,13 +186,28 @@
         found.next().map_or(Ok(first), |_| Err(twice))
     };
     let number = |text: Option<&str>, wrong: &'static str| {
-        let parse = |t: &str| t.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0).ok_or(wrong);
+        let parse = |t: &str| {
+            t.parse::<f64>()
+                .ok()
+                .filter(|n| n.is_finite() && *n >= 0.0)
+                .ok_or(wrong)
+        };
         text.map(parse).transpose()
     };
     let class = one("class", "class repeated")?.ok_or("class missing")?;
-    let handler = names.handlers.iter().position(|n| n == class).ok_or("unknown handler")?;
+    let handler = names
+        .handlers
+        .iter()
+        .position(|n| n == class)
+        .ok_or("unknown handler")?;
     let customer = match one("tenant", "tenant repeated")? {
-        Some(name) => Some(names.customers.iter().position(|n| n == name).ok_or("unknown customer")?),
+        Some(name) => Some(
+            names
+                .customers
+                .iter()
+                .position(|n| n == name)
+                .ok_or("unknown customer")?,
+        ),
         None if names.customers.is_empty() => None,
         None => return Err("tenant missing"),
     };
@@ -240,7 +280,10 @@
 impl Reply {
     /// Whether it is the final answer to a req.
     pub fn settles(&self) -> bool {
-        matches!(self, Reply::Done(..) | Reply::Shed { .. } | Reply::Errored(_))
+        matches!(
+            self,
+            Reply::Done(..) | Reply::Shed { .. } | Reply::Errored(_)
+        )
     }
 
     /// Whether it answers something that came, be it a req or a check.
@@ -251,7 +294,14 @@
     /// Appends the frame; `say` is the free value from this answer on.
     pub fn encode(&self, say: Option<f64>, to: &mut Vec<u8>) {
         let own = |fields: &mut Vec<(&'static str, String)>| {
-            if let Reply::Done(_, Output { partial: Some(names), .. }) = self {
+            if let Reply::Done(
+                _,
+                Output {
+                    partial: Some(names),
+                    ..
+                },
+            ) = self
+            {
                 fields.push(("partial", names.to_string()));
             }
             if let Reply::Shed { after_ms, last, .. } = self {
@@ -263,7 +313,9 @@
             Reply::Done(stream, output) => (ANSWER, stream.0, Some(SERVED), &output.body),
             Reply::Shed { stream, .. } => (ANSWER, stream.0, Some(REFUSED), &[]),
             Reply::Errored(stream) => (ANSWER, stream.0, Some(FAILED), &[]),
-            Reply::Checked { stream, good } => (CHECKED, stream.0, Some(if *good { GOOD } else { BAD }), &[]),
+            Reply::Checked { stream, good } => {
+                (CHECKED, stream.0, Some(if *good { GOOD } else { BAD }), &[])
+            }
             Reply::Fault(why) => (ANSWER, 0, Some(FAILED), why.as_bytes()),
             Reply::NoMore => (NO_MORE, 0, None, &[]),
         };
@@ -272,8 +324,10 @@
         to.push(kind);
         to.extend(stream.to_be_bytes());
         if let Some(code) = code {
-            let mut fields: Vec<(&'static str, String)> =
-                say.map(|value| ("say", value.to_string())).into_iter().collect();
+            let mut fields: Vec<(&'static str, String)> = say
+                .map(|value| ("say", value.to_string()))
+                .into_iter()
+                .collect();
             own(&mut fields);
             to.push(code);
             to.push(fields.len() as u8);
--- a/crates/server/src/work/engine.rs
+++ b/crates/server/src/work/engine.rs
@@ -35,7 +35,11 @@
 
 impl Run {
     fn command(&self) -> Command {
-        Command::Run { id: self.wire, class: self.class.clone(), body: self.body.clone() }
+        Command::Run {
+            id: self.wire,
+            class: self.class.clone(),
+            body: self.body.clone(),
+        }
     }
 }
 
@@ -67,7 +71,10 @@
 
 impl Runs {
     pub fn new(
-        now: Time, records: Option<SocketAddr>, busy: Option<usize>, executor: Rc<LocalExecutor<'static>>,
+        now: Time,
+        records: Option<SocketAddr>,
+        busy: Option<usize>,
+        executor: Rc<LocalExecutor<'static>>,
         inputs: Sender<Input>,
     ) -> Self {
         Runs {
@@ -180,12 +187,18 @@
 
     pub fn noticed(&mut self, notice: Notice) -> Vec<Event> {
         match notice {
-            Notice::Done { id, end, result, .. } => {
+            Notice::Done {
+                id, end, result, ..
+            } => {
                 let id = self.by_wire.get(&id);
-                id.map(|id| Event::Ended(*id, end, Output::whole(result))).into_iter().collect()
+                id.map(|id| Event::Ended(*id, end, Output::whole(result)))
+                    .into_iter()
+                    .collect()
             }
             Notice::Need { no, id, body } => {
-                let Some((id, run)) = self.run_of(id) else { return Vec::new() };
+                let Some((id, run)) = self.run_of(id) else {
+                    return Vec::new();
+                };
                 (run.need, run.told, run.begun) = (Some((no, body)), None, true);
                 vec![Event::Lives(id), Event::CallWanted(id)]
             }
@@ -202,7 +215,9 @@
             }
             Notice::Tested { tag, good } => vec![Event::Tested(tag, good)],
             Notice::Refused { command, id } => {
-                let Some((id, run)) = id.and_then(|id| self.run_of(id)) else { return Vec::new() };
+                let Some((id, run)) = id.and_then(|id| self.run_of(id)) else {
+                    return Vec::new();
+                };
                 tracing::debug!(command, id = ?run.wire, "the engine refused a command");
                 // Any other says that this command was one too many, not that there is no run.
                 let none = command == "RUN" && !run.begun || command == "HALT" && !run.wanted;
@@ -218,16 +233,27 @@
     /// showed no sign of life, and for runs that were told to go on shortly before, that.
     fn commands_to_repeat(&self) -> Vec<Command> {
         let lost = |run: &Run| {
-            let told = run.told.as_ref().filter(|(at, _)| self.broke - *at <= MAYBE_LOST);
+            let told = run
+                .told
+                .as_ref()
+                .filter(|(at, _)| self.broke - *at <= MAYBE_LOST);
             let again = (!run.begun && run.replayable).then(|| run.command());
-            told.map(|(_, command)| command.clone()).or(again).filter(|command| !self.link.waits(command))
+            told.map(|(_, command)| command.clone())
+                .or(again)
+                .filter(|command| !self.link.waits(command))
         };
-        self.runs.values().filter(|run| run.wanted).filter_map(lost).collect()
+        self.runs
+            .values()
+            .filter(|run| run.wanted)
+            .filter_map(lost)
+            .collect()
     }
 
     /// Makes the call that the run waits for, for `cap` at the most.
     pub fn call(&mut self, id: ReqId, cap: Time) {
-        let Some(run) = self.runs.get_mut(&id) else { return };
+        let Some(run) = self.runs.get_mut(&id) else {
+            return;
+        };
         let Some((_, body)) = &run.need else { return };
         self.calls += 1;
         let no = CallNo(self.calls);
@@ -244,7 +270,11 @@
     }
 
     pub fn called(
-        &mut self, now: Time, id: ReqId, no: CallNo, result: Result<Vec<u8>, CallError>,
+        &mut self,
+        now: Time,
+        id: ReqId,
+        no: CallNo,
+        result: Result<Vec<u8>, CallError>,
     ) -> Option<Event> {
         let run = self.runs.get_mut(&id)?;
         let (_, call) = run.call.take_if(|(of, _)| *of == no)?;
@@ -270,7 +300,9 @@
 
     /// The run goes on without its call.
     pub fn skip(&mut self, now: Time, id: ReqId) {
-        let Some(run) = self.runs.get_mut(&id) else { return };
+        let Some(run) = self.runs.get_mut(&id) else {
+            return;
+        };
         if let Some((need, _)) = run.need.take() {
             let skip = Command::Skip(run.wire, need);
             run.told = Some((now, skip.clone()));
--- a/crates/server/src/work/mod.rs
+++ b/crates/server/src/work/mod.rs
@@ -15,7 +15,10 @@
 
 impl Output {
     pub fn whole(body: Vec<u8>) -> Self {
-        Output { body, partial: None }
+        Output {
+            body,
+            partial: None,
+        }
     }
 
     /// The room that it takes where it is kept, in bytes.
@@ -65,9 +68,17 @@
 impl Works {
     /// `classes` and `kinds` by handler.
     pub fn new(
-        engine: Option<engine::Runs>, pages: Option<pages::Runs>, classes: Vec<Rc<str>>, kinds: Vec<Kind>,
+        engine: Option<engine::Runs>,
+        pages: Option<pages::Runs>,
+        classes: Vec<Rc<str>>,
+        kinds: Vec<Kind>,
     ) -> Self {
-        Works { engine, pages, classes, kinds }
+        Works {
+            engine,
+            pages,
+            classes,
+            kinds,
+        }
     }
 
     /// Whether anything can run: with an engine, only once it has said hello.
@@ -98,7 +109,9 @@
         if let Some(engine) = &mut self.engine {
             engine.stop(id);
         }
-        self.pages.as_mut().map_or(Vec::new(), |pages| pages.stop(now, id))
+        self.pages
+            .as_mut()
+            .map_or(Vec::new(), |pages| pages.stop(now, id))
     }
 
     /// Nobody waits for the run any longer. Pages end by themselves when they are due.
@@ -137,7 +150,10 @@
 
     pub fn timer(&mut self, now: Time) -> Vec<Event> {
         let due = self.next().is_some_and(|at| at <= now);
-        self.pages.as_mut().filter(|_| due).map_or(Vec::new(), |pages| pages.timer(now))
+        self.pages
+            .as_mut()
+            .filter(|_| due)
+            .map_or(Vec::new(), |pages| pages.timer(now))
     }
 
     /// Once a second: lines for the log.
@@ -145,6 +161,9 @@
         if let Some(pages) = &mut self.pages {
             pages.chores(now);
         }
-        self.engine.as_mut().map(|engine| std::mem::take(&mut engine.tally)).unwrap_or_default()
+        self.engine
+            .as_mut()
+            .map(|engine| std::mem::take(&mut engine.tally))
+            .unwrap_or_default()
     }
 }
--- a/crates/server/src/work/pages.rs
+++ b/crates/server/src/work/pages.rs
@@ -39,8 +39,12 @@
 impl Runs {
     /// `by_handler`: the place in the plan of each handler's page.
     pub fn new(
-        clock: Clock, (mut plan, by_handler): (Plan, Vec<Option<usize>>), (seed, values): (u64, Vec<f64>),
-        fleet: Option<Rc<Fleet>>, executor: Rc<LocalExecutor<'static>>, inputs: Sender<Input>,
+        clock: Clock,
+        (mut plan, by_handler): (Plan, Vec<Option<usize>>),
+        (seed, values): (u64, Vec<f64>),
+        fleet: Option<Rc<Fleet>>,
+        executor: Rc<LocalExecutor<'static>>,
+        inputs: Sender<Input>,
     ) -> Self {
         let now = clock.now();
         if let Some(fleet) = &fleet {
@@ -63,7 +67,12 @@
     }
 
     /// Another file is in force for what starts from now on.
-    pub fn install(&mut self, now: Time, mut plan: Plan, by_handler: Vec<Option<usize>>) -> Vec<Event> {
+    pub fn install(
+        &mut self,
+        now: Time,
+        mut plan: Plan,
+        by_handler: Vec<Option<usize>>,
+    ) -> Vec<Event> {
         if let Some(fleet) = &self.fleet {
             fleet.lend(&mut plan);
         }
@@ -83,7 +92,9 @@
         self.wires.insert(id, job.wire);
         if let Some(fleet) = &self.fleet {
             let value = self.values.get(job.handler.0).copied().unwrap_or(1.0);
-            self.pages.dependencies(page).for_each(|name| fleet.starts(name, value));
+            self.pages
+                .dependencies(page)
+                .for_each(|name| fleet.starts(name, value));
         }
         let start = Start {
             run: id,
@@ -120,7 +131,10 @@
     pub fn next(&self) -> Option<Time> {
         let listening = self.listening.first().map(|(at, _)| *at);
         let look = self.fleet.as_ref().map(|_| self.look);
-        [self.pages.next(), listening, look].into_iter().flatten().min()
+        [self.pages.next(), listening, look]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     pub fn timer(&mut self, now: Time) -> Vec<Event> {
@@ -156,14 +170,26 @@
     pub fn chores(&mut self, now: Time) {
         self.pool.trim();
         for gate in self.pages.gates() {
-            let (dependency, held, open) =
-                (gate.spec.name.clone(), gate.held(now), gate.stage() != Stage::Closed);
+            let (dependency, held, open) = (
+                gate.spec.name.clone(),
+                gate.held(now),
+                gate.stage() != Stage::Closed,
+            );
             if let Some((before, limit)) = gate.changed() {
                 tracing::info!(%dependency, before, limit, share = gate.spec.share, "its limit changed");
             }
             let sums = std::mem::take(&mut gate.sums);
             if sums != Sums::default() {
-                let Sums { first, hedges, repeats, well, ill, late, full, shut } = sums;
+                let Sums {
+                    first,
+                    hedges,
+                    repeats,
+                    well,
+                    ill,
+                    late,
+                    full,
+                    shut,
+                } = sums;
                 let limit = gate.limit.calls();
                 tracing::info!(
                     %dependency, first, hedges, repeats, well, ill, late, full, shut, limit, held, open,
@@ -177,11 +203,23 @@
         let mut events = Vec::new();
         for action in actions {
             match action {
-                Action::Call { call, run, to, body, within, reuse, stamp } => {
-                    let Some(wire) = self.wires.get(&run).copied() else { continue };
-                    let (pool, clock, inputs) = (self.pool.clone(), self.clock, self.inputs.clone());
+                Action::Call {
+                    call,
+                    run,
+                    to,
+                    body,
+                    within,
+                    reuse,
+                    stamp,
+                } => {
+                    let Some(wire) = self.wires.get(&run).copied() else {
+                        continue;
+                    };
+                    let (pool, clock, inputs) =
+                        (self.pool.clone(), self.clock, self.inputs.clone());
                     let task = self.executor.spawn(async move {
-                        let outcome = fetch(pool, (clock, stamp), to, wire, body, within, reuse).await;
+                        let outcome =
+                            fetch(pool, (clock, stamp), to, wire, body, within, reuse).await;
                         let _ = inputs.send(Input::Fetched(call, outcome)).await;
                     });
                     self.calls.insert(call, task);
@@ -199,12 +237,18 @@
                     };
                     events.push(Event::Ended(run, end, output));
                 }
-                Action::Changed { dependency, stage, limit } => match stage {
+                Action::Changed {
+                    dependency,
+                    stage,
+                    limit,
+                } => match stage {
                     Stage::Open { until } => {
                         let rest_ms = crate::time::ms(until - now);
                         tracing::warn!(%dependency, rest_ms, limit, "its breaker opened");
                     }
-                    Stage::HalfOpen { .. } => tracing::info!(%dependency, "its breaker lets probes through"),
+                    Stage::HalfOpen { .. } => {
+                        tracing::info!(%dependency, "its breaker lets probes through")
+                    }
                     Stage::Closed => tracing::info!(%dependency, limit, "its breaker closed"),
                 },
             }
@@ -215,12 +259,25 @@
 
 /// The answer's body: each part with its state, and the names of those that are not whole.
 fn composed(parts: &[PartEnd]) -> Output {
-    let partial: Vec<&str> = parts.iter().filter(|p| p.state != State::Whole).map(|p| &*p.name).collect();
+    let partial: Vec<&str> = parts
+        .iter()
+        .filter(|p| p.state != State::Whole)
+        .map(|p| &*p.name)
+        .collect();
     let mut body = Vec::with_capacity(
-        64 + parts.iter().map(|p| p.body.as_ref().map_or(64, |b| b.len() + 64)).sum::<usize>(),
+        64 + parts
+            .iter()
+            .map(|p| p.body.as_ref().map_or(64, |b| b.len() + 64))
+            .sum::<usize>(),
     );
     let quoted = |text: &str| serde_json::Value::from(text).to_string();
-    body.extend(format!("{{\"partial\":{},\"parts\":{{", serde_json::Value::from(partial.clone())).bytes());
+    body.extend(
+        format!(
+            "{{\"partial\":{},\"parts\":{{",
+            serde_json::Value::from(partial.clone())
+        )
+        .bytes(),
+    );
     for (place, part) in parts.iter().enumerate() {
         body.extend(if place > 0 { &b","[..] } else { b"" });
         let state = match &part.state {
@@ -267,7 +324,10 @@
         assert_eq!(output.partial, None);
         let read: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
         assert_eq!(
-            (&read["parts"]["a"]["body"]["x"], &read["parts"]["b"]["body"]),
+            (
+                &read["parts"]["a"]["body"]["x"],
+                &read["parts"]["b"]["body"]
+            ),
             (&1.into(), &"a\"b\n".into())
         );
         let parts = [
@@ -281,11 +341,17 @@
         assert_eq!(output.partial.as_deref(), Some("a,b,c,d"));
         let read: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
         assert_eq!(read["partial"], serde_json::json!(["a", "b", "c", "d"]));
-        assert_eq!(read["parts"]["a"], serde_json::json!({ "state": "kept", "age_ms": 123, "body": [] }));
+        assert_eq!(
+            read["parts"]["a"],
+            serde_json::json!({ "state": "kept", "age_ms": 123, "body": [] })
+        );
         assert_eq!(
             read["parts"]["b"],
             serde_json::json!({ "state": "other", "from": "backup", "body": "x" })
         );
-        assert_eq!(read["parts"]["d"], serde_json::json!({ "state": "missing" }));
+        assert_eq!(
+            read["parts"]["d"],
+            serde_json::json!({ "state": "missing" })
+        );
     }
 }
--- a/crates/server/tests/accept.rs
+++ b/crates/server/tests/accept.rs
@@ -22,11 +22,18 @@
 fn what_waits_at_the_end_is_still_taken() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let addr = listener.get_ref().local_addr().unwrap();
-    let clients: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(addr).unwrap()).collect();
+    let clients: Vec<_> = (0..3)
+        .map(|_| std::net::TcpStream::connect(addr).unwrap())
+        .collect();
     let (desk, inputs) = async_channel::unbounded();
     let (_, close) = async_channel::bounded(1);
     let executor = Rc::new(LocalExecutor::new());
-    let front = Front { names: Rc::default(), room: Room::new(1, 0), desk, write_timeout: PATIENCE };
+    let front = Front {
+        names: Rc::default(),
+        room: Room::new(1, 0),
+        desk,
+        write_timeout: PATIENCE,
+    };
     let listening = listen(executor.clone(), listener, Rc::new(front), close);
     async_io::block_on(executor.run(async {
         listening.await;
--- a/crates/server/tests/client.rs
+++ b/crates/server/tests/client.rs
@@ -17,7 +17,12 @@
     rustix::net::sockopt::set_socket_linger(&service, Some(Duration::ZERO)).unwrap();
     drop(service);
     let mut stream = Async::new(stream).unwrap();
-    async_io::block_on(exchange(&mut stream, &[7; 4_096], &Cell::new(false), &Cell::new(false)))
+    async_io::block_on(exchange(
+        &mut stream,
+        &[7; 4_096],
+        &Cell::new(false),
+        &Cell::new(false),
+    ))
 }
 
 /// Guards calls against a service that answers before it has read the request, and closes: the reply says that the
@@ -28,6 +33,12 @@
     let (reply, again) = reset_after(turned_away).unwrap();
     assert!(reply.status == 503 && reply.not_begun && !again);
     for cut in 0..turned_away.len() {
-        assert!(matches!(reset_after(&turned_away[..cut]), Err(CallError::MaybeBegun(_))), "{cut}");
+        assert!(
+            matches!(
+                reset_after(&turned_away[..cut]),
+                Err(CallError::MaybeBegun(_))
+            ),
+            "{cut}"
+        );
     }
 }
--- a/crates/server/tests/closing.rs
+++ b/crates/server/tests/closing.rs
@@ -33,7 +33,9 @@
 impl Rig {
     /// Runs `test` beside the handling of one connection, whose sidecar takes `buffer` bytes at once.
     fn run<F: std::future::Future<Output = ()>>(
-        room: usize, buffer: Option<usize>, test: impl FnOnce(Rig) -> F,
+        room: usize,
+        buffer: Option<usize>,
+        test: impl FnOnce(Rig) -> F,
     ) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
@@ -45,7 +47,11 @@
         sidecar.0.set_nodelay(true).unwrap();
         sidecar.0.set_read_timeout(Some(PATIENCE)).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
-        let names = Names { handlers: vec!["greet".into()], customers: Vec::new(), longest_ms: 2_000.0 };
+        let names = Names {
+            handlers: vec!["greet".into()],
+            customers: Vec::new(),
+            longest_ms: 2_000.0,
+        };
         let (to_desk, desk) = async_channel::bounded(room);
         let front = Front {
             names: Rc::new(names),
@@ -56,8 +62,17 @@
         let executor = Rc::new(LocalExecutor::new());
         let ended = executor.spawn(async move { intake::serve(ConnId(0), stream, &front).await });
         async_io::block_on(executor.clone().run(async move {
-            let Ok(Input::Opened(_, outgoing)) = desk.recv().await else { panic!("no connection") };
-            test(Rig { executor, sidecar, desk, outgoing, ended }).await;
+            let Ok(Input::Opened(_, outgoing)) = desk.recv().await else {
+                panic!("no connection")
+            };
+            test(Rig {
+                executor,
+                sidecar,
+                desk,
+                outgoing,
+                ended,
+            })
+            .await;
         }));
     }
 
@@ -68,7 +83,12 @@
     /// The reply to a req, as the desk would hand it over.
     fn reply(&self, stream: u32, body: &[u8]) {
         let bytes = frame(2, stream, &[vec![1], payload(&[], body)].concat());
-        self.outgoing.try_send(Outgoing::Reply { bytes, settles: true }).unwrap();
+        self.outgoing
+            .try_send(Outgoing::Reply {
+                bytes,
+                settles: true,
+            })
+            .unwrap();
     }
 
     fn close(&self, taken: u64) {
@@ -97,7 +117,13 @@
 
 fn asked(stream: u32) -> Vec<u8> {
     let (id, at) = (format!("{stream:016x}"), unix_ms().to_string());
-    let fields = [("class", "greet"), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")];
+    let fields = [
+        ("class", "greet"),
+        ("id", &id),
+        ("at", &at),
+        ("from", "1"),
+        ("kb", "1.0"),
+    ];
     frame(1, stream, &payload(&fields, b""))
 }
 
@@ -157,10 +183,16 @@
         rig.settle().await;
         assert_eq!(rig.sidecar.hear().unwrap().body, body);
         let mut rest = Vec::new();
-        assert_eq!(rig.sidecar.0.read_to_end(&mut rest).map_err(|e| e.kind()), Ok::<_, ErrorKind>(0));
+        assert_eq!(
+            rig.sidecar.0.read_to_end(&mut rest).map_err(|e| e.kind()),
+            Ok::<_, ErrorKind>(0)
+        );
         drop(rig.sidecar);
         rig.ended.await;
-        assert!(rig.desk.try_recv().is_err(), "nothing was read after the half-close and sent on");
+        assert!(
+            rig.desk.try_recv().is_err(),
+            "nothing was read after the half-close and sent on"
+        );
     });
 }
 
@@ -191,7 +223,10 @@
         let sidecar = Async::new(rig.sidecar.0.try_clone().unwrap()).unwrap();
         while taken < whole {
             let least = piece.len().min(whole - taken);
-            (&mut &sidecar).read_exact(&mut piece[..least]).await.expect("it is not cut off");
+            (&mut &sidecar)
+                .read_exact(&mut piece[..least])
+                .await
+                .expect("it is not cut off");
             taken += least;
             // A piece at a time, until all of it took longer than the write_timeout.
             if start.elapsed() < WRITE_TIMEOUT * 2 {
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/leaving.rs
@@ -41,10 +41,28 @@
         let (news, _news) = async_channel::unbounded();
         let (moves, _moves) = async_channel::unbounded();
         let (close, _closed) = async_channel::bounded(1);
-        let lines = Lines { news, engine: moves, close };
+        let lines = Lines {
+            news,
+            engine: moves,
+            close,
+        };
         let room = Room::new(100, 1 << 20);
-        let desk = Desk::new(config, decider, clock, executor.clone(), inputs.clone(), room, lines, None);
-        let rig = Rig { executor: executor.clone(), inputs, commands, engine };
+        let desk = Desk::new(
+            config,
+            decider,
+            clock,
+            executor.clone(),
+            inputs.clone(),
+            room,
+            lines,
+            None,
+        );
+        let rig = Rig {
+            executor: executor.clone(),
+            inputs,
+            commands,
+            engine,
+        };
         let leaves = async {
             desk.run(desk_inputs).await;
             true
@@ -62,9 +80,17 @@
 
     /// The engine is there, and has answered the question that fences off what was before.
     async fn engine_up(&self) {
-        self.tell(Input::EngineUp { age_ms: 1.0, outlet: self.engine.clone() });
-        let Ok(Command::Stat(tag)) = self.commands.recv().await else { panic!("the fence comes first") };
-        self.tell(Input::Notice(Notice::Stats { tag, gauges: Vec::new() }));
+        self.tell(Input::EngineUp {
+            age_ms: 1.0,
+            outlet: self.engine.clone(),
+        });
+        let Ok(Command::Stat(tag)) = self.commands.recv().await else {
+            panic!("the fence comes first")
+        };
+        self.tell(Input::Notice(Notice::Stats {
+            tag,
+            gauges: Vec::new(),
+        }));
     }
 
     fn open(&self, conn: u64, most: usize) -> async_channel::Receiver<Outgoing> {
@@ -123,7 +149,10 @@
             rig.tell(Input::Closed(ConnId(1)));
             future::pending().await
         });
-        assert!(left && start.elapsed() >= Duration::from_millis(STOP).mul_f64(earliest), "{closes}");
+        assert!(
+            left && start.elapsed() >= Duration::from_millis(STOP).mul_f64(earliest),
+            "{closes}"
+        );
     }
 }
 
@@ -137,7 +166,11 @@
         let _other = rig.open(2, 100);
         // The second answer finds the queue full: the connection is dropped, with a req behind.
         for stream in 1..=2 {
-            rig.tell(Input::Check { conn: ConnId(1), stream: Stream(stream), deep: false });
+            rig.tell(Input::Check {
+                conn: ConnId(1),
+                stream: Stream(stream),
+                deep: false,
+            });
         }
         rig.ask(1, 3);
         rig.settle().await;
@@ -178,7 +211,12 @@
                 rig.tell(match event {
                     0 => {
                         let (no, end) = (NoticeNo(1), RunEnd::Done);
-                        Input::Notice(Notice::Done { no, id, end, result: Vec::new() })
+                        Input::Notice(Notice::Done {
+                            no,
+                            id,
+                            end,
+                            result: Vec::new(),
+                        })
                     }
                     1 => Input::Cancelled(ConnId(1), Stream(1)),
                     2 => Input::Closed(ConnId(1)),
@@ -190,7 +228,9 @@
             rig.settle().await;
             let at = |event| order.iter().position(|e| *e == event);
             let settled = std::iter::from_fn(|| outgoing.try_recv().ok());
-            let settled = settled.filter(|one| matches!(one, Outgoing::Reply { settles: true, .. })).count();
+            let settled = settled
+                .filter(|one| matches!(one, Outgoing::Reply { settles: true, .. }))
+                .count();
             assert_eq!(settled, usize::from(at(2) > at(0).min(at(1))), "{order:?}");
         });
         assert!(!left);
--- a/crates/server/tests/serve/calls.rs
+++ b/crates/server/tests/serve/calls.rs
@@ -53,7 +53,10 @@
             }
         }
         let (words, body) = link.order().unwrap();
-        assert_eq!((words[0].as_str(), body.as_slice()), ("FEED", &b"ab\r\nc"[..]));
+        assert_eq!(
+            (words[0].as_str(), body.as_slice()),
+            ("FEED", &b"ab\r\nc"[..])
+        );
     }
 }
 
@@ -64,11 +67,16 @@
     let (mut link, mut sidecar) = waiting(&rig, READ);
     let mut service = Service::accept(&rig.records).unwrap();
     service.asked().unwrap();
-    assert_eq!(service.0.read(&mut [0]).unwrap_or(0), 0, "the connection is closed");
+    assert_eq!(
+        service.0.read(&mut [0]).unwrap_or(0),
+        0,
+        "the connection is closed"
+    );
     // This handler's calls can be skipped; the skip names the notice that asked.
     let (words, _) = link.order().unwrap();
     assert_eq!(words, ["SKIP", &id(1), "1"]);
-    link.say_with(&format!("DONE 2 {} fine 1", id(1)), b"poorer").unwrap();
+    link.say_with(&format!("DONE 2 {} fine 1", id(1)), b"poorer")
+        .unwrap();
     assert_eq!(sidecar.hear().unwrap().body, b"poorer");
 }
 
@@ -79,7 +87,8 @@
     let (mut link, mut sidecar) = waiting(&rig, PAY);
     let mut service = Service::accept(&rig.records).unwrap();
     service.asked().unwrap();
-    link.say_with(&format!("DONE 2 {} fault 1", id(1)), b"").unwrap();
+    link.say_with(&format!("DONE 2 {} fault 1", id(1)), b"")
+        .unwrap();
     assert_eq!(sidecar.hear().unwrap().code, 9);
     assert_eq!(service.0.read(&mut [0]).unwrap_or(0), 0);
 }
@@ -101,6 +110,10 @@
     let mut second = Service::accept(&rig.records).unwrap();
     second.asked().unwrap();
     let _ = first.0.get_mut().write_all(good("two").as_bytes());
-    second.0.get_mut().write_all(good("new").as_bytes()).unwrap();
+    second
+        .0
+        .get_mut()
+        .write_all(good("new").as_bytes())
+        .unwrap();
     assert_eq!(link.order().unwrap().1, b"new");
 }
--- a/crates/server/tests/serve/conns.rs
+++ b/crates/server/tests/serve/conns.rs
@@ -20,13 +20,20 @@
         let mut sidecar = rig.sidecar();
         let id = id(n as u64 + 50);
         let at = unix_ms().to_string();
-        let fields = [("class", READ), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")];
+        let fields = [
+            ("class", READ),
+            ("id", &id),
+            ("at", &at),
+            ("from", "1"),
+            ("kb", "1.0"),
+        ];
         sidecar.send(1, 1, &fields, b"").unwrap();
         let run = started(&mut link);
         sidecar.0.write_all(bytes).unwrap();
         let told = sidecar.hear().unwrap();
         assert_eq!((told.kind, told.stream), (2, 0), "{bytes:?}");
-        link.say_with(&format!("DONE {} {run} fine 1", n + 1), b"r").unwrap();
+        link.say_with(&format!("DONE {} {run} fine 1", n + 1), b"r")
+            .unwrap();
         assert_eq!(sidecar.hear().unwrap().body, b"r");
         assert!(sidecar.hear().is_err(), "then it is closed");
     }
@@ -43,7 +50,8 @@
     // Half a frame, then the end.
     gone.0.write_all(&[0, 0]).unwrap();
     drop(gone);
-    link.say_with(&format!("DONE 1 {run} fine 1"), &[7; 4_096]).unwrap();
+    link.say_with(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
+        .unwrap();
     ask(&mut other, 2, READ, &[], b"");
     run_through(&mut link, 2, b"fine");
     assert_eq!(other.hear().unwrap().body, b"fine");
@@ -55,8 +63,12 @@
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
     let mut rude = rig.sidecar();
-    rude.0.set_write_timeout(Some(std::time::Duration::from_secs(1))).unwrap();
-    let checks: Vec<u8> = (0..4_096).flat_map(|_| frame(4, 0, &payload(&[], b""))).collect();
+    rude.0
+        .set_write_timeout(Some(std::time::Duration::from_secs(1)))
+        .unwrap();
+    let checks: Vec<u8> = (0..4_096)
+        .flat_map(|_| frame(4, 0, &payload(&[], b"")))
+        .collect();
     while rude.0.write_all(&checks).is_ok() {}
     rig.logged("a sidecar reads nothing");
     serves(&mut link, &mut other, 1, READ, &[]);
@@ -69,7 +81,12 @@
     let (_link, mut other) = rig.ready();
     let half: Vec<u8> = [0, 4, 0, 0].into_iter().chain([1; 200_000]).collect();
     let mut many: Vec<_> = (0..200).map(|_| rig.sidecar()).collect();
-    assert!(many.iter_mut().filter_map(|sidecar| sidecar.0.write_all(&half).ok()).count() > 100);
+    assert!(
+        many.iter_mut()
+            .filter_map(|sidecar| sidecar.0.write_all(&half).ok())
+            .count()
+            > 100
+    );
     rig.logged("bad input");
     assert_eq!(check(&mut other), 1);
 }
@@ -84,10 +101,13 @@
     ask(&mut busy, 1, READ, &[], b"");
     started(&mut link);
     let mut others = [rig.sidecar(), rig.sidecar()];
-    others.iter_mut().for_each(|other| assert_eq!(check(other), 1));
+    others
+        .iter_mut()
+        .for_each(|other| assert_eq!(check(other), 1));
     assert_eq!(idle.hear().unwrap().kind, 6);
     assert!(idle.hear().is_err());
-    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"kept").unwrap();
+    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"kept")
+        .unwrap();
     assert_eq!(busy.hear().unwrap().body, b"kept");
 }
 
@@ -145,11 +165,17 @@
         let asked = service.asked().unwrap();
         assert_eq!(asked.line, "PUT /v2/endpoints/toy HTTP/1.1");
         let body = String::from_utf8(asked.body).unwrap();
-        assert!([r#"{"condition":"Ready"}"#, r#"{"condition":"NotReady"}"#].contains(&body.as_str()));
+        assert!(
+            [r#"{"condition":"Ready"}"#, r#"{"condition":"NotReady"}"#].contains(&body.as_str())
+        );
         service.0.get_mut().write_all(reply.as_bytes()).unwrap();
         service
     };
-    for reply in ["", "nonsense\r\n\r\n", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"] {
+    for reply in [
+        "",
+        "nonsense\r\n\r\n",
+        "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n",
+    ] {
         report(reply);
     }
     drop(report("HTTP/1.1 204 No Content\r\n\r\n"));
--- a/crates/server/tests/serve/crossings.rs
+++ b/crates/server/tests/serve/crossings.rs
@@ -10,7 +10,14 @@
 /// A uniqued req that came to the machine at `at`.
 fn ask_at(sidecar: &mut Sidecar, number: u32, mark: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
-    let fields = [("class", BUY), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0"), ("once", mark)];
+    let fields = [
+        ("class", BUY),
+        ("id", &id),
+        ("at", &at),
+        ("from", "1"),
+        ("kb", "1.0"),
+        ("once", mark),
+    ];
     sidecar.send(1, number, &fields, b"").unwrap();
 }
 
@@ -37,14 +44,26 @@
     let rig = Rig::with(short_window);
     let (mut link, mut sidecar) = rig.ready();
     let now = unix_ms();
-    for (number, mark, at) in [(1, "basket", now - 300), (2, "basket", now - 290), (3, "other", now)] {
+    for (number, mark, at) in [
+        (1, "basket", now - 300),
+        (2, "basket", now - 290),
+        (3, "other", now),
+    ] {
         ask_at(&mut sidecar, number, mark, at);
     }
-    assert_eq!([started(&mut link), started(&mut link)], [id(1), id(3)], "the second try joins the first");
-    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"bought").unwrap();
+    assert_eq!(
+        [started(&mut link), started(&mut link)],
+        [id(1), id(3)],
+        "the second try joins the first"
+    );
+    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"bought")
+        .unwrap();
     let mut heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()];
     heard.sort_by_key(|h| h.stream);
-    assert_eq!(heard.map(|h| (h.stream, h.code, h.body)), [1, 2].map(|s| (s, 1, b"bought".to_vec())));
+    assert_eq!(
+        heard.map(|h| (h.stream, h.code, h.body)),
+        [1, 2].map(|s| (s, 1, b"bought".to_vec()))
+    );
 }
 
 /// Guards effects: a try that reached the machine within the window, and is read after it, repeats the one that ran,
@@ -66,12 +85,19 @@
         }
         ask_at(&mut sidecar, 2, "basket", start + 60);
         ask_at(&mut sidecar, 3, "other", unix_ms());
-        assert_eq!(started(&mut link), id(3), "the try that was read late does not run");
+        assert_eq!(
+            started(&mut link),
+            id(3),
+            "the try that was read late does not run"
+        );
         if !over {
             ends(&mut link, &mut sidecar, 1);
         }
         let late = sidecar.hear().unwrap();
-        assert_eq!((late.stream, late.code, late.body.as_slice()), (2, 1, &b"result 1"[..]));
+        assert_eq!(
+            (late.stream, late.code, late.body.as_slice()),
+            (2, 1, &b"result 1"[..])
+        );
         serves(&mut link, &mut sidecar, 4, BUY, MARK);
     }
 }
@@ -85,7 +111,13 @@
     });
     let (mut link, mut sidecar) = rig.ready();
     for (number, customer) in [(1, "acme"), (2, "bolt")] {
-        serves(&mut link, &mut sidecar, number, BUY, &[MARK[0], ("tenant", customer)]);
+        serves(
+            &mut link,
+            &mut sidecar,
+            number,
+            BUY,
+            &[MARK[0], ("tenant", customer)],
+        );
     }
 }
 
@@ -137,8 +169,11 @@
 fn a_copy_takes_nothing() {
     let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
     for (number, copy_first) in [(2, true), (3, false)] {
-        let (first, second) =
-            if copy_first { (&mut stranger, &mut sidecar) } else { (&mut sidecar, &mut stranger) };
+        let (first, second) = if copy_first {
+            (&mut stranger, &mut sidecar)
+        } else {
+            (&mut sidecar, &mut stranger)
+        };
         ask(first, number, PAY, &[], b"same");
         assert_eq!(started(&mut link), id(number.into()));
         ask(second, number, PAY, &[], b"same");
@@ -160,8 +195,12 @@
     assert_eq!((heard.stream, heard.code), (1, 9));
     assert_eq!(link.order().unwrap().0, ["HALT", &run]);
     // One that is answered already, and one that never was.
-    sidecar.0.write_all(&[frame(3, 1, b""), frame(3, 77, b"")].concat()).unwrap();
-    link.say_with(&format!("DONE 1 {run} broken_off 1"), b"").unwrap();
+    sidecar
+        .0
+        .write_all(&[frame(3, 1, b""), frame(3, 77, b"")].concat())
+        .unwrap();
+    link.say_with(&format!("DONE 1 {run} broken_off 1"), b"")
+        .unwrap();
     serves(&mut link, &mut sidecar, 2, READ, &[]);
 }
 
@@ -174,7 +213,11 @@
     ask(&mut sidecar, 2, READ, &[("wait", "300")], b"");
     let _hang = (started(&mut link), started(&mut link));
     let heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()].map(|h| (h.stream, h.code));
-    assert_eq!(heard, [(2, 9), (1, 9)], "the client timeout of the first is 600 ms");
+    assert_eq!(
+        heard,
+        [(2, 9), (1, 9)],
+        "the client timeout of the first is 600 ms"
+    );
     for (number, wait) in [(3, "1e9"), (4, "soon")] {
         ask(&mut sidecar, number, READ, &[("wait", wait)], b"");
         assert_eq!(sidecar.hear().unwrap().code, 9, "no caller means that");
@@ -190,7 +233,11 @@
     ask_at(&mut sidecar, 1, "basket", now - 1_800);
     ask_at(&mut sidecar, 2, "basket", now);
     let heard = sidecar.hear().unwrap();
-    assert_eq!((heard.stream, heard.code != 1), (1, true), "the first fell due");
+    assert_eq!(
+        (heard.stream, heard.code != 1),
+        (1, true),
+        "the first fell due"
+    );
     let mut link = rig.link(0);
     assert_eq!(started(&mut link), id(2));
     ends(&mut link, &mut sidecar, 2);
@@ -202,10 +249,19 @@
     let (conf, _peers) = with_peers();
     let path = written("");
     std::fs::remove_file(&path).unwrap();
-    assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
+    assert!(std::process::Command::new("mkfifo")
+        .arg(&path)
+        .status()
+        .unwrap()
+        .success());
     let process = Process::start("--config", path);
     // Opening ends once the program opens the file to read it.
-    let open = || std::fs::OpenOptions::new().write(true).open(process.path()).unwrap();
+    let open = || {
+        std::fs::OpenOptions::new()
+            .write(true)
+            .open(process.path())
+            .unwrap()
+    };
     let mut file = open();
     process.signal("-HUP");
     file.write_all(conf.to_string().as_bytes()).unwrap();
@@ -223,7 +279,10 @@
     let start = Instant::now();
     rig.signal("-TERM");
     let (status, time) = (rig.ended().0, start.elapsed());
-    assert!(status.code() == Some(0) && time < Duration::from_millis(350), "{time:?}");
+    assert!(
+        status.code() == Some(0) && time < Duration::from_millis(350),
+        "{time:?}"
+    );
 }
 
 /// Guards sidecars that rest on a connection until the server ends it: they see its end in order, and a req that
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -15,13 +15,24 @@
     ask(&mut sidecar, 2, READ, &[], b"");
     assert_ne!(check(&mut sidecar), 1);
     let mut link = rig.link(0);
-    assert_eq!(started(&mut link), id(2), "what is still open runs once the engine is there");
-    link.say_with(&format!("DONE 1 {} fine 1", id(2)), b"").unwrap();
+    assert_eq!(
+        started(&mut link),
+        id(2),
+        "what is still open runs once the engine is there"
+    );
+    link.say_with(&format!("DONE 1 {} fine 1", id(2)), b"")
+        .unwrap();
     assert_eq!(sidecar.hear().unwrap().code, 1);
     assert_eq!(check(&mut sidecar), 1);
     // What was answered before left nothing behind: its id is free again.
     let (id, at) = (id(1), unix_ms().to_string());
-    let fields = [("class", READ), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")];
+    let fields = [
+        ("class", READ),
+        ("id", &id),
+        ("at", &at),
+        ("from", "1"),
+        ("kb", "1.0"),
+    ];
     sidecar.send(1, 3, &fields, b"").unwrap();
     run_through(&mut link, 2, b"");
     assert_eq!(sidecar.hear().unwrap().code, 1);
@@ -35,16 +46,22 @@
     ask(&mut sidecar, 1, READ, &[], b"a");
     ask(&mut sidecar, 2, READ, &[], b"b");
     let (first, second) = (started(&mut link), started(&mut link));
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"whole").unwrap();
+    link.say_with(&format!("DONE 1 {first} fine 1"), b"whole")
+        .unwrap();
     let half = format!("DONE 2 {second} fine 1 9\r\nhal");
     link.0.get_mut().write_all(half.as_bytes()).unwrap();
     assert_eq!(sidecar.hear().unwrap().body, b"whole");
     drop(link);
     let mut link = rig.link(1);
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"again").unwrap();
-    link.say_with(&format!("DONE 2 {second} fine 1"), b"half done").unwrap();
+    link.say_with(&format!("DONE 1 {first} fine 1"), b"again")
+        .unwrap();
+    link.say_with(&format!("DONE 2 {second} fine 1"), b"half done")
+        .unwrap();
     let heard = sidecar.hear().unwrap();
-    assert_eq!((heard.stream, heard.body.as_slice()), (2, &b"half done"[..]));
+    assert_eq!(
+        (heard.stream, heard.body.as_slice()),
+        (2, &b"half done"[..])
+    );
 }
 
 /// Guards effects: after a break only replayable runs are commanded again, the others are left to end.
@@ -60,11 +77,16 @@
     let mut link = rig.link(0);
     assert_eq!(started(&mut link), id(1));
     for n in 1..=3 {
-        link.say_with(&format!("DONE {n} {} fine 1", id(n)), b"").unwrap();
+        link.say_with(&format!("DONE {n} {} fine 1", id(n)), b"")
+            .unwrap();
         assert_eq!(sidecar.hear().unwrap().stream, n as u32);
     }
     ask(&mut sidecar, 4, READ, &[], b"");
-    assert_eq!(started(&mut link), id(4), "nothing but the next run was commanded");
+    assert_eq!(
+        started(&mut link),
+        id(4),
+        "nothing but the next run was commanded"
+    );
 }
 
 /// Guards runs against a command that was written whole and lost with the link: what lets them go on is said again,
@@ -83,14 +105,22 @@
     drop(link);
     let mut link = rig.link(1);
     let (words, body) = link.order().unwrap();
-    assert_eq!((words[..2].join(" "), body.as_slice()), (format!("FEED {run}"), &b"reply"[..]));
+    assert_eq!(
+        (words[..2].join(" "), body.as_slice()),
+        (format!("FEED {run}"), &b"reply"[..])
+    );
     link.say(&format!("NO FEED {run}")).unwrap();
-    link.say_with(&format!("DONE 2 {run} fine 1"), b"went on").unwrap();
+    link.say_with(&format!("DONE 2 {run} fine 1"), b"went on")
+        .unwrap();
     assert_eq!(sidecar.hear().unwrap().body, b"went on");
     drop(link);
     let mut link = rig.link(2);
     ask(&mut sidecar, 2, READ, &[], b"");
-    assert_eq!(started(&mut link), id(2), "nothing of the run that ended is said again");
+    assert_eq!(
+        started(&mut link),
+        id(2),
+        "nothing of the run that ended is said again"
+    );
 }
 
 /// Guards the pool against a run that is neither heard of nor ended: long after its client gave up it holds no place.
@@ -166,7 +196,8 @@
         if refused_first {
             link.say(&format!("NO HALT {run}")).unwrap();
         }
-        link.say_with(&format!("DONE 1 {run} fine 600"), b"late").unwrap();
+        link.say_with(&format!("DONE 1 {run} fine 600"), b"late")
+            .unwrap();
         link.say(&format!("NO HALT {run}")).unwrap();
         serves(&mut link, &mut sidecar, 2, READ, &[]);
     }
--- a/crates/server/tests/serve/leaving.rs
+++ b/crates/server/tests/serve/leaving.rs
@@ -19,12 +19,15 @@
     let mut late = rig.sidecar();
     assert_ne!(check(&mut late), 1, "checks hear that it leaves");
     ask(&mut late, 3, READ, &[], b"");
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"done").unwrap();
+    link.say_with(&format!("DONE 1 {first} fine 1"), b"done")
+        .unwrap();
     assert_eq!(sidecar.hear().unwrap().body, b"done");
     // The second run never ends: its req is errored before the end.
     let hung = sidecar.hear().unwrap();
     assert_eq!((hung.stream, hung.code), (2, 9));
-    let heard = std::iter::from_fn(|| late.hear().ok()).filter(|h| h.kind == 2).map(|h| h.stream);
+    let heard = std::iter::from_fn(|| late.hear().ok())
+        .filter(|h| h.kind == 2)
+        .map(|h| h.stream);
     assert_eq!(heard.collect::<Vec<_>>(), [3], "one answer, whatever it is");
     let (status, _) = rig.ended();
     assert_eq!(status.code(), Some(0));
@@ -37,5 +40,8 @@
     drop(rig.ready());
     rig.signal("-TERM");
     let (status, time) = rig.ended();
-    assert!(status.code() == Some(0) && time < Duration::from_millis(2_000), "{time:?}");
+    assert!(
+        status.code() == Some(0) && time < Duration::from_millis(2_000),
+        "{time:?}"
+    );
 }
--- a/crates/server/tests/serve/pages.rs
+++ b/crates/server/tests/serve/pages.rs
@@ -36,7 +36,11 @@
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
         let (catalogue, prices) = (bind(), bind());
         let rig = Alone::start(&script(&catalogue, &prices, effect, parts));
-        Shop { rig, catalogue, prices }
+        Shop {
+            rig,
+            catalogue,
+            prices,
+        }
     }
 
     fn ask(&self, number: u32) -> Sidecar {
@@ -70,13 +74,19 @@
     let mut sidecar = shop.ask(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
     let (mut prices, asked) = called(&shop.prices);
-    assert_eq!((asked.header("Req-Id"), asked.body.as_slice()), (Some(id(1).as_str()), &b"shoes"[..]));
+    assert_eq!(
+        (asked.header("Req-Id"), asked.body.as_slice()),
+        (Some(id(1).as_str()), &b"shoes"[..])
+    );
     let left: u64 = asked.header("Time-Left-Ms").unwrap().parse().unwrap();
     assert!((100..=300).contains(&left), "{left}");
     prices.reply("200 OK", "", b"{\"price\": 3}").unwrap();
     let heard = sidecar.hear().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, None));
-    assert_eq!(parts(&heard)["prices"], json!({ "state": "whole", "body": { "price": 3 } }));
+    assert_eq!(
+        parts(&heard)["prices"],
+        json!({ "state": "whole", "body": { "price": 3 } })
+    );
     // The same connections serve the next; prices never answers, and its last answer was kept.
     ask(&mut sidecar, 2, "browse", &[], b"shoes");
     catalogue.asked().unwrap();
@@ -85,7 +95,10 @@
     let heard = sidecar.hear().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
     let kept = &parts(&heard)["prices"];
-    assert_eq!((&kept["state"], &kept["body"]["price"]), (&json!("kept"), &json!(3)));
+    assert_eq!(
+        (&kept["state"], &kept["body"]["price"]),
+        (&json!("kept"), &json!(3))
+    );
     assert!(kept["age_ms"].as_u64().unwrap() >= 100, "{kept}");
 }
 
@@ -126,7 +139,10 @@
     };
     now.reply("200 OK", "", b"\"new\"").unwrap();
     let heard = sidecar.hear().unwrap();
-    assert_eq!(parts(&heard)["prices"], json!({ "state": "whole", "body": "new" }));
+    assert_eq!(
+        parts(&heard)["prices"],
+        json!({ "state": "whole", "body": "new" })
+    );
 }
 
 /// Guards pages against spoilt replies of every kind: none is taken for an answer.
@@ -142,14 +158,25 @@
         "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n",
         "",
     ] {
-        let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [fixed({\"price\": None})])");
+        let shop = Shop::start(
+            "replayable",
+            "part(\"prices\", fallbacks = [fixed({\"price\": None})])",
+        );
         let mut sidecar = shop.ask(1);
         let (mut prices, _) = called(&shop.prices);
         prices.0.get_mut().write_all(odd.as_bytes()).unwrap();
         drop(prices);
         let heard = sidecar.hear().unwrap();
-        assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")), "{odd}");
-        assert_eq!(parts(&heard)["prices"], json!({ "state": "fixed", "body": { "price": null } }), "{odd}");
+        assert_eq!(
+            (heard.code, heard.field("partial")),
+            (1, Some("prices")),
+            "{odd}"
+        );
+        assert_eq!(
+            parts(&heard)["prices"],
+            json!({ "state": "fixed", "body": { "price": null } }),
+            "{odd}"
+        );
     }
 }
 
@@ -164,12 +191,17 @@
         drop(catalogue);
         assert_eq!(sidecar.hear().unwrap().code, 9, "{effect}");
         shop.catalogue.set_nonblocking(true).unwrap();
-        assert!(shop.catalogue.accept().is_err(), "{effect}: it was called again");
+        assert!(
+            shop.catalogue.accept().is_err(),
+            "{effect}: it was called again"
+        );
         shop.catalogue.set_nonblocking(false).unwrap();
         // Turned away unread: that never ran.
         let mut sidecar = shop.ask(2);
         let (mut catalogue, _) = called(&shop.catalogue);
-        catalogue.reply("503 Busy", "Op-Not-Begun: 1\r\n", b"").unwrap();
+        catalogue
+            .reply("503 Busy", "Op-Not-Begun: 1\r\n", b"")
+            .unwrap();
         let (mut again, _) = called(&shop.catalogue);
         again.reply("200 OK", "", b"done").unwrap();
         assert_eq!(sidecar.hear().unwrap().code, 1, "{effect}");
@@ -207,9 +239,16 @@
     };
     assert_eq!((heard.code, heard.field("partial")), (1, Some("catalogue")));
     assert_eq!(parts(&heard)["prices"]["body"], json!(7));
-    assert_eq!(hangs.0.read(&mut [0]).unwrap_or(0), 0, "the call is given up");
+    assert_eq!(
+        hangs.0.read(&mut [0]).unwrap_or(0),
+        0,
+        "the call is given up"
+    );
     let (status, took) = shop.rig.ended();
-    assert!(status.success() && took.as_millis() < 3_000, "{status} {took:?}");
+    assert!(
+        status.success() && took.as_millis() < 3_000,
+        "{status} {took:?}"
+    );
 }
 
 /// Guards reqs in progress and the file in force: a req ends under the file that it began with, also where that
@@ -232,11 +271,17 @@
     prices.reply("200 OK", "", b"1").unwrap();
     catalogue.reply("200 OK", "", b"old").unwrap();
     let heard = sidecar.hear().unwrap();
-    assert_eq!((heard.code, parts(&heard).as_object().unwrap().len()), (1, 2));
+    assert_eq!(
+        (heard.code, parts(&heard).as_object().unwrap().len()),
+        (1, 2)
+    );
     ask(&mut sidecar, 2, "browse", &[], b"shoes");
     catalogue.asked().unwrap();
     catalogue.reply("200 OK", "", b"new").unwrap();
-    assert_eq!(parts(&sidecar.hear().unwrap()), json!({ "catalogue": { "state": "whole", "body": "new" } }));
+    assert_eq!(
+        parts(&sidecar.hear().unwrap()),
+        json!({ "catalogue": { "state": "whole", "body": "new" } })
+    );
 }
 
 /// Guards leaving: a script that takes seconds to read anew holds no notice to leave up.
@@ -249,7 +294,10 @@
     // The evaluation ends at its limit of 5 s; leaving takes 1 s.
     shop.rig.signal("-TERM");
     let (status, took) = shop.rig.ended();
-    assert!(status.success() && took.as_millis() < 3_000, "{status} {took:?}");
+    assert!(
+        status.success() && took.as_millis() < 3_000,
+        "{status} {took:?}"
+    );
 }
 
 /// Guards start-up: a bad script is one line on standard error, and an exit code that says so.
@@ -263,11 +311,20 @@
     let stock = |ceiling: u32| {
         format!("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"9ms\", ceiling = {ceiling})\n")
     };
-    let greedy = format!("{serve}fleet(instances = 1, kept_mb = 5)\n{}{handler}{page}", stock(1));
+    let greedy = format!(
+        "{serve}fleet(instances = 1, kept_mb = 5)\n{}{handler}{page}",
+        stock(1)
+    );
     let crowded = format!("{serve}fleet(instances = 1)\n{}{handler}{page}", stock(20));
     for (text, told) in [
-        (greedy.as_str(), "shop.star:2: fleet: kept_mb = 5: expected at most a quarter of the memory, 4"),
-        (crowded.as_str(), "shop.star:3: dependency \"stock\": ceiling = 20"),
+        (
+            greedy.as_str(),
+            "shop.star:2: fleet: kept_mb = 5: expected at most a quarter of the memory, 4",
+        ),
+        (
+            crowded.as_str(),
+            "shop.star:3: dependency \"stock\": ceiling = 20",
+        ),
         ("page(\"x\")", "shop.star:1:"),
         (eats, "cannot be evaluated"),
         ("serve(", "Parse error"),
@@ -279,7 +336,10 @@
         for command in ["check", "serve"] {
             let (code, said) = said(&[command, "--operator", path.to_str().unwrap()]);
             assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
-            assert!(said.contains(told) || told == "cannot be evaluated" && said.contains("limit"), "{said}");
+            assert!(
+                said.contains(told) || told == "cannot be evaluated" && said.contains("limit"),
+                "{said}"
+            );
         }
         std::fs::remove_dir_all(&folder).unwrap();
     }
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -14,30 +14,40 @@
         ask(&mut sidecar, n, PAY, &[], b"");
         started(&mut link);
     }
-    link.say_with(&format!("NEED 1 {}", id(1)), b"first").unwrap();
+    link.say_with(&format!("NEED 1 {}", id(1)), b"first")
+        .unwrap();
     let mut service = Service::accept(&rig.records).unwrap();
     service.asked().unwrap();
     let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
     let (engine, records, control) = (bind(), bind(), bind());
     let mut conf = rig.conf.clone();
-    for (key, listener) in [("engine", &engine), ("records", &records), ("control", &control)] {
+    for (key, listener) in [
+        ("engine", &engine),
+        ("records", &records),
+        ("control", &control),
+    ] {
         conf[key] = json!(listener.local_addr().unwrap().to_string());
     }
     conf["listen"] = json!("127.0.0.1:1");
     rig.reload(&conf.to_string(), "cannot change while the server runs");
     let mut link = Rig::hello(&engine, 1);
-    assert_eq!(Service::accept(&control).unwrap().asked().unwrap().line, "PUT /v2/endpoints/toy HTTP/1.1");
+    assert_eq!(
+        Service::accept(&control).unwrap().asked().unwrap().line,
+        "PUT /v2/endpoints/toy HTTP/1.1"
+    );
     // The call in hand ends where it began, the next goes to the new address.
     service.reply("200 OK", "", b"old").unwrap();
     let (words, body) = link.order().unwrap();
     assert_eq!((words[0].as_str(), body.as_slice()), ("FEED", &b"old"[..]));
-    link.say_with(&format!("NEED 2 {}", id(2)), b"second").unwrap();
+    link.say_with(&format!("NEED 2 {}", id(2)), b"second")
+        .unwrap();
     let mut service = Service::accept(&records).unwrap();
     service.asked().unwrap();
     service.reply("200 OK", "", b"new").unwrap();
     assert_eq!(link.order().unwrap().1, b"new");
     for n in [1, 2] {
-        link.say_with(&format!("DONE {} {} fine 1", n + 2, id(n)), b"").unwrap();
+        link.say_with(&format!("DONE {} {} fine 1", n + 2, id(n)), b"")
+            .unwrap();
         assert_eq!(sidecar.hear().unwrap().code, 1);
     }
 }
--- a/crates/server/tests/serve/reqs.rs
+++ b/crates/server/tests/serve/reqs.rs
@@ -8,24 +8,44 @@
 fn bodies_replies_and_results_of_any_bytes_go_through_unchanged() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    let all: Vec<u8> = (0..2_048u32).map(|n| (n * 7 % 256) as u8).chain(*b"\r\n").take(2_048).collect();
-    ask(&mut sidecar, 1, READ, &[("cost", "12.50"), ("rank", "0.6250")], &all);
+    let all: Vec<u8> = (0..2_048u32)
+        .map(|n| (n * 7 % 256) as u8)
+        .chain(*b"\r\n")
+        .take(2_048)
+        .collect();
+    ask(
+        &mut sidecar,
+        1,
+        READ,
+        &[("cost", "12.50"), ("rank", "0.6250")],
+        &all,
+    );
     let (words, body) = link.order().unwrap();
-    assert_eq!((words.as_slice(), &body), (&["RUN", &id(1), READ, "2048"].map(String::from)[..], &all));
+    assert_eq!(
+        (words.as_slice(), &body),
+        (&["RUN", &id(1), READ, "2048"].map(String::from)[..], &all)
+    );
     link.say("NOTE 1 nothing to see").unwrap();
     link.say_with(&format!("NEED 2 {}", id(1)), &all).unwrap();
     let mut service = Service::accept(&rig.records).unwrap();
     let asked = service.asked().unwrap();
     assert_eq!(asked.line, "POST /records/op HTTP/1.1");
-    assert_eq!((asked.header("Op-Of"), &asked.body), (Some(id(1).as_str()), &all));
+    assert_eq!(
+        (asked.header("Op-Of"), &asked.body),
+        (Some(id(1).as_str()), &all)
+    );
     assert!(asked.header("Op-Wait-Ms").unwrap().parse::<u64>().unwrap() > 0);
     service.reply("200 OK", "", &all).unwrap();
     let (words, body) = link.order().unwrap();
     assert_eq!((words[0].as_str(), &body), ("FEED", &all));
     let result: Vec<u8> = all.iter().chain(&all).copied().collect();
-    link.say_with(&format!("DONE 3 {} fine 8.5", id(1)), &result).unwrap();
+    link.say_with(&format!("DONE 3 {} fine 8.5", id(1)), &result)
+        .unwrap();
     let heard = sidecar.hear().unwrap();
-    assert_eq!((heard.kind, heard.stream, heard.code, &heard.body), (2, 1, 1, &result));
+    assert_eq!(
+        (heard.kind, heard.stream, heard.code, &heard.body),
+        (2, 1, 1, &result)
+    );
     assert!(
         heard.field("say").unwrap().parse::<f64>().unwrap() > 0.0,
         "the free value goes out with answers"
@@ -44,17 +64,26 @@
     let mut bytes = Vec::new();
     for n in 1..=32u32 {
         let (id, at) = (id(n.into()), unix_ms().to_string());
-        let fields = [("class", READ), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")];
+        let fields = [
+            ("class", READ),
+            ("id", &id),
+            ("at", &at),
+            ("from", "1"),
+            ("kb", "1.0"),
+        ];
         bytes.extend(frame(1, n, &payload(&fields, &[n as u8])));
     }
-    bytes.chunks(11).for_each(|piece| sidecar.0.write_all(piece).unwrap());
+    bytes
+        .chunks(11)
+        .for_each(|piece| sidecar.0.write_all(piece).unwrap());
     let mut runs: Vec<_> = (0..32).map(|_| started(&mut link)).collect();
     // One more is more than a connection may have open: it is turned away, the others stay.
     ask(&mut sidecar, 33, READ, &[], b"");
     assert_eq!((sidecar.hear().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
     for (n, run) in runs.iter().enumerate() {
-        link.say_with(&format!("DONE {} {run} fine 1", n + 1), run.as_bytes()).unwrap();
+        link.say_with(&format!("DONE {} {run} fine 1", n + 1), run.as_bytes())
+            .unwrap();
         let heard = sidecar.hear().unwrap();
         assert_eq!((heard.code, heard.body), (1, run.as_bytes().to_vec()));
         assert_eq!(id(heard.stream.into()), *run);
@@ -67,23 +96,55 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let at = unix_ms().to_string();
-    let good = [("class", READ), ("id", "00000000000000ff"), ("at", &at), ("from", "1"), ("kb", "1.0")];
+    let good = [
+        ("class", READ),
+        ("id", "00000000000000ff"),
+        ("at", &at),
+        ("from", "1"),
+        ("kb", "1.0"),
+    ];
     let with = |place: usize, value: &'static str| {
         let mut fields = good.to_vec();
         fields[place].1 = value;
         fields
     };
-    let twice = |name: &'static str| good.iter().copied().chain([(name, "1")]).collect::<Vec<_>>();
-    let without =
-        |place: usize| good.iter().copied().enumerate().filter(move |(n, _)| *n != place).map(|f| f.1);
-    let mut bad = vec![with(0, "nobody"), with(1, "12"), with(1, "00000000000000fg"), with(2, "now")];
+    let twice = |name: &'static str| {
+        good.iter()
+            .copied()
+            .chain([(name, "1")])
+            .collect::<Vec<_>>()
+    };
+    let without = |place: usize| {
+        good.iter()
+            .copied()
+            .enumerate()
+            .filter(move |(n, _)| *n != place)
+            .map(|f| f.1)
+    };
+    let mut bad = vec![
+        with(0, "nobody"),
+        with(1, "12"),
+        with(1, "00000000000000fg"),
+        with(2, "now"),
+    ];
     bad.push(good.iter().copied().chain([("cost", "1e300")]).collect());
-    bad.extend([with(3, "x"), with(4, "0"), with(4, "2000"), with(4, "NaN"), twice("kb"), twice("tenant")]);
+    bad.extend([
+        with(3, "x"),
+        with(4, "0"),
+        with(4, "2000"),
+        with(4, "NaN"),
+        twice("kb"),
+        twice("tenant"),
+    ]);
     bad.extend((0..5).map(|place| without(place).collect()));
     for (n, fields) in bad.iter().enumerate() {
         sidecar.send(1, n as u32 + 1, fields, b"").unwrap();
         let heard = sidecar.hear().unwrap();
-        assert_eq!((heard.kind, heard.stream, heard.code), (2, n as u32 + 1, 9), "{fields:?}");
+        assert_eq!(
+            (heard.kind, heard.stream, heard.code),
+            (2, n as u32 + 1, 9),
+            "{fields:?}"
+        );
     }
     sidecar.send(1, 90, &good, &[0; 2_049]).unwrap();
     assert_eq!(sidecar.hear().unwrap().code, 9, "a body past 2 KiB");
@@ -93,9 +154,26 @@
     let run = started(&mut link);
     // The same id while it is open cannot be told apart: the second is errored, the first goes on.
     sidecar
-        .send(1, 101, &[("class", READ), ("id", &run), ("at", &at), ("from", "1"), ("kb", "1.0")], b"")
+        .send(
+            1,
+            101,
+            &[
+                ("class", READ),
+                ("id", &run),
+                ("at", &at),
+                ("from", "1"),
+                ("kb", "1.0"),
+            ],
+            b"",
+        )
         .unwrap();
-    assert_eq!((sidecar.hear().unwrap().stream, started_done(&mut link, &mut sidecar, &run)), (101, 100));
+    assert_eq!(
+        (
+            sidecar.hear().unwrap().stream,
+            started_done(&mut link, &mut sidecar, &run)
+        ),
+        (101, 100)
+    );
 }
 
 fn started_done(link: &mut Link, sidecar: &mut Sidecar, run: &str) -> u32 {
@@ -112,14 +190,26 @@
     let run = started(&mut link);
     let heard = sidecar.hear().unwrap();
     assert_eq!((heard.stream, heard.code), (1, 9));
-    assert_eq!(link.order().unwrap().0, ["HALT", &run], "a replayable run is stopped");
-    link.say_with(&format!("DONE 1 {run} fine 400"), b"too late").unwrap();
+    assert_eq!(
+        link.order().unwrap().0,
+        ["HALT", &run],
+        "a replayable run is stopped"
+    );
+    link.say_with(&format!("DONE 1 {run} fine 400"), b"too late")
+        .unwrap();
     ask(&mut sidecar, 2, READ, &[], b"");
     // Until its end is heard of, the stop is asked for again.
-    let run = std::iter::repeat_with(|| link.order().unwrap().0).find(|words| words[0] != "HALT").unwrap();
+    let run = std::iter::repeat_with(|| link.order().unwrap().0)
+        .find(|words| words[0] != "HALT")
+        .unwrap();
     assert_eq!(run[..2], ["RUN".to_string(), id(2)]);
-    link.say_with(&format!("DONE 2 {} fine 1", run[1]), b"in time").unwrap();
-    assert_eq!(sidecar.hear().unwrap().body, b"in time", "nothing stands between the two answers");
+    link.say_with(&format!("DONE 2 {} fine 1", run[1]), b"in time")
+        .unwrap();
+    assert_eq!(
+        sidecar.hear().unwrap().body,
+        b"in time",
+        "nothing stands between the two answers"
+    );
 }
 
 /// Guards load and pace against stamps that are wrong: they are no sign that reqs lie unread here.
@@ -130,7 +220,13 @@
     let mut rude = rig.sidecar();
     for n in 1..=20 {
         let (id, at) = (id(n.into()), (unix_ms() - 1_000).to_string());
-        let fields = [("class", READ), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")];
+        let fields = [
+            ("class", READ),
+            ("id", &id),
+            ("at", &at),
+            ("from", "1"),
+            ("kb", "1.0"),
+        ];
         rude.send(1, n, &fields, b"").unwrap();
         let run = started(&mut link);
         link.say(&format!("NO RUN {run}")).unwrap();
@@ -138,7 +234,11 @@
     }
     ask(&mut sidecar, 21, READ, &[], b"");
     run_through(&mut link, 1, b"");
-    assert_eq!(sidecar.hear().unwrap().field("say"), Some("1"), "all of the traffic is still wanted");
+    assert_eq!(
+        sidecar.hear().unwrap().field("say"),
+        Some("1"),
+        "all of the traffic is still wanted"
+    );
 }
 
 /// Guards due times against clocks that differ by hours, either way.
@@ -146,10 +246,26 @@
 fn a_req_stamped_by_a_differing_clock_is_served() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    for (n, at) in [(1, unix_ms() + 7_200_000), (2, unix_ms() - 7_200_000), (3, 0), (4, u64::MAX)] {
+    for (n, at) in [
+        (1, unix_ms() + 7_200_000),
+        (2, unix_ms() - 7_200_000),
+        (3, 0),
+        (4, u64::MAX),
+    ] {
         let (id, at) = (id(n.into()), at.to_string());
         sidecar
-            .send(1, n, &[("class", READ), ("id", &id), ("at", &at), ("from", "1"), ("kb", "1.0")], b"")
+            .send(
+                1,
+                n,
+                &[
+                    ("class", READ),
+                    ("id", &id),
+                    ("at", &at),
+                    ("from", "1"),
+                    ("kb", "1.0"),
+                ],
+                b"",
+            )
             .unwrap();
         run_through(&mut link, n.into(), b"");
         assert_eq!(sidecar.hear().unwrap().code, 1);
@@ -166,14 +282,25 @@
     let run = started(&mut link);
     ask(&mut sidecar, 2, BUY, &once, b"buy");
     ask(&mut sidecar, 3, BUY, &[("once", "basket 8")], b"buy");
-    assert_eq!(started(&mut link), id(3), "another mark is another req; the repeat did not run");
-    link.say_with(&format!("DONE 1 {run} fine 1"), b"bought").unwrap();
+    assert_eq!(
+        started(&mut link),
+        id(3),
+        "another mark is another req; the repeat did not run"
+    );
+    link.say_with(&format!("DONE 1 {run} fine 1"), b"bought")
+        .unwrap();
     let mut heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()];
     heard.sort_by_key(|h| h.stream);
-    assert_eq!(heard.map(|h| (h.stream, h.code, h.body)), [1, 2].map(|s| (s, 1, b"bought".to_vec())));
+    assert_eq!(
+        heard.map(|h| (h.stream, h.code, h.body)),
+        [1, 2].map(|s| (s, 1, b"bought".to_vec()))
+    );
     ask(&mut sidecar, 4, BUY, &once, b"buy");
     let late = sidecar.hear().unwrap();
-    assert_eq!((late.stream, late.code, late.body.as_slice()), (4, 1, &b"bought"[..]));
+    assert_eq!(
+        (late.stream, late.code, late.body.as_slice()),
+        (4, 1, &b"bought"[..])
+    );
 }
 
 /// Guards joined reqs: where the first one's run failed, they hear that too.
@@ -185,6 +312,10 @@
         ask(&mut sidecar, n, BUY, &[("once", "basket 7")], b"buy");
     }
     let run = started(&mut link);
-    link.say_with(&format!("DONE 1 {run} fault 1"), b"").unwrap();
-    assert_eq!([sidecar.hear().unwrap().code, sidecar.hear().unwrap().code], [9, 9]);
+    link.say_with(&format!("DONE 1 {run} fault 1"), b"")
+        .unwrap();
+    assert_eq!(
+        [sidecar.hear().unwrap().code, sidecar.hear().unwrap().code],
+        [9, 9]
+    );
 }
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -94,8 +94,11 @@
     let mut conf = rig.conf.clone();
     conf["limits"]["sockets"] = json!(110);
     rig.reload(&conf.to_string(), "the configuration was read anew");
-    link.say_with(&format!("DONE 2 {run} fine 1"), b"done").unwrap();
-    let heard = std::iter::repeat_with(|| sidecar.hear().unwrap()).find(|heard| heard.kind == 2).unwrap();
+    link.say_with(&format!("DONE 2 {run} fine 1"), b"done")
+        .unwrap();
+    let heard = std::iter::repeat_with(|| sidecar.hear().unwrap())
+        .find(|heard| heard.kind == 2)
+        .unwrap();
     assert_eq!(heard.body, b"done");
     // Reports were made all the time, to nobody: now they arrive.
     while Service::accept(&rig.control).unwrap().asked().is_err() {}
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -18,13 +18,17 @@
 pub const BRIEF: &str = "brief"; // replayable, a client timeout of 600 ms
 
 pub fn settings() -> Value {
-    let mut conf: Value = serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
+    let mut conf: Value =
+        serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
     let class = |name: &str, effect: &str, timeout: f64| {
         json!({ "name": name, "effect": effect, "credit": 1.0, "late_value": 0.2, "aim_ms": timeout / 2.0,
             "deadline_ms": timeout, "dedup_window_ms": 2500.0 })
     };
     let classes = conf["settings"]["classes"].as_array_mut().unwrap();
-    classes.extend([class(PAY, "once", 2_000.0), class(BRIEF, "repeatable", 600.0)]);
+    classes.extend([
+        class(PAY, "once", 2_000.0),
+        class(BRIEF, "repeatable", 600.0),
+    ]);
     conf
 }
 
@@ -42,7 +46,11 @@
 
 /// A configuration in a file of its own.
 pub fn written(conf: &str) -> PathBuf {
-    let name = format!("cottondyke-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "cottondyke-{}-{}.json",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, conf).unwrap();
     path
@@ -50,7 +58,11 @@
 
 pub fn program(words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottondyke"));
-    command.args(words).env_remove("GW_CONFIG").stderr(Stdio::piped()).stdout(Stdio::piped());
+    command
+        .args(words)
+        .env_remove("GW_CONFIG")
+        .stderr(Stdio::piped())
+        .stdout(Stdio::piped());
     command
 }
 
@@ -65,12 +77,23 @@
 impl Process {
     pub fn start(option: &'static str, path: PathBuf) -> Self {
         let (child, log) = spawned(option, &path);
-        Process { option, path, child, log }
+        Process {
+            option,
+            path,
+            child,
+            log,
+        }
     }
 
     /// Where it listens, once it serves.
     pub fn serves(&self) -> SocketAddr {
-        self.logged("listen=").split_once("listen=").unwrap().1.trim().parse().unwrap()
+        self.logged("listen=")
+            .split_once("listen=")
+            .unwrap()
+            .1
+            .trim()
+            .parse()
+            .unwrap()
     }
 
     pub fn path(&self) -> &Path {
@@ -78,7 +101,11 @@
     }
 
     pub fn signal(&self, name: &str) {
-        assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Replaces the file and has it read anew.
@@ -98,7 +125,9 @@
 
     /// How many descriptors the program holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     /// How the program ended, and how long that took.
@@ -136,10 +165,17 @@
 
 /// The program with this file, and what it logs.
 fn spawned(option: &str, path: &Path) -> (Child, Receiver<String>) {
-    let mut child = program(&["serve", option, path.to_str().unwrap()]).spawn().unwrap();
+    let mut child = program(&["serve", option, path.to_str().unwrap()])
+        .spawn()
+        .unwrap();
     let (lines, log) = channel();
     let stderr = BufReader::new(child.stderr.take().unwrap());
-    std::thread::spawn(move || stderr.lines().map_while(Result::ok).all(|line| lines.send(line).is_ok()));
+    std::thread::spawn(move || {
+        stderr
+            .lines()
+            .map_while(Result::ok)
+            .all(|line| lines.send(line).is_ok())
+    });
     (child, log)
 }
 
@@ -152,7 +188,10 @@
 impl Alone {
     pub fn start(script: &str) -> Self {
         let process = Process::start("--operator", written(script));
-        Alone { addr: process.serves(), process }
+        Alone {
+            addr: process.serves(),
+            process,
+        }
     }
 }
 
@@ -194,7 +233,14 @@
         let (mut conf, [engine, records, control]) = with_peers();
         change(&mut conf);
         let process = Process::start("--config", written(&conf.to_string()));
-        Rig { addr: process.serves(), process, conf, engine, records, control }
+        Rig {
+            addr: process.serves(),
+            process,
+            conf,
+            engine,
+            records,
+            control,
+        }
     }
 
     /// A link past its hello and the question that fences it off from the link before.
@@ -208,7 +254,8 @@
         link.say("HELLO running 5.0").unwrap();
         let (words, _) = link.command().unwrap();
         assert_eq!(words[0], "STAT", "the fence comes first");
-        link.say(&format!("STATS {} 0.5 1 0.1 3", words[1])).unwrap();
+        link.say(&format!("STATS {} 0.5 1 0.1 3", words[1]))
+            .unwrap();
         link
     }
 
@@ -248,7 +295,13 @@
 /// Sends a req whose stream and id are `number`.
 pub fn ask(sidecar: &mut Sidecar, number: u32, class: &str, more: &[(&str, &str)], body: &[u8]) {
     let (id, at) = (id(number.into()), unix_ms().to_string());
-    let mut fields = vec![("class", class), ("id", &id), ("at", &at), ("from", "1"), ("kb", "10.0")];
+    let mut fields = vec![
+        ("class", class),
+        ("id", &id),
+        ("at", &at),
+        ("from", "1"),
+        ("kb", "10.0"),
+    ];
     fields.extend(more);
     sidecar.send(1, number, &fields, body).unwrap();
 }
@@ -263,7 +316,8 @@
 /// The engine's side of a whole run: told to start, done with this result.
 pub fn run_through(link: &mut Link, notice: u64, result: &[u8]) {
     let run = started(link);
-    link.say_with(&format!("DONE {notice} {run} fine 1"), result).unwrap();
+    link.say_with(&format!("DONE {notice} {run} fine 1"), result)
+        .unwrap();
 }
 
 /// What the program says of a configuration, and its exit code.
@@ -271,14 +325,27 @@
     let mut child = program(words).spawn().unwrap();
     let status = child.wait().unwrap();
     let mut text = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+    child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut text)
+        .unwrap();
     (status.code(), text)
 }
 
 /// The next req is served: what is still said of runs before it is passed over.
-pub fn serves(link: &mut Link, sidecar: &mut Sidecar, number: u32, class: &str, more: &[(&str, &str)]) {
+pub fn serves(
+    link: &mut Link,
+    sidecar: &mut Sidecar,
+    number: u32,
+    class: &str,
+    more: &[(&str, &str)],
+) {
     ask(sidecar, number, class, more, b"");
-    let next = std::iter::repeat_with(|| link.order().unwrap().0).find(|words| words[0] != "HALT").unwrap();
+    let next = std::iter::repeat_with(|| link.order().unwrap().0)
+        .find(|words| words[0] != "HALT")
+        .unwrap();
     assert_eq!(next[..2], ["RUN".to_string(), id(number.into())]);
     ends(link, sidecar, number);
 }
@@ -286,7 +353,14 @@
 /// The run of a req ends, and its result is heard.
 pub fn ends(link: &mut Link, sidecar: &mut Sidecar, number: u32) {
     let result = format!("result {number}");
-    link.say_with(&format!("DONE {number} {} fine 1", id(number.into())), result.as_bytes()).unwrap();
+    link.say_with(
+        &format!("DONE {number} {} fine 1", id(number.into())),
+        result.as_bytes(),
+    )
+    .unwrap();
     let heard = sidecar.hear().unwrap();
-    assert_eq!((heard.stream, heard.code, heard.body), (number, 1, result.into_bytes()));
+    assert_eq!(
+        (heard.stream, heard.code, heard.body),
+        (number, 1, result.into_bytes())
+    );
 }
--- a/crates/server/tests/serve/start.rs
+++ b/crates/server/tests/serve/start.rs
@@ -10,21 +10,39 @@
 fn a_bad_configuration_is_told_in_one_line() {
     let cases: [(&str, Spoil); 15] = [
         // The first shape's count of callers beside callers heard on connections: the two are mixed.
-        ("family_info.upstreams", |c| c["front"] = json!({ "callers": "connections" })),
-        ("front.callers", |c| c["front"] = json!({ "callers": "everyone" })),
+        ("family_info.upstreams", |c| {
+            c["front"] = json!({ "callers": "connections" })
+        }),
+        ("front.callers", |c| {
+            c["front"] = json!({ "callers": "everyone" })
+        }),
         ("engine", |c| c["engine"] = json!("nowhere")),
         ("listen", |c| c["listen"] = json!(5)),
         ("settings", |c| c["settings"] = json!([])),
-        ("family_info", |c| c["settings"]["family_info"] = json!(null)),
-        ("n_cores", |c| c["settings"]["family_info"]["n_cores"] = json!(0)),
-        ("n_cores", |c| c["settings"]["family_info"]["n_cores"] = json!(1e9)),
-        ("effect", |c| c["settings"]["classes"][0]["effect"] = json!("maybe")),
+        ("family_info", |c| {
+            c["settings"]["family_info"] = json!(null)
+        }),
+        ("n_cores", |c| {
+            c["settings"]["family_info"]["n_cores"] = json!(0)
+        }),
+        ("n_cores", |c| {
+            c["settings"]["family_info"]["n_cores"] = json!(1e9)
+        }),
+        ("effect", |c| {
+            c["settings"]["classes"][0]["effect"] = json!("maybe")
+        }),
         ("classes", |c| c["settings"]["classes"] = json!([])),
         ("sockets", |c| c["limits"]["sockets"] = json!(3)),
         // A uniqued handler without a window, or with none.
-        ("dedup_window_ms is missing", |c| c["settings"]["classes"][1]["dedup_window_ms"] = json!(null)),
-        ("dedup_window_ms is 0", |c| c["settings"]["classes"][1]["dedup_window_ms"] = json!(0)),
-        ("below is \"nothing\"", |c| c["settings"]["family_info"]["below"] = json!("nothing")),
+        ("dedup_window_ms is missing", |c| {
+            c["settings"]["classes"][1]["dedup_window_ms"] = json!(null)
+        }),
+        ("dedup_window_ms is 0", |c| {
+            c["settings"]["classes"][1]["dedup_window_ms"] = json!(0)
+        }),
+        ("below is \"nothing\"", |c| {
+            c["settings"]["family_info"]["below"] = json!("nothing")
+        }),
         ("seed", |c| c["seed"] = json!("xyz")),
     ];
     for (names, spoil) in cases {
@@ -45,22 +63,38 @@
         conf["settings"]["family_info"]["below"] = json!(below);
         let path = written(&conf.to_string());
         let (told, text) = said(&["check", "--config", path.to_str().unwrap()]);
-        assert!(told == code && (code == Some(0) || text.contains("records")), "{below}: {told:?} {text}");
+        assert!(
+            told == code && (code == Some(0) || text.contains("records")),
+            "{below}: {told:?} {text}"
+        );
         std::fs::remove_file(path).unwrap();
     }
     let path = written("{ not JSON");
-    assert!(said(&["check", "--config", path.to_str().unwrap()]).1.contains("not JSON"));
+    assert!(said(&["check", "--config", path.to_str().unwrap()])
+        .1
+        .contains("not JSON"));
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(said(&["check", "--config", path.to_str().unwrap()]).0, Some(2), "a missing file");
+    assert_eq!(
+        said(&["check", "--config", path.to_str().unwrap()]).0,
+        Some(2),
+        "a missing file"
+    );
     assert_eq!(said(&["serve"]).0, Some(2), "no file named");
     assert_eq!(said(&["dance"]).0, Some(2));
     assert_eq!(said(&["version"]).0, Some(0));
     // The move: one build takes the first shape and the new one, each from its settings alone.
     let mut new = settings();
     new["front"] = json!({ "callers": "connections" });
-    new["settings"]["family_info"].as_object_mut().unwrap().remove("upstreams");
+    new["settings"]["family_info"]
+        .as_object_mut()
+        .unwrap()
+        .remove("upstreams");
     let path = written(&new.to_string());
-    assert_eq!(said(&["check", "--config", path.to_str().unwrap()]).0, Some(0), "the new shape");
+    assert_eq!(
+        said(&["check", "--config", path.to_str().unwrap()]).0,
+        Some(0),
+        "the new shape"
+    );
     std::fs::remove_file(path).unwrap();
 }
 
@@ -71,8 +105,14 @@
     let mut conf = settings();
     conf["listen"] = json!(taken.local_addr().unwrap().to_string());
     let path = written(&conf.to_string());
-    assert_eq!(said(&["check", "--config", path.to_str().unwrap()]).0, Some(0));
+    assert_eq!(
+        said(&["check", "--config", path.to_str().unwrap()]).0,
+        Some(0)
+    );
     let (code, text) = said(&["serve", "--config", path.to_str().unwrap()]);
     std::fs::remove_file(path).unwrap();
-    assert!(code == Some(1) && text.contains("cannot listen"), "{code:?} {text}");
+    assert!(
+        code == Some(1) && text.contains("cannot listen"),
+        "{code:?} {text}"
+    );
 }
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -21,7 +21,11 @@
 
 fn names() -> Rc<Names> {
     let handlers = ["browse", "checkout"].map(String::from).to_vec();
-    Rc::new(Names { handlers, customers: vec!["acme".to_string()], longest_ms: 2_000.0 })
+    Rc::new(Names {
+        handlers,
+        customers: vec!["acme".to_string()],
+        longest_ms: 2_000.0,
+    })
 }
 
 /// What each protocol's decoder makes of bytes that come in pieces.
@@ -66,7 +70,12 @@
     };
 }
 
-parser!(sidecar::Decoder, sidecar::Decoder::new(names()), Message, message);
+parser!(
+    sidecar::Decoder,
+    sidecar::Decoder::new(names()),
+    Message,
+    message
+);
 parser!(engine::Decoder, engine::Decoder::default(), Notice, notice);
 parser!(http::Decoder, http::Decoder::default(), http::Reply, reply);
 
@@ -74,7 +83,11 @@
 fn splits<P: Parser>(bytes: &[u8]) -> Vec<Result<P::Out, ()>> {
     let whole = P::all(&[bytes]);
     for at in 0..=bytes.len() {
-        assert_eq!(P::all(&[&bytes[..at], &bytes[at..]]), whole, "split at {at}");
+        assert_eq!(
+            P::all(&[&bytes[..at], &bytes[at..]]),
+            whole,
+            "split at {at}"
+        );
     }
     assert_eq!(P::all(&bytes.chunks(1).collect::<Vec<_>>()), whole);
     whole
@@ -98,13 +111,24 @@
     bytes.extend(frame(4, 7, &payload(&[("deep", "1")], b"")));
     bytes.extend(frame(1, 2, &payload(&FIELDS[1..], b"")));
     let out = splits::<sidecar::Decoder>(&bytes);
-    let Ok(Message::Req(req)) = &out[0] else { panic!("{out:?}") };
-    assert_eq!((req.handler, req.customer, req.retry), (HandlerId(1), Some(CustomerId(0)), true));
+    let Ok(Message::Req(req)) = &out[0] else {
+        panic!("{out:?}")
+    };
+    assert_eq!(
+        (req.handler, req.customer, req.retry),
+        (HandlerId(1), Some(CustomerId(0)), true)
+    );
     assert_eq!(
         (req.at, req.hint, req.kb, req.body.as_slice()),
         (1764576000123, Some(12.5), 24.5, &b"\x00\r\n\xff"[..])
     );
-    assert_eq!(out[1], Ok(Message::Check { stream: Stream(7), deep: true }));
+    assert_eq!(
+        out[1],
+        Ok(Message::Check {
+            stream: Stream(7),
+            deep: true
+        })
+    );
     assert_eq!(out[2], Ok(Message::Unfit(Stream(2), "class missing")));
 }
 
@@ -127,9 +151,12 @@
         }
         assert_eq!(heard, words, "cut every {cut}");
     }
-    for bad in
-        [&[0, 0, 0, 4][..], &[255, 0, 0, 0], &[0, 0, 0, 5, 8, 0, 0, 0, 0], &[0, 0, 0, 5, 7, 0, 0, 0, 1]]
-    {
+    for bad in [
+        &[0, 0, 0, 4][..],
+        &[255, 0, 0, 0],
+        &[0, 0, 0, 5, 8, 0, 0, 0, 0],
+        &[0, 0, 0, 5, 7, 0, 0, 0, 1],
+    ] {
         let mut decoder = Decoder::default();
         decoder.feed(bad);
         assert!(decoder.word().is_err(), "{bad:?}");
@@ -138,7 +165,13 @@
 
 #[test]
 fn a_length_out_of_bounds_is_told_before_the_frame_comes() {
-    for (length, fits) in [(4u32, false), (5, true), (262_144, true), (262_145, false), (u32::MAX, false)] {
+    for (length, fits) in [
+        (4u32, false),
+        (5, true),
+        (262_144, true),
+        (262_145, false),
+        (u32::MAX, false),
+    ] {
         let out = sidecar::Decoder::all(&[&length.to_be_bytes()]);
         assert_eq!(out.is_empty(), fits, "{length}");
     }
@@ -148,8 +181,14 @@
 #[test]
 fn each_stream_is_used_once() {
     let used = |numbers: &[u32]| {
-        let frames: Vec<_> = numbers.iter().map(|n| frame(1, *n, &payload(&[], b""))).collect();
-        sidecar::Decoder::all(&frames.iter().map(Vec::as_slice).collect::<Vec<_>>()).last().unwrap().is_ok()
+        let frames: Vec<_> = numbers
+            .iter()
+            .map(|n| frame(1, *n, &payload(&[], b"")))
+            .collect();
+        sidecar::Decoder::all(&frames.iter().map(Vec::as_slice).collect::<Vec<_>>())
+            .last()
+            .unwrap()
+            .is_ok()
     };
     assert!(used(&[1, 2, 3]) && used(&[2, 1, 5, 4, 3]) && used(&[1, u32::MAX]));
     assert!(!used(&[1, 1]) && !used(&[3, 1, 3]) && !used(&[0]) && !used(&[5, 6, 2, 1, 2]));
@@ -162,16 +201,51 @@
     let bytes = b"HELLO starting 12.5\r\nNOTE 1 odd DONE 3\r\nNEED 2 9b1f03aa5c7e2d41 4\r\n\r\n\r\n\r\n\
         DONE 3 9b1f03aa5c7e2d41 broken_off 8 0\r\n\r\nSTATS 7 0.5 1 3\r\nTESTED 8 fault\r\nNO RUN zz\r\nNEWS 1\r\n";
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
-    let out: Vec<_> = splits::<engine::Decoder>(bytes).into_iter().map(Result::unwrap).collect();
+    let out: Vec<_> = splits::<engine::Decoder>(bytes)
+        .into_iter()
+        .map(Result::unwrap)
+        .collect();
     assert_eq!(out[0], Notice::Hello { age_ms: 12.5 });
-    assert_eq!(out[2], Notice::Need { no: engine::NoticeNo(2), id, body: b"\r\n\r\n".to_vec() });
-    let done = Notice::Done { no: engine::NoticeNo(3), id, end: RunEnd::Stopped, result: Vec::new() };
+    assert_eq!(
+        out[2],
+        Notice::Need {
+            no: engine::NoticeNo(2),
+            id,
+            body: b"\r\n\r\n".to_vec()
+        }
+    );
+    let done = Notice::Done {
+        no: engine::NoticeNo(3),
+        id,
+        end: RunEnd::Stopped,
+        result: Vec::new(),
+    };
     assert_eq!(out[3], done);
-    assert_eq!(out[5], Notice::Tested { tag: engine::Tag(8), good: false });
-    assert_eq!(out[6], Notice::Refused { command: "RUN".to_string(), id: None });
+    assert_eq!(
+        out[5],
+        Notice::Tested {
+            tag: engine::Tag(8),
+            good: false
+        }
+    );
+    assert_eq!(
+        out[6],
+        Notice::Refused {
+            command: "RUN".to_string(),
+            id: None
+        }
+    );
     assert_eq!(out[7], Notice::Unknown("NEWS 1".to_string()));
-    for bad in ["DONE 1 x fine 1 0\r\n\r\n", "NEED 1 9b1f03aa5c7e2d41 99999999999\r\n", "HELLO a -1\r\n"] {
-        assert_eq!(splits::<engine::Decoder>(bad.as_bytes()).last(), Some(&Err(())), "{bad}");
+    for bad in [
+        "DONE 1 x fine 1 0\r\n\r\n",
+        "NEED 1 9b1f03aa5c7e2d41 99999999999\r\n",
+        "HELLO a -1\r\n",
+    ] {
+        assert_eq!(
+            splits::<engine::Decoder>(bad.as_bytes()).last(),
+            Some(&Err(())),
+            "{bad}"
+        );
     }
 }
 
@@ -179,10 +253,18 @@
 fn commands_stand_as_the_engine_reads_them() {
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
     let mut bytes = Vec::new();
-    let run = Command::Run { id, class: "browse".into(), body: b"\r\n".as_slice().into() };
-    [run, Command::Skip(id, engine::NoticeNo(4)), Command::Halt(id)]
-        .iter()
-        .for_each(|c| c.encode(&mut bytes));
+    let run = Command::Run {
+        id,
+        class: "browse".into(),
+        body: b"\r\n".as_slice().into(),
+    };
+    [
+        run,
+        Command::Skip(id, engine::NoticeNo(4)),
+        Command::Halt(id),
+    ]
+    .iter()
+    .for_each(|c| c.encode(&mut bytes));
     let lines =
         "RUN 9b1f03aa5c7e2d41 browse 2\r\n\r\n\r\nSKIP 9b1f03aa5c7e2d41 4\r\nHALT 9b1f03aa5c7e2d41\r\n";
     assert_eq!(String::from_utf8(bytes).unwrap(), lines);
@@ -191,10 +273,17 @@
 #[test]
 fn http_replies_come_through_any_split() {
     let ok = |bytes: &str| splits::<http::Decoder>(bytes.as_bytes()).remove(0).unwrap();
-    let plain = ok("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-LENGTH: 4\r\n\r\n\r\n\r\n");
-    assert_eq!((plain.status, plain.body.as_slice()), (200, &b"\r\n\r\n"[..]));
+    let plain =
+        ok("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-LENGTH: 4\r\n\r\n\r\n\r\n");
+    assert_eq!(
+        (plain.status, plain.body.as_slice()),
+        (200, &b"\r\n\r\n"[..])
+    );
     let away = ok("HTTP/1.1 503 No\r\nOp-Not-Begun: 1\r\nContent-Length: 9\r\n\r\n");
-    assert!(away.not_begun && away.status == 503, "only the body of a 200 is waited for");
+    assert!(
+        away.not_begun && away.status == 503,
+        "only the body of a 200 is waited for"
+    );
     let chunks = ok("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nab\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n");
     assert_eq!(chunks.body, b"ab0123456789");
     assert_eq!(ok("HTTP/1.1 204 No Content\r\n\r\n").body, b"");
@@ -207,7 +296,11 @@
         "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
         huge,
     ] {
-        assert_eq!(splits::<http::Decoder>(bad.as_bytes()).last(), Some(&Err(())), "{bad}");
+        assert_eq!(
+            splits::<http::Decoder>(bad.as_bytes()).last(),
+            Some(&Err(())),
+            "{bad}"
+        );
     }
 }
 
@@ -287,23 +380,40 @@
     let mut keys = DedupTable::default();
     let result = Rc::new(Output::whole(vec![0; 1 << 20]));
     for n in 0..40 {
-        keys.keep(ReqId(n), (HandlerId(0), None, n.to_string().into()), Some(Time(1_000)), Time(0));
+        keys.keep(
+            ReqId(n),
+            (HandlerId(0), None, n.to_string().into()),
+            Some(Time(1_000)),
+            Time(0),
+        );
         keys.ended(Time(0), ReqId(n), Some(result.clone()), Time(0), 16 << 20);
     }
     let held = |n| matches!(keys.outcome(ReqId(n)), Some(Outcome::Done(Some(_))));
-    assert_eq!((0..40).filter(|n| held(*n)).collect::<Vec<_>>(), (24..40).collect::<Vec<_>>());
+    assert_eq!(
+        (0..40).filter(|n| held(*n)).collect::<Vec<_>>(),
+        (24..40).collect::<Vec<_>>()
+    );
 }
 
 /// Guards calls against a budget of descriptors that is all taken by sidecars: what is kept back holds as many as the
 /// cores may have in hand, and never more than half.
 #[test]
 fn descriptors_are_kept_back_for_the_calls_of_all_cores() {
-    for (sockets, cores, connections) in [(1_000, 6, 904), (1_000, 64, 712), (400, 200, 200), (128, 2, 32)] {
+    for (sockets, cores, connections) in [
+        (1_000, 6, 904),
+        (1_000, 64, 712),
+        (400, 200, 200),
+        (128, 2, 32),
+    ] {
         let mut conf: serde_json::Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
         conf["limits"]["sockets"] = sockets.into();
         conf["settings"]["family_info"]["n_cores"] = cores.into();
-        assert_eq!(Config::parse(&conf.to_string()).unwrap().connections, connections, "{sockets} {cores}");
+        assert_eq!(
+            Config::parse(&conf.to_string()).unwrap().connections,
+            connections,
+            "{sockets} {cores}"
+        );
     }
 }
 
@@ -321,13 +431,19 @@
     let handed = || -> Vec<(usize, bool)> {
         let of = |outgoing: &async_channel::Receiver<Outgoing>| {
             let all: Vec<_> = std::iter::from_fn(|| outgoing.try_recv().ok()).collect();
-            let closes = all.iter().filter(|p| matches!(p, Outgoing::Close { .. })).count();
+            let closes = all
+                .iter()
+                .filter(|p| matches!(p, Outgoing::Close { .. }))
+                .count();
             (all.len() - closes, closes > 0)
         };
         conns.iter().map(|(_, outgoing)| of(outgoing)).collect()
     };
     connections.make_room(Time(5_500), 5, 3);
-    assert_eq!(handed(), [(1, false), (1, true), (1, true), (0, false), (0, false)]);
+    assert_eq!(
+        handed(),
+        [(1, false), (1, true), (1, true), (0, false), (0, false)]
+    );
     // Closing ones count as going already; the idle one is told, and closed after what may cross.
     connections.make_room(Time(5_500), 5, 3);
     assert_eq!(handed(), [(0, false); 5]);
@@ -335,7 +451,10 @@
     connections.make_room(Time(5_600), 3, 2);
     assert_eq!((connections.count(), handed()[0]), (3, (1, false)));
     connections.make_room(Time(7_000), 3, 2);
-    assert_eq!(handed(), [(0, true), (0, false), (0, false), (0, false), (0, false)]);
+    assert_eq!(
+        handed(),
+        [(0, true), (0, false), (0, false), (0, false), (0, false)]
+    );
 }
 
 #[test]
@@ -343,7 +462,13 @@
     let at = |ms: i64| stage(Some(Time(0)), Time(32_000), Time(ms * 10));
     assert_eq!(
         [at(0), at(2_700), at(2_900), at(3_100), at(3_180)],
-        [Stage::Leaving, Stage::Leaving, Stage::Closed, Stage::Ended, Stage::Over]
+        [
+            Stage::Leaving,
+            Stage::Leaving,
+            Stage::Closed,
+            Stage::Ended,
+            Stage::Over
+        ]
     );
     assert_eq!(stage(None, Time(32_000), Time(1 << 40)), Stage::Serving);
 }
@@ -352,16 +477,27 @@
 #[test]
 fn a_check_that_needs_the_engine_ends() {
     let mut health = Health::default();
-    assert_eq!([health.answer(true, false), health.answer(false, true)], [Some(false), Some(true)]);
+    assert_eq!(
+        [health.answer(true, false), health.answer(false, true)],
+        [Some(false), Some(true)]
+    );
     assert_eq!(health.answer(true, true), None, "only the engine can tell");
     health.testing(Time(0), Tag(1), ConnId(1), Stream(2));
     assert!(health.overdue(Time(4_999)).is_empty());
     assert_eq!(health.overdue(Time(5_000)), [(ConnId(1), Stream(2))]);
     assert_eq!(health.tested(Tag(1)), None, "one answer");
     (0..64).for_each(|n| health.testing(Time(0), Tag(n), ConnId(1), Stream(2)));
-    assert_eq!(health.answer(true, true), Some(false), "tests that are out are bounded");
+    assert_eq!(
+        health.answer(true, true),
+        Some(false),
+        "tests that are out are bounded"
+    );
     assert!(health.set(true) && !health.set(true));
-    assert_eq!(health.answer(true, true), Some(true), "then checks hear what was set");
+    assert_eq!(
+        health.answer(true, true),
+        Some(true),
+        "then checks hear what was set"
+    );
 }
 
 /// Guards commands given while there is no link, and the wait for a fence that is never answered.
@@ -371,12 +507,16 @@
     let (skip, halt) = (Command::Skip(id, engine::NoticeNo(1)), Command::Halt(id));
     let mut engine = Engine::default();
     assert_eq!(engine.ask_gauges(), None);
-    [&skip, &halt, &halt].into_iter().for_each(|c| engine.send(c.clone()));
+    [&skip, &halt, &halt]
+        .into_iter()
+        .for_each(|c| engine.send(c.clone()));
     for fenced in [true, false] {
         let (outlet, commands) = async_channel::unbounded();
         engine.up(Time(0), outlet);
         let fence = commands.try_recv();
-        let Ok(Command::Stat(tag)) = fence else { panic!("{fence:?}") };
+        let Ok(Command::Stat(tag)) = fence else {
+            panic!("{fence:?}")
+        };
         assert!(commands.is_empty(), "nothing passes the fence");
         assert!(if fenced {
             engine.passed(tag)
@@ -384,7 +524,10 @@
             !engine.overdue(Time(9_999)) && engine.overdue(Time(10_000))
         });
         engine.resume(Vec::new());
-        assert_eq!([commands.try_recv(), commands.try_recv()], [Ok(skip.clone()), Ok(halt.clone())]);
+        assert_eq!(
+            [commands.try_recv(), commands.try_recv()],
+            [Ok(skip.clone()), Ok(halt.clone())]
+        );
         assert!(commands.is_empty(), "a halt that waits is not repeated");
         // The link breaks before they are written: they wait again.
         engine.down(vec![skip.clone(), halt.clone()]);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! From the start-up settings of an instance to a decider: each part is handed its own few. The adapter and
 //! the server both build theirs here.
-use cottondyke_decide::decide::*;
+use cottondyke_decide::policy::*;
 use cottondyke_decide::types::*;
 use serde_json::Value;
 
@@ -12,11 +12,15 @@
 }
 
 pub fn text<'a>(of: &'a Value, key: &str) -> Result<&'a str, Wrong> {
-    of.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key} is missing or not a text"))
+    of.get(key)
+        .and_then(Value::as_str)
+        .ok_or_else(|| format!("{key} is missing or not a text"))
 }
 
 pub fn whole(of: &Value, key: &str) -> Result<u64, Wrong> {
-    of.get(key).and_then(Value::as_u64).ok_or_else(|| format!("{key} is missing or not a whole number"))
+    of.get(key)
+        .and_then(Value::as_u64)
+        .ok_or_else(|| format!("{key} is missing or not a whole number"))
 }
 
 pub fn number(of: &Value, key: &str) -> Result<f64, Wrong> {
@@ -24,8 +28,11 @@
 }
 
 pub fn maybe_number(of: &Value, key: &str) -> Result<Option<f64>, Wrong> {
-    let finite =
-        |v: &Value| v.as_f64().filter(|n| n.is_finite()).ok_or_else(|| format!("{key} is not a number"));
+    let finite = |v: &Value| {
+        v.as_f64()
+            .filter(|n| n.is_finite())
+            .ok_or_else(|| format!("{key} is not a number"))
+    };
     present(of, key).map(finite).transpose()
 }
 
@@ -34,11 +41,15 @@
 }
 
 fn span(of: &Value, key: &str) -> Result<Time, Wrong> {
-    Ok(Time((maybe_number(of, key)?.unwrap_or(0.0) * 10.0).clamp(0.0, 1e15) as i64))
+    Ok(Time(
+        (maybe_number(of, key)?.unwrap_or(0.0) * 10.0).clamp(0.0, 1e15) as i64,
+    ))
 }
 
 fn list<'a>(of: &'a Value, key: &str) -> &'a [Value] {
-    of.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
+    of.get(key)
+        .and_then(Value::as_array)
+        .map_or(&[], Vec::as_slice)
 }
 
 /// What decoding needs of the settings: the names of handlers and customers in their order, and where the
@@ -52,14 +63,26 @@
 }
 
 pub fn places(conf: &Value) -> Places {
-    let names = conf.get("family_info").map_or(&[][..], |info| list(info, "own_stats"));
+    let names = conf
+        .get("family_info")
+        .map_or(&[][..], |info| list(info, "own_stats"));
     let place = |name: &str| names.iter().position(|n| n.as_str() == Some(name));
     let named = |key: &str| {
-        let name = |v: &Value| v.get("name").and_then(Value::as_str).unwrap_or_default().to_string();
+        let name = |v: &Value| {
+            v.get("name")
+                .and_then(Value::as_str)
+                .unwrap_or_default()
+                .to_string()
+        };
         list(conf, key).iter().map(name).collect()
     };
     let (busy, runnable) = (place("cpu_busy"), place("runnable"));
-    Places { handlers: named("classes"), customers: named("customers"), busy, runnable }
+    Places {
+        handlers: named("classes"),
+        customers: named("customers"),
+        busy,
+        runnable,
+    }
 }
 
 fn kind(class: &Value) -> Result<Kind, Wrong> {
@@ -78,7 +101,8 @@
 
 /// How long a read's answer may be handed to others.
 pub fn fresh(conf: &Value) -> Result<Time, Wrong> {
-    conf.get("family_info").map_or(Ok(Time(0)), |info| span(info, "fresh_ms"))
+    conf.get("family_info")
+        .map_or(Ok(Time(0)), |info| span(info, "fresh_ms"))
 }
 
 fn handler(place: usize, class: &Value, info: &Value) -> Result<Handler, Wrong> {
@@ -91,29 +115,48 @@
         late_value: maybe_number(class, "late_value")?.unwrap_or(0.0),
         window: span(class, "dedup_window_ms")?,
         calls: list(info, "class_calls").get(place).map_or(Ok(true), |v| {
-            v.as_bool().ok_or_else(|| format!("class_calls[{place}] is {v}: expected true or false"))
+            v.as_bool()
+                .ok_or_else(|| format!("class_calls[{place}] is {v}: expected true or false"))
         })?,
-        skip_value: list(info, "class_skip_worth").get(place).and_then(Value::as_f64).unwrap_or(0.0),
+        skip_value: list(info, "class_skip_worth")
+            .get(place)
+            .and_then(Value::as_f64)
+            .unwrap_or(0.0),
     })
 }
 
 pub fn decider(now: Time, seed: u64, conf: &Value) -> Result<Decider, Wrong> {
-    let part = |key: &str| conf.get(key).filter(|v| v.is_object()).ok_or(format!("settings without {key}"));
+    let part = |key: &str| {
+        conf.get(key)
+            .filter(|v| v.is_object())
+            .ok_or(format!("settings without {key}"))
+    };
     let (info, rules, blend) = (part("family_info")?, part("obligations")?, part("blend")?);
     let policy = part("policy_limits")?;
     let classes = list(conf, "classes").iter().enumerate();
-    let handlers = classes.map(|(place, c)| handler(place, c, info)).collect::<Result<Vec<_>, _>>()?;
-    let quotas =
-        list(conf, "customers").iter().map(|c| number(c, "quota_per_s")).collect::<Result<Vec<_>, _>>()?;
+    let handlers = classes
+        .map(|(place, c)| handler(place, c, info))
+        .collect::<Result<Vec<_>, _>>()?;
+    let quotas = list(conf, "customers")
+        .iter()
+        .map(|c| number(c, "quota_per_s"))
+        .collect::<Result<Vec<_>, _>>()?;
     let weight = |key: &str| maybe_number(blend, key).map(|w| w.unwrap_or(0.0));
-    let weights =
-        [weight("whole")? + weight("worst_window")?, weight("worst_class")?, weight("worst_tenant")?];
+    let weights = [
+        weight("whole")? + weight("worst_window")?,
+        weight("worst_class")?,
+        weight("worst_tenant")?,
+    ];
     let by_work = conf.get("worth_by").and_then(Value::as_str) == Some("work");
     let over_share = maybe_number(conf, "over_share_worth")?.unwrap_or(1.0);
     let fleet = maybe_number(conf, "group_size")?.unwrap_or(1.0);
     let cores = whole(info, "n_cores")? as usize;
     let cold = flag(info, "cold");
-    let first = if cold { number(rules, "start_capacity")? } else { 1.0 };
+    let first = if cold {
+        number(rules, "start_capacity")?
+    } else {
+        1.0
+    };
     let halting = match text(info, "preemption")? {
         "none" => Halting::Never,
         "drop" => Halting::Drop,
@@ -127,10 +170,17 @@
         "min_rank" => Reading::Rank,
         other => return Err(format!("unknown advert {other}")),
     };
-    let longest_pause =
-        if flag(policy, "retry_after") { span(policy, "max_retry_after_ms")? } else { Time(0) };
+    let longest_pause = if flag(policy, "retry_after") {
+        span(policy, "max_retry_after_ms")?
+    } else {
+        Time(0)
+    };
     let factor = number(rules, "overload_factor")?;
-    let interval = handlers.iter().map(|h| h.response_target).min().unwrap_or(Time(1));
+    let interval = handlers
+        .iter()
+        .map(|h| h.response_target)
+        .min()
+        .unwrap_or(Time(1));
     let share = match text(info, "below")? {
         "common" => maybe_number(info, "dep_share")?,
         _ => None,
@@ -150,8 +200,19 @@
         Threshold::new(interval, halting, &handlers),
         Costs::new(now, &handlers, first),
         memory,
-        Calls::new(share, span(info, "calls_over_ms")?, span(info, "linger_ms")?, cores),
+        Calls::new(
+            share,
+            span(info, "calls_over_ms")?,
+            span(info, "linger_ms")?,
+            cores,
+        ),
         span(rules, "drain_grace_ms")?,
-        Advice::new(reading, callers, longest_pause, span(info, "heeded_ms")?, seed),
+        Advice::new(
+            reading,
+            callers,
+            longest_pause,
+            span(info, "heeded_ms")?,
+            seed,
+        ),
     ))
 }
--- a/crates/standin/src/dependency.rs
+++ b/crates/standin/src/dependency.rs
@@ -81,7 +81,9 @@
 
 impl Inner {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -116,7 +118,9 @@
         let listener = Arc::new(listener);
         for _ in 0..CONNECTIONS {
             let (inner, listener) = (inner.clone(), listener.clone());
-            thread::Builder::new().stack_size(128 << 10).spawn(move || accept(&inner, &listener))?;
+            thread::Builder::new()
+                .stack_size(128 << 10)
+                .spawn(move || accept(&inner, &listener))?;
         }
         Ok(Dependency { addr, inner })
     }
@@ -188,11 +192,18 @@
             return left.is_zero();
         }
         // The end of the connection, or bytes that nobody asked for, end the wait early.
-        if stream.set_read_timeout(Some(left.min(Duration::from_millis(500)))).is_err() {
+        if stream
+            .set_read_timeout(Some(left.min(Duration::from_millis(500))))
+            .is_err()
+        {
             return false;
         }
         match stream.peek(&mut [0]) {
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) => {}
             _ => return false,
         }
     }
@@ -205,8 +216,11 @@
     fn drop(&mut self) {
         let mut state = self.0.state();
         state.counts.held -= 1;
-        *state.counts.held_s.entry(std::mem::take(&mut self.1)).or_default() +=
-            self.2.elapsed().as_secs_f64();
+        *state
+            .counts
+            .held_s
+            .entry(std::mem::take(&mut self.1))
+            .or_default() += self.2.elapsed().as_secs_f64();
     }
 }
 
@@ -224,7 +238,11 @@
             let state = &mut *state;
             let now = Instant::now();
             state.came.push_back(now);
-            while state.came.front().is_some_and(|at| now - *at >= Duration::from_secs(1)) {
+            while state
+                .came
+                .front()
+                .is_some_and(|at| now - *at >= Duration::from_secs(1))
+            {
                 state.came.pop_front();
             }
             state.counts.most_a_second = state.counts.most_a_second.max(state.came.len());
@@ -258,7 +276,10 @@
         match fault {
             Fault::Reset => {
                 if number.is_multiple_of(2) {
-                    write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of")?;
+                    write!(
+                        writer,
+                        "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of"
+                    )?;
                 }
                 // With bytes of the next request unread a close is a reset; without, it is an early end.
                 return writer.shutdown(Shutdown::Both);
@@ -266,20 +287,34 @@
             Fault::Fail => write!(writer, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")?,
             Fault::Spoil => {
                 match number % 5 {
-                    0 => write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}")?,
-                    1 => {
-                        write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() - 3)?
-                    }
+                    0 => write!(
+                        writer,
+                        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"
+                    )?,
+                    1 => write!(
+                        writer,
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len() - 3
+                    )?,
                     2 => write!(writer, "\u{1}\u{2} noise \r\n\r\n")?,
-                    3 => write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{{\"ha\"")?,
-                    _ => {
-                        write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 9)?
-                    }
+                    3 => write!(
+                        writer,
+                        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{{\"ha\""
+                    )?,
+                    _ => write!(
+                        writer,
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len() + 9
+                    )?,
                 }
                 return writer.shutdown(Shutdown::Write);
             }
             _ => {
-                write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+                write!(
+                    writer,
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                )?;
                 inner.state().counts.good += 1;
             }
         }
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -46,7 +46,9 @@
 
 impl Inner {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -62,7 +64,10 @@
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let addr = listener.local_addr()?;
-        let inner = Arc::new(Inner { state: Mutex::default(), over: AtomicBool::new(false) });
+        let inner = Arc::new(Inner {
+            state: Mutex::default(),
+            over: AtomicBool::new(false),
+        });
         let serving = inner.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -71,7 +76,9 @@
                 }
                 let inner = serving.clone();
                 // Each wait below has a limit and looks whether the link is over.
-                let _ = thread::Builder::new().stack_size(128 << 10).spawn(move || carry(&inner, stream));
+                let _ = thread::Builder::new()
+                    .stack_size(128 << 10)
+                    .spawn(move || carry(&inner, stream));
             }
         });
         Ok(Link { addr, inner })
@@ -122,8 +129,12 @@
         }
         thread::sleep(LOOK);
     }
-    let Ok(to) = TcpStream::connect_timeout(&to, CONNECT) else { return };
-    let (Ok(from2), Ok(to2)) = (from.try_clone(), to.try_clone()) else { return };
+    let Ok(to) = TcpStream::connect_timeout(&to, CONNECT) else {
+        return;
+    };
+    let (Ok(from2), Ok(to2)) = (from.try_clone(), to.try_clone()) else {
+        return;
+    };
     let of = inner.clone();
     let back = thread::Builder::new()
         .stack_size(128 << 10)
@@ -135,7 +146,13 @@
 }
 
 /// Passes bytes on in one direction until either end closes, or the link breaks.
-fn pump(inner: &Inner, way: usize, mut from: TcpStream, mut to: TcpStream, (breaks, number): (u64, u64)) {
+fn pump(
+    inner: &Inner,
+    way: usize,
+    mut from: TcpStream,
+    mut to: TcpStream,
+    (breaks, number): (u64, u64),
+) {
     let _ = from.set_read_timeout(Some(LOOK));
     let _ = from.set_nodelay(true);
     let _ = to.set_write_timeout(Some(CONNECT));
@@ -145,7 +162,11 @@
         let (does, broken, late) = {
             let state = inner.state();
             let late = state.late;
-            (state.ways[way], state.breaks != breaks, (number <= late.0).then_some(late.1))
+            (
+                state.ways[way],
+                state.breaks != breaks,
+                (number <= late.0).then_some(late.1),
+            )
         };
         if let Some(span) = late {
             if way == 0 {
@@ -154,7 +175,8 @@
             }
             // The other direction ends with it.
             thread::sleep(LOOK);
-            if inner.over.load(Ordering::Relaxed) || to.peek(&mut [0]).is_ok_and(|count| count == 0) {
+            if inner.over.load(Ordering::Relaxed) || to.peek(&mut [0]).is_ok_and(|count| count == 0)
+            {
                 break;
             }
             continue;
@@ -178,7 +200,11 @@
                     break;
                 }
             }
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) => {}
             Err(_) => break,
         }
     }
--- a/crates/standin/src/peers.rs
+++ b/crates/standin/src/peers.rs
@@ -8,7 +8,10 @@
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// The next connection, within the peers' patience.
@@ -64,7 +67,10 @@
 
 impl Heard {
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
+        self.fields
+            .iter()
+            .find(|f| f.0 == name)
+            .map(|f| f.1.as_str())
     }
 }
 
@@ -78,18 +84,32 @@
         Ok(Sidecar(stream))
     }
 
-    pub fn send(&mut self, kind: u8, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> io::Result<()> {
-        self.0.write_all(&frame(kind, stream, &payload(fields, body)))
+    pub fn send(
+        &mut self,
+        kind: u8,
+        stream: u32,
+        fields: &[(&str, &str)],
+        body: &[u8],
+    ) -> io::Result<()> {
+        self.0
+            .write_all(&frame(kind, stream, &payload(fields, body)))
     }
 
     /// The next frame; an error at the end of the connection.
     pub fn hear(&mut self) -> io::Result<Heard> {
         let mut head = [0; 9];
         self.0.read_exact(&mut head)?;
-        let mut rest = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 5];
+        let mut rest =
+            vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 5];
         self.0.read_exact(&mut rest)?;
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-        let mut heard = Heard { kind: head[4], stream, code: 0, fields: Vec::new(), body: Vec::new() };
+        let mut heard = Heard {
+            kind: head[4],
+            stream,
+            code: 0,
+            fields: Vec::new(),
+            body: Vec::new(),
+        };
         if rest.is_empty() {
             return Ok(heard);
         }
@@ -130,7 +150,13 @@
         let words: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
         let mut body = Vec::new();
         if matches!(words[0].as_str(), "RUN" | "FEED") {
-            body.resize(words[words.len() - 1].parse::<usize>().map_err(io::Error::other)? + 2, 0);
+            body.resize(
+                words[words.len() - 1]
+                    .parse::<usize>()
+                    .map_err(io::Error::other)?
+                    + 2,
+                0,
+            );
             self.0.read_exact(&mut body)?;
             body.truncate(body.len() - 2);
         }
@@ -176,7 +202,9 @@
 
 impl Asked {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find_map(|h| h.strip_prefix(name)?.strip_prefix(": "))
+        self.headers
+            .iter()
+            .find_map(|h| h.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
@@ -197,16 +225,26 @@
                 line => lines.push(line.to_string()),
             }
         }
-        let mut asked = Asked { line: lines.remove(0), headers: lines, body: Vec::new() };
-        let length = asked.header("Content-Length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let mut asked = Asked {
+            line: lines.remove(0),
+            headers: lines,
+            body: Vec::new(),
+        };
+        let length = asked
+            .header("Content-Length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0);
         asked.body.resize(length, 0);
         self.0.read_exact(&mut asked.body)?;
         Ok(asked)
     }
 
     pub fn reply(&mut self, status: &str, headers: &str, body: &[u8]) -> io::Result<()> {
-        let mut bytes =
-            format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
+        let mut bytes = format!(
+            "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
+            body.len()
+        )
+        .into_bytes();
         bytes.extend(body);
         self.0.get_mut().write_all(&bytes)
     }
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -29,7 +29,10 @@
             "RUN" => {
                 println!("engine: runs {} of {}", word(1), word(2));
                 bodies.insert(word(1).to_string(), body);
-                link.say_with(&format!("NEED {number} {}", word(1)), b"stock of everything")?;
+                link.say_with(
+                    &format!("NEED {number} {}", word(1)),
+                    b"stock of everything",
+                )?;
             }
             "FEED" => {
                 let mut result = bodies.remove(word(1)).unwrap_or_default();
@@ -38,7 +41,10 @@
                 link.say_with(&format!("DONE {number} {} fine 1.0", word(1)), &result)?;
             }
             "HALT" => link.say_with(&format!("DONE {number} {} broken_off 1.0", word(1)), b"")?,
-            "SKIP" => link.say_with(&format!("DONE {number} {} fine 1.0", word(1)), b"without the call")?,
+            "SKIP" => link.say_with(
+                &format!("DONE {number} {} fine 1.0", word(1)),
+                b"without the call",
+            )?,
             "TEST" => link.say(&format!("TESTED {} fine", word(1)))?,
             _ => {}
         }
@@ -50,7 +56,11 @@
         thread::spawn(move || {
             let mut service = Service(io::BufReader::new(stream));
             while let Ok(asked) = service.asked() {
-                println!("{name}: {} {}", asked.line, String::from_utf8_lossy(&asked.body));
+                println!(
+                    "{name}: {} {}",
+                    asked.line,
+                    String::from_utf8_lossy(&asked.body)
+                );
                 if service.reply(status, "", reply).is_err() {
                     return;
                 }
@@ -60,8 +70,11 @@
 }
 
 fn serve() -> io::Result<()> {
-    let (runs, records, control) =
-        (TcpListener::bind(ENGINE)?, TcpListener::bind(RECORDS)?, TcpListener::bind(CONTROL)?);
+    let (runs, records, control) = (
+        TcpListener::bind(ENGINE)?,
+        TcpListener::bind(RECORDS)?,
+        TcpListener::bind(CONTROL)?,
+    );
     println!("engine on {ENGINE}, records on {RECORDS}, control plane on {CONTROL}");
     thread::spawn(move || service("records", records, "200 OK", b"all in stock"));
     thread::spawn(move || service("control", control, "204 No Content", b""));
@@ -81,8 +94,9 @@
         seed,
     };
     let places = [8101, 8102, 8103].into_iter().zip(0..);
-    let all: io::Result<Vec<_>> =
-        places.map(|(port, seed)| Dependency::start_at(([127, 0, 0, 1], port).into(), shape(seed))).collect();
+    let all: io::Result<Vec<_>> = places
+        .map(|(port, seed)| Dependency::start_at(([127, 0, 0, 1], port).into(), shape(seed)))
+        .collect();
     let all = all?;
     all[1].set(fault);
     println!("catalogue, prices and stock on 127.0.0.1:8101 to 8103; prices: {fault:?}");
@@ -94,7 +108,10 @@
 fn send(class: &str, text: &str) -> io::Result<()> {
     let mut sidecar = Sidecar::connect(SERVER.parse().map_err(io::Error::other)?)?;
     // Several that are started in the same millisecond differ by their process.
-    let (id, at) = (format!("{:08x}{:08x}", std::process::id(), unix_ms() as u32), unix_ms().to_string());
+    let (id, at) = (
+        format!("{:08x}{:08x}", std::process::id(), unix_ms() as u32),
+        unix_ms().to_string(),
+    );
     let fields = [
         ("class", class),
         ("id", id.as_str()),
@@ -111,7 +128,11 @@
         0 => "shed",
         _ => "errored",
     };
-    println!("{code} {:?}: {}", heard.fields, String::from_utf8_lossy(&heard.body));
+    println!(
+        "{code} {:?}: {}",
+        heard.fields,
+        String::from_utf8_lossy(&heard.body)
+    );
     Ok(())
 }
 
@@ -126,7 +147,9 @@
             Some("hang") => shop(Fault::Hang),
             Some("fail") => shop(Fault::Fail),
             Some("reset") => shop(Fault::Reset),
-            Some(other) => Err(io::Error::other(format!("{other}: expected hang, fail or reset"))),
+            Some(other) => Err(io::Error::other(format!(
+                "{other}: expected hang, fail or reset"
+            ))),
         },
         Some(_) => {
             eprintln!("usage: toy [send TEXT | shop [hang|fail|reset] | browse TEXT]");
