--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,5 +1,5 @@
 //! From the wire's values to the decider's.
-use cottondyke_decide::types::*;
+use cottondyke_admission::types::*;
 use cottondyke_settings::{maybe_number, number, present, text, whole, Places, Wrong};
 use serde_json::Value;
 
@@ -20,8 +20,8 @@
     ))
 }
 
-pub fn req(event: &Value) -> Result<ReqId, Wrong> {
-    Ok(ReqId(id(whole(event, "msg_id")?, "msg_id")?))
+pub fn req(event: &Value) -> Result<RequestId, Wrong> {
+    Ok(RequestId(id(whole(event, "msg_id")?, "msg_id")?))
 }
 
 fn id(number: u64, key: &str) -> Result<u32, Wrong> {
@@ -47,11 +47,14 @@
         handler: HandlerId(handler),
         customer: present(event, "client_group")
             .and_then(Value::as_u64)
-            .map(|n| CustomerId(n as usize)),
+            .map(|n| TenantId(n as usize)),
         caller: present(event, "by").and_then(Value::as_u64).map(CallerId),
         hint: hint.map(tenths),
         retry: flags & 2 != 0,
-        repeats: repeats.map(|n| id(n, "same_as")).transpose()?.map(ReqId),
+        repeats: repeats
+            .map(|n| id(n, "same_as"))
+            .transpose()?
+            .map(RequestId),
         kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
         lay,
         unread: lay,
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,5 +1,5 @@
 //! From the decider's results to the wire's actions, in the results' documented order.
-use cottondyke_decide::types::*;
+use cottondyke_admission::types::*;
 use serde_json::{json, Value};
 
 /// The wire takes no shorter one.
@@ -10,7 +10,7 @@
 }
 
 pub fn results(who: &str, results: Results, to: &mut Vec<Value>) {
-    let on = |word: &str, id: ReqId| json!({ "cmd": word, "who": who, "msg_id": id.0 });
+    let on = |word: &str, id: RequestId| json!({ "cmd": word, "who": who, "msg_id": id.0 });
     to.extend(results.stop.iter().map(|id| on("Preempt", *id)));
     to.extend(results.fail.iter().map(|id| on("ReportFailure", *id)));
     for shed in &results.shed {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,8 +3,8 @@
 mod decode;
 mod encode;
 
-use cottondyke_decide::policy::Decider;
-use cottondyke_decide::types::{Results, Time};
+use cottondyke_admission::policy::Decider;
+use cottondyke_admission::types::{Results, Time};
 use cottondyke_settings::{self as settings, Places, Wrong};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/decide/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -53,7 +53,7 @@
 const MID_BIN: f64 = 0.75; // of a bin's edge, its middle
 const DEAR_PART: f64 = 0.15; // of the time callers leave connections idle: price of a new connection
 
-type Sums<const K: usize> = Ring<K, SLOTS>;
+type Sums<const K: usize> = SlidingWindow<K, SLOTS>;
 
 /// What reqs are worth, from the goal's weights and what was won lately.
 pub struct Hold {
@@ -73,10 +73,10 @@
     pub fn new(
         handlers: &[Handler], quotas: &[f64], fleet: f64, over_share: f64, by_work: bool, weights: [f64; 3],
     ) -> Self {
-        let span = handlers.iter().map(|h| h.client_timeout).max().unwrap_or(Time(1)).times(SHARE_SPAN);
-        let rings = |count: usize| vec![Ring::new(span); count];
+        let span = handlers.iter().map(|h| h.client_timeout).max().unwrap_or(Time(1)).scaled(SHARE_SPAN);
+        let rings = |count: usize| vec![SlidingWindow::new(span); count];
         let (by_handler, by_customer) = (rings(handlers.len()), rings(quotas.len()));
-        let quotas = quotas.iter().map(|q| q / fleet.max(1.0) * span.num() / SECOND.num()).collect();
+        let quotas = quotas.iter().map(|q| q / fleet.max(1.0) * span.as_f64() / SECOND.as_f64()).collect();
         let shortest = handlers.iter().map(|h| h.response_target).min().unwrap_or(Time(1));
         let handlers = handlers.to_vec();
         Hold { handlers, quotas, shortest, over_share, by_work, weights, by_handler, by_customer }
@@ -107,7 +107,7 @@
         let sums = |rings: &[Sums<4>]| rings.iter().map(|r| r.sums(now)).collect::<Vec<_>>();
         let of_handlers: Vec<_> = sums(&self.by_handler).iter().map(|s| [s[0], s[1]]).collect();
         let handlers = Self::scarcity(handler, &of_handlers).iter().map(|e| whole + e).collect();
-        let lived = age.num() / self.by_customer.first().map_or(1.0, |r| r.span());
+        let lived = age.as_f64() / self.by_customer.first().map_or(1.0, |r| r.span());
         let quotas = self.quotas.iter().map(|q| (q * lived.min(1.0)).max(1.0));
         let counts: Vec<_> = sums(&self.by_customer).into_iter().zip(quotas).collect();
         // A smaller fleet or retries swell all counts alike: a share is measured against the middle customer.
@@ -147,7 +147,7 @@
 
     /// The part of its full speed that a cold server has surely reached.
     fn warmth(&self, now: Time) -> f64 {
-        let part = (now - self.born).num() / self.warm.num().max(1.0);
+        let part = (now - self.born).as_f64() / self.warm.as_f64().max(1.0);
         (self.first + (1.0 - self.first) * part).min(1.0)
     }
 
@@ -169,7 +169,7 @@
         self.seen = gauges.runnable;
         self.filled = if waiting && on_core as f64 > self.size - 1.0 { self.filled } else { now };
         let idle = POOL_STEP * FULL_USE / self.busy.max(FLOOR_PART);
-        let grow = if now - self.filled >= target.times(LOOK_BACK) { idle } else { 0.0 };
+        let grow = if now - self.filled >= target.scaled(LOOK_BACK) { idle } else { 0.0 };
         let step = if self.busy > FULL_USE { -POOL_STEP } else { grow };
         self.size = (self.size + step).min(self.most(now)).max(self.cores);
     }
@@ -184,28 +184,28 @@
 
 impl Threshold {
     pub fn new(interval: Time, halting: Halting, handlers: &[Handler]) -> Self {
-        let ring = |h: &Handler| (h.client_timeout, Ring::new(h.client_timeout.times(RUNS_SPAN)));
+        let ring = |h: &Handler| (h.client_timeout, SlidingWindow::new(h.client_timeout.scaled(RUNS_SPAN)));
         let runs = handlers.iter().map(ring).collect();
-        Threshold { halting, loss: Ring::new(interval), runs }
+        Threshold { halting, loss: SlidingWindow::new(interval), runs }
     }
 
     fn count_run(&mut self, now: Time, handler: usize, time: Time) {
         let (upper, runs) = &mut self.runs[handler];
-        let bin = (time.num() / upper.num() * BINS as f64) as usize;
+        let bin = (time.as_f64() / upper.as_f64() * BINS as f64) as usize;
         runs.add(now, bin.min(BINS - 1), 1.0);
     }
 
     fn floor(&self, now: Time, handler: usize) -> Time {
         let (upper, runs) = &self.runs[handler];
         let bin = runs.quantile(now, FLOOR_QUANTILE).unwrap_or(BINS - 1);
-        upper.times(((bin + 1) as f64 / BINS as f64).max(FLOOR_PART))
+        upper.scaled(((bin + 1) as f64 / BINS as f64).max(FLOOR_PART))
     }
 }
 
 /// The paper's section 3.2: Threshold = LB + F(p) x (UB - LB).
 pub fn threshold(floor: Time, upper: Time, loss: f64) -> Time {
     let opening = ((HIGH_WATER - loss) / (HIGH_WATER - LOW_WATER)).clamp(0.0, 1.0).powf(ALPHA);
-    floor + (upper - floor).times(opening)
+    floor + (upper - floor).scaled(opening)
 }
 
 /// What reqs cost here: time on a core of its own, learned against the hint for each handler.
@@ -221,7 +221,7 @@
 impl Costs {
     /// `first`: the part of its speed that a cold server starts at.
     pub fn new(now: Time, handlers: &[Handler], first: f64) -> Self {
-        let base = |h: &Handler| h.response_target.num() * FIRST_COST;
+        let base = |h: &Handler| h.response_target.as_f64() * FIRST_COST;
         let work = handlers.iter().map(|h| [base(h) / first.max(FLOOR_PART), base(h)]).collect();
         let calls = handlers.iter().map(|h| f64::from(h.calls)).collect();
         Costs { clock: 0.0, last: now, work, away: vec![0.0; handlers.len()], calls, strain: 1.0 }
@@ -251,7 +251,7 @@
         if ended || spent > self.usual(req) {
             let sums = &mut self.work[req.handler()];
             *sums = [sums[0] * (1.0 - WEIGHT) + spent, sums[1] * (1.0 - WEIGHT) + req.base];
-            let away = if ended { req.away.max((now - req.started).num() - spent) } else { req.away };
+            let away = if ended { req.away.max((now - req.started).as_f64() - spent) } else { req.away };
             self.away[req.handler()] += (away - self.away[req.handler()]) * WEIGHT;
             if ended {
                 self.calls[req.handler()] += (req.calls - self.calls[req.handler()]) * WEIGHT;
@@ -281,8 +281,8 @@
     /// abandoned call stays.
     pub fn new(share: Option<f64>, window: Time, linger: Time, cores: usize) -> Self {
         // The ring's oldest bucket is part-used: it spans the window whatever part of it is gone.
-        let held = Ring::new(window.times(SLOTS as f64 / (SLOTS - 1) as f64));
-        let (lingering, cores, window) = (Vec::new(), cores.max(1) as f64, window.num().max(1.0));
+        let held = SlidingWindow::new(window.scaled(SLOTS as f64 / (SLOTS - 1) as f64));
+        let (lingering, cores, window) = (Vec::new(), cores.max(1) as f64, window.as_f64().max(1.0));
         let alone = share.filter(|s| s * GUARD_PART < 1.0);
         let most = alone.map_or(cores * MOST_CALLS, |s| s.min(1.0));
         let (limit, alone, rested, usual, lately) = (most, alone.is_some(), Time(0), 0.0, 0.0);
@@ -299,7 +299,7 @@
     fn open(&self, now: Time, in_hand: usize) -> bool {
         let held = (in_hand + self.lingering.len()) as f64;
         let whole = |s: f64| s * GUARD_PART * self.window;
-        let room = |s: f64| self.room(now) >= (self.lately + self.linger.num()).min(whole(s));
+        let room = |s: f64| self.room(now) >= (self.lately + self.linger.as_f64()).min(whole(s));
         let within = |s: f64| held + 1.0 <= s * GUARD_PART || self.alone && held == 0.0 && room(s);
         let rested = self.limit >= 1.0 || now >= self.rested;
         (in_hand as f64) + 1.0 <= self.limit.max(1.0) && rested && self.share.is_none_or(within)
@@ -308,7 +308,7 @@
     /// The longest that the next call may take: what its share of the window leaves, where that is under one.
     fn longest(&self, now: Time) -> Time {
         if self.alone {
-            Time((self.room(now) - self.linger.num()) as i64)
+            Time((self.room(now) - self.linger.as_f64()) as i64)
         } else {
             Time::MAX
         }
@@ -316,7 +316,7 @@
 
     /// The wait of a call behind so many others.
     fn wait(&self, now: Time, ahead: f64) -> f64 {
-        (self.rested - now).num().max(0.0) + ahead * self.lately / self.limit
+        (self.rested - now).as_f64().max(0.0) + ahead * self.lately / self.limit
     }
 
     /// What all share would hold a call given up beside the next: that is left for where nearly all end well.
@@ -329,17 +329,17 @@
     /// is crowded by all together, by one call each if they are many: there the limit goes under one.
     fn ended(&mut self, now: Time, time: Time, end: CallEnd) {
         let slow = if self.alone { STRAINED } else { PATIENCE };
-        let well = end == CallEnd::Done && (self.usual == 0.0 || time.num() <= slow * self.usual);
-        self.usual += (time.num() - self.usual) * if self.usual > 0.0 { WEIGHT * WEIGHT } else { 1.0 };
-        self.lately += (time.num() - self.lately) * if self.lately > 0.0 { LATELY } else { 1.0 };
+        let well = end == CallEnd::Done && (self.usual == 0.0 || time.as_f64() <= slow * self.usual);
+        self.usual += (time.as_f64() - self.usual) * if self.usual > 0.0 { WEIGHT * WEIGHT } else { 1.0 };
+        self.lately += (time.as_f64() - self.lately) * if self.lately > 0.0 { LATELY } else { 1.0 };
         let probe = if end == CallEnd::NeverRan { 1.0 } else { self.cores.min(self.limit) };
         let least = self.share.map_or(probe, |s| if self.alone { s * LEAST_CALLS } else { 1.0 });
-        let room = 1.0 - time.num() / (slow * self.usual).max(1.0);
+        let room = 1.0 - time.as_f64() / (slow * self.usual).max(1.0);
         let step = if self.limit < 1.0 { self.limit * room * LATELY } else { 1.0 };
-        let back = if self.limit < 1.0 { slow * self.usual / time.num().max(1.0) } else { BACK_OFF };
+        let back = if self.limit < 1.0 { slow * self.usual / time.as_f64().max(1.0) } else { BACK_OFF };
         let limit = if well { self.limit + step } else { self.limit * back.clamp(0.5, BACK_OFF) };
         self.limit = limit.clamp(least, self.most);
-        self.rested = now + time.times((1.0 / self.limit - 1.0).max(0.0));
+        self.rested = now + time.scaled((1.0 / self.limit - 1.0).max(0.0));
     }
 }
 
@@ -357,7 +357,7 @@
 
 impl Callers {
     pub fn new(now: Time, told: f64, heeded: Time, idle: Time) -> Self {
-        let (heard, gaps) = (BTreeMap::new(), Ring::new(idle.times(2.0)));
+        let (heard, gaps) = (BTreeMap::new(), SlidingWindow::new(idle.scaled(2.0)));
         Callers { told, heeded, idle, born: now, heard, gaps, lately: 0, keep: idle }
     }
 
@@ -372,7 +372,7 @@
     fn hear(&mut self, now: Time, caller: Option<CallerId>) {
         let room = self.heard.len() as f64 + 1.0 <= (self.told * HEARD_PART).max(HEARD_LEAST);
         let Some(caller) = caller.filter(|c| room || self.heard.contains_key(c)) else { return };
-        let mean = (now - self.born).times(self.told / (self.gaps.sums(now).iter().sum::<f64>() + 1.0));
+        let mean = (now - self.born).scaled(self.told / (self.gaps.sums(now).iter().sum::<f64>() + 1.0));
         let before = self.heard.insert(caller, now);
         self.lately += usize::from(before.is_none_or(|at| at <= now - self.heeded));
         let gap = before.map_or(mean, |at| now - at);
@@ -398,10 +398,10 @@
         let longest = self.idle.max(self.heeded);
         self.heard.retain(|_, at| *at > now - longest);
         self.lately = self.heard.values().filter(|at| **at > now - self.heeded).count();
-        let (gaps, dear) = (self.gaps.sums(now), self.idle.num() * DEAR_PART);
+        let (gaps, dear) = (self.gaps.sums(now), self.idle.as_f64() * DEAR_PART);
         let cost = |keep: usize| {
-            let stays = |bin: usize| self.edge(bin).num() * MID_BIN;
-            let of = |bin: usize| if bin <= keep { stays(bin) } else { self.edge(keep).num() + dear };
+            let stays = |bin: usize| self.edge(bin).as_f64() * MID_BIN;
+            let of = |bin: usize| if bin <= keep { stays(bin) } else { self.edge(keep).as_f64() + dear };
             gaps.iter().enumerate().map(|(bin, count)| count * of(bin)).sum::<f64>()
         };
         let best = (0..GAPS - 1).rev().min_by(|a, b| cost(*a).total_cmp(&cost(*b))).unwrap_or(GAPS - 2);
@@ -424,28 +424,28 @@
 
 impl Advice {
     pub fn new(reading: Reading, callers: Callers, pauses: Time, heeded: Time, seed: u64) -> Self {
-        let (load, chance, said, least) = (Ring::new(heeded), Chance::new(seed), None, f64::MAX);
+        let (load, chance, said, least) = (SlidingWindow::new(heeded), Chance::new(seed), None, f64::MAX);
         Advice { reading, callers, longest_pause: pauses, chance, said, load, least }
     }
 }
 
 pub struct Decider {
     beat: Beat,
-    reqs: BTreeMap<ReqId, Req>,
+    reqs: BTreeMap<RequestId, Req>,
     hold: Hold,
     pool: Pool,
     limits: Threshold,
     costs: Costs,
     memory: Memory,
     calls: Calls,
-    keys: BTreeMap<ReqId, Time>, // entries that tell repeats of uniqued reqs, and their ends
+    keys: BTreeMap<RequestId, Time>, // entries that tell repeats of uniqued reqs, and their ends
     grace: Time,                 // after the notice to leave, in which arrivals may still run
     left: Option<(Time, Time)>,  // notice, stop
     advice: Advice,
 }
 
-type Condition = fn(&Decider, Time) -> Option<ReqId>;
-type Effect = fn(&mut Decider, Time, ReqId, &mut Results);
+type Condition = fn(&Decider, Time) -> Option<RequestId>;
+type Effect = fn(&mut Decider, Time, RequestId, &mut Results);
 
 /// Gone through from the top after every input until none fires; each firing settles one req.
 const RULES: [(Condition, Effect); 12] = [
@@ -476,17 +476,17 @@
     pub fn arrival(&mut self, now: Time, new: Arrival) -> Results {
         let mut out = self.pass(now);
         let Some(handler) = self.hold.handlers.get(new.handler.0).copied() else { return out };
-        let base = new.hint.map_or(handler.response_target.num() * FIRST_COST, |h| h.num().max(1.0));
+        let base = new.hint.map_or(handler.response_target.as_f64() * FIRST_COST, |h| h.as_f64().max(1.0));
         let req = Req::new(new, now, base, &handler);
         self.hold.count(now, &req, 0, 1.0);
         self.limits.loss.add(now, 0, 1.0);
-        self.advice.load.add_all(now, [1.0, f64::from(new.retry), new.unread.num(), 0.0]);
+        self.advice.load.add_all(now, [1.0, f64::from(new.retry), new.unread.as_f64(), 0.0]);
         self.advice.callers.hear(now, new.caller);
         // A req of which is not known that it lay unread tells nothing of the time that reading takes.
-        let lay = if new.unread > Time(0) { new.unread.num() } else { f64::MAX };
+        let lay = if new.unread > Time(0) { new.unread.as_f64() } else { f64::MAX };
         self.advice.least = (self.advice.least * (1.0 + WEIGHT * WEIGHT)).min(lay);
         let end = req.arrived + handler.window;
-        if handler.kind == Kind::Uniqued && new.repeats.is_none() && end > now {
+        if handler.kind == Idempotency::Keyed && new.repeats.is_none() && end > now {
             out.keep.push((new.id, end - now));
             self.keys.insert(new.id, end);
         }
@@ -494,7 +494,7 @@
         self.settle(now, out)
     }
 
-    pub fn run_ended(&mut self, now: Time, id: ReqId, end: RunEnd) -> Results {
+    pub fn run_ended(&mut self, now: Time, id: RequestId, end: RunEnd) -> Results {
         let out = self.pass(now);
         if let Some(req) = self.reqs.remove(&id) {
             if req.phase == Phase::Calling {
@@ -512,7 +512,7 @@
         self.settle(now, out)
     }
 
-    pub fn call_wanted(&mut self, now: Time, id: ReqId) -> Results {
+    pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Results {
         let out = self.pass(now);
         if let Some(req) = self.reqs.get_mut(&id) {
             req.spent = self.costs.spent(req);
@@ -521,18 +521,18 @@
         self.settle(now, out)
     }
 
-    pub fn call_ended(&mut self, now: Time, id: ReqId, end: CallEnd) -> Results {
+    pub fn call_ended(&mut self, now: Time, id: RequestId, end: CallEnd) -> Results {
         let mut out = self.pass(now);
         if let Some(req) = self.reqs.get_mut(&id).filter(|r| r.phase == Phase::Calling) {
             let time = now - req.since;
-            (req.away, req.since) = (req.away + time.num(), now);
+            (req.away, req.since) = (req.away + time.as_f64(), now);
             self.calls.ended(now, time, end);
             if end == CallEnd::Unknown {
                 self.calls.lingering.push(now + self.calls.linger);
             }
             let handler = self.hold.handlers[req.handler()];
             // A call is made again where that is safe or it never ran; one that ended leaves its place.
-            let (ended, safe) = (end == CallEnd::Spoilt, handler.kind == Kind::Replayable);
+            let (ended, safe) = (end == CallEnd::Spoilt, handler.kind == Idempotency::Idempotent);
             let again = safe && (ended || self.calls.spare()) || end == CallEnd::NeverRan;
             if end == CallEnd::Done {
                 (req.phase, req.clock) = (Phase::OnCore, self.costs.clock);
@@ -549,7 +549,7 @@
         self.settle(now, out)
     }
 
-    pub fn caller_gone(&mut self, now: Time, id: ReqId) -> Results {
+    pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Results {
         let out = self.pass(now);
         self.reqs.entry(id).and_modify(|r| r.answered = true);
         self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Held | Phase::Joined));
@@ -559,7 +559,7 @@
     pub fn leaving(&mut self, now: Time, left: Time) -> Results {
         let mut out = self.pass(now);
         out.health = Some(false);
-        self.left = Some((now, now + left.times(STOP_PART) - self.beat.resolution));
+        self.left = Some((now, now + left.scaled(STOP_PART) - self.beat.resolution));
         self.settle(now, out)
     }
 
@@ -568,7 +568,7 @@
         self.beat.woken = self.beat.woken.filter(|at| *at > now);
         out.health = (self.beat.next_look == Time(i64::MIN)).then_some(true);
         if now >= self.beat.next_look {
-            self.beat.next_look = now + self.hold.shortest.times(TICK_PART).max(self.beat.resolution);
+            self.beat.next_look = now + self.hold.shortest.scaled(TICK_PART).max(self.beat.resolution);
             let (on_core, waiting) = (self.on_core(), self.held().next().is_some());
             self.pool.learn(now, gauges, waiting, on_core, self.hold.shortest);
             out.trim = self.advice.callers.look(now);
@@ -590,13 +590,13 @@
         self.reqs.values().filter(|r| !matches!(r.phase, Phase::Held | Phase::Joined))
     }
 
-    fn stoppable(&self, id: ReqId) -> bool {
+    fn stoppable(&self, id: RequestId) -> bool {
         let kind = self.reqs.get(&id).map(|r| self.hold.handlers[r.handler()].kind);
-        self.limits.halting != Halting::Never && kind == Some(Kind::Replayable)
+        self.limits.halting != Halting::Never && kind == Some(Idempotency::Idempotent)
     }
 
     /// Of the replayable runs on the cores, the one that has had the least.
-    fn youngest(&self) -> Option<ReqId> {
+    fn youngest(&self) -> Option<RequestId> {
         let live = self.running().filter(|r| r.live(Phase::OnCore) && self.stoppable(r.new.id));
         live.max_by_key(|r| (r.started, r.new.id)).map(|r| r.new.id)
     }
@@ -630,7 +630,7 @@
 
     /// Part of the way from calm to full.
     fn pressure(&self, wait: f64) -> f64 {
-        (wait / self.hold.shortest.num() - CALM) / (FULL - CALM)
+        (wait / self.hold.shortest.as_f64() - CALM) / (FULL - CALM)
     }
 
     /// Departure: while reqs lie unread the pool shrinks, so that the cores read first: what lies unread is
@@ -650,7 +650,7 @@
         let pressed = f64::from(self.pressure(self.in_hand() + self.unread(now)) > 0.0);
         let rank = |req: &Req| {
             let handler = &self.hold.handlers[req.handler()];
-            let late = now.num() + self.costs.of(req) > req.target.num();
+            let late = now.as_f64() + self.costs.of(req) > req.target.as_f64();
             let of_customer = req.new.customer.and_then(|c| customers.get(c.0)).unwrap_or(&1.0);
             let work = if self.hold.by_work { 1.0 } else { self.costs.usual(req).max(1.0) };
             let part = if late { handler.late_value } else { 1.0 };
@@ -662,7 +662,7 @@
     }
 
     fn pass(&mut self, now: Time) -> Results {
-        let (on_core, span) = (self.on_core(), (now - self.costs.last).num());
+        let (on_core, span) = (self.on_core(), (now - self.costs.last).as_f64());
         let calls = self.reqs.values().filter(|r| r.phase == Phase::Calling).count();
         self.calls.lingering.retain(|end| *end > now);
         self.calls.held.add(now, 0, (calls + self.calls.lingering.len()) as f64 * span);
@@ -710,7 +710,7 @@
         }
     }
 
-    fn give_up(&mut self, now: Time, id: ReqId, out: &mut Results) {
+    fn give_up(&mut self, now: Time, id: RequestId, out: &mut Results) {
         let Some(req) = self.reqs.get_mut(&id).filter(|r| !r.answered) else { return };
         out.fail.push(id);
         req.answered = true;
@@ -726,7 +726,7 @@
         self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Held | Phase::Joined));
     }
 
-    fn turn_away(&mut self, now: Time, id: ReqId, out: &mut Results) {
+    fn turn_away(&mut self, now: Time, id: RequestId, out: &mut Results) {
         let Some(req) = self.reqs.remove(&id) else { return };
         self.limits.loss.add(now, 1, 1.0);
         out.release.extend(self.keys.remove(&id).map(|_| id));
@@ -739,7 +739,7 @@
         let last = !leaving && retries.max(shed - 1.0) * dear > LAST_SHARE * arrivals;
         // Where no share can be advised, the time for one req of each caller; else past a full burden.
         let turn = self.advice.callers.told * self.advice.load.span() / (arrivals - shed).max(1.0);
-        let over = (self.burden(now) - UNREAD * FULL * self.hold.shortest.num()).max(0.0);
+        let over = (self.burden(now) - UNREAD * FULL * self.hold.shortest.as_f64()).max(0.0);
         let spread = self.advice.reading == Reading::Unused;
         // A shed names a time to come back: at least that in which the cores make room for it.
         let room = self.costs.of(&req) / self.pool.cores;
@@ -748,14 +748,14 @@
         out.shed.push(Shed { id, pause: pause.min(self.advice.longest_pause), last });
     }
 
-    fn join(&mut self, _: Time, id: ReqId, out: &mut Results) {
+    fn join(&mut self, _: Time, id: RequestId, out: &mut Results) {
         if let Some(req) = self.reqs.get_mut(&id) {
             req.phase = Phase::Joined;
             out.join.push(id);
         }
     }
 
-    fn start(&mut self, now: Time, id: ReqId, out: &mut Results) {
+    fn start(&mut self, now: Time, id: RequestId, out: &mut Results) {
         if let Some(req) = self.reqs.get_mut(&id) {
             (req.phase, req.started, req.since, req.clock) = (Phase::OnCore, now, now, self.costs.clock);
             self.pool.seen = self.pool.seen.map(|seen| seen + 1.0);
@@ -763,7 +763,7 @@
         }
     }
 
-    fn skip(&mut self, _: Time, id: ReqId, out: &mut Results) {
+    fn skip(&mut self, _: Time, id: RequestId, out: &mut Results) {
         if let Some(req) = self.reqs.get_mut(&id) {
             (req.phase, req.clock) = (Phase::OnCore, self.costs.clock);
             out.skip.push(id);
@@ -771,13 +771,13 @@
     }
 
     /// A call that may be made again is given up early: the next may end well where this one hangs.
-    fn call(&mut self, now: Time, id: ReqId, out: &mut Results) {
+    fn call(&mut self, now: Time, id: RequestId, out: &mut Results) {
         let Some(req) = self.reqs.get(&id) else { return };
         let (due, handler) = (self.due_at(req), &self.hold.handlers[req.handler()]);
         let rest = if handler.skip_value > 0.0 { Time(self.costs.left(req) as i64) } else { Time(0) };
         let ends = [req.target - rest, req.target];
         let left = ends.into_iter().find(|end| *end > now).unwrap_or(due).min(due) - now;
-        let again = handler.kind == Kind::Replayable && self.calls.spare() && req.tries + 1 < TRIES;
+        let again = handler.kind == Idempotency::Idempotent && self.calls.spare() && req.tries + 1 < TRIES;
         let backed_off = handler.skip_value > 0.0 && self.calls.limit < self.calls.cores;
         let early = (again || backed_off) && self.calls.usual > 0.0;
         let lone = if backed_off || self.calls.share.is_none() { 1.0 } else { LONE };
@@ -785,24 +785,24 @@
         let cap = left.min(patience).min(self.calls.longest(now));
         out.call.push((id, cap.max(self.beat.resolution)));
         if let Some(req) = self.reqs.get_mut(&id) {
-            req.away += (now - req.since).num();
+            req.away += (now - req.since).as_f64();
             (req.phase, req.since, req.tries) = (Phase::Calling, now, req.tries + 1);
         }
     }
 
     /// No req is lost: one that falls due is answered now, whatever runs; turned away where none of it ran.
-    fn due(&self, now: Time) -> Option<ReqId> {
+    fn due(&self, now: Time) -> Option<RequestId> {
         let due = |r: &&Req| !r.answered && self.due_at(r) - self.beat.resolution <= now;
         self.reqs.values().find(due).map(|r| r.new.id)
     }
 
-    fn due_unstarted(&self, now: Time) -> Option<ReqId> {
+    fn due_unstarted(&self, now: Time) -> Option<RequestId> {
         let due = |r: &&Req| r.new.repeats.is_none() && self.due_at(r) - self.beat.resolution <= now;
         self.held().find(due).map(|r| r.new.id)
     }
 
     /// SERT: a replayable run past the threshold is stopped for good, but not while it can be done in time.
-    fn overdue(&self, now: Time) -> Option<ReqId> {
+    fn overdue(&self, now: Time) -> Option<RequestId> {
         let [arrived, refused, stopped] = self.limits.loss.sums(now);
         let loss = if arrived > 0.0 { (refused + stopped) / arrived } else { 0.0 };
         let overdue = |r: &&Req| {
@@ -816,7 +816,7 @@
 
     /// The crowd on the cores stays under what the server survives, cold or warm: seen past it, all that can
     /// be stopped goes until no more run than that.
-    fn crowding(&self, now: Time) -> Option<ReqId> {
+    fn crowding(&self, now: Time) -> Option<RequestId> {
         let stays = |r: &&Req| r.phase == Phase::OnCore && !(r.answered && self.stoppable(r.new.id));
         let stay = self.running().filter(stays).count() as f64;
         let crowd = self.pool.seen.map_or(stay, |seen| seen.min(stay));
@@ -824,24 +824,24 @@
     }
 
     /// Held and running reqs and keys stay within the memory: the last in the order goes first.
-    fn swelling_hold(&self, now: Time) -> Option<ReqId> {
+    fn swelling_hold(&self, now: Time) -> Option<RequestId> {
         let over = self.memory_used() > self.memory.limit * GUARD_PART;
         self.order(now).iter().rfind(|_| over).map(|r| r.new.id)
     }
 
-    fn swelling_runs(&self, _: Time) -> Option<ReqId> {
+    fn swelling_runs(&self, _: Time) -> Option<RequestId> {
         let joined = || self.reqs.values().find(|r| r.phase == Phase::Joined).map(|r| r.new.id);
         self.youngest().or_else(joined).filter(|_| self.memory_used() > self.memory.limit * GUARD_PART)
     }
 
     /// After the notice to leave: what came past the grace does not run.
-    fn too_late_to_run(&self, _: Time) -> Option<ReqId> {
+    fn too_late_to_run(&self, _: Time) -> Option<RequestId> {
         let last = self.left?.0 + self.grace - self.beat.resolution;
         self.held().find(|r| r.arrived > last).map(|r| r.new.id)
     }
 
     /// A repeat takes the answer of the req it repeats, unless that one waits for this one.
-    fn repeat(&self, _: Time) -> Option<ReqId> {
+    fn repeat(&self, _: Time) -> Option<RequestId> {
         let joined = |id| self.reqs.get(&id).filter(|r| r.phase == Phase::Joined);
         let waits = |id, on| joined(id).is_some_and(|r| r.new.repeats == Some(on));
         let joins = |r: &&Req| r.new.repeats.is_some_and(|other| !waits(other, r.new.id));
@@ -850,7 +850,7 @@
 
     /// Predictive intake, looked at again after every input: with the cores in use, a held req that will not
     /// finish within its response target behind those before it is turned away while others may take it.
-    fn unwinnable(&self, now: Time) -> Option<ReqId> {
+    fn unwinnable(&self, now: Time) -> Option<RequestId> {
         let in_use = self.pool.busy.max(self.on_core() as f64 / self.pool.size).max(self.queued());
         let cores = self.pool.cores.min(self.open_size(now));
         let running = self.running().filter(|r| r.live(Phase::OnCore));
@@ -862,17 +862,17 @@
             let (own, to_call) = (self.costs.of(r), to_call(r));
             let wait = if to_call > 0.0 { self.calls.wait(now, calls + to_call - 1.0) } else { 0.0 };
             calls += to_call;
-            let finish = now.num() + (ahead / cores).max(wait) + own + self.costs.away[r.handler()];
+            let finish = now.as_f64() + (ahead / cores).max(wait) + own + self.costs.away[r.handler()];
             let part = if r.since == now { MARGIN } else { 1.0 };
             ahead += own;
-            finish > (r.arrived + (r.target - r.arrived).times(part)).min(self.due_at(r)).num()
+            finish > (r.arrived + (r.target - r.arrived).scaled(part)).min(self.due_at(r)).as_f64()
         };
         self.order(now).iter().filter(|_| in_use >= FREE_BUSY).find(lost).map(|r| r.new.id)
     }
 
     /// The pool: as many on the cores as keep them busy, within crowd and memory. What cannot be stopped is
     /// under the crowd ceiling by itself: all that waits at the disk may come back to the cores at once.
-    fn next_to_start(&self, now: Time) -> Option<ReqId> {
+    fn next_to_start(&self, now: Time) -> Option<RequestId> {
         let (on_core, running) = (self.on_core() as f64, self.running().count() as f64);
         let open = on_core + 1.0 <= self.open_size(now) && running + 1.0 <= self.pool.most(now);
         let firm = self.running().filter(|r| !self.stoppable(r.new.id)).count() as f64;
@@ -886,15 +886,15 @@
     }
 
     /// Where value allows, a req that has waited long for its call goes on without it.
-    fn waited_long_to_call(&self, now: Time) -> Option<ReqId> {
-        let long = |r: &&Req| now - r.since >= (r.target.min(self.due_at(r)) - r.since).times(SKIP_PART);
+    fn waited_long_to_call(&self, now: Time) -> Option<RequestId> {
+        let long = |r: &&Req| now - r.since >= (r.target.min(self.due_at(r)) - r.since).scaled(SKIP_PART);
         let may = |r: &&Req| r.live(Phase::Wanting) && self.hold.handlers[r.handler()].skip_value > 0.0;
         self.running().filter(may).find(long).map(|r| r.new.id)
     }
 
-    fn next_to_call(&self, now: Time) -> Option<ReqId> {
+    fn next_to_call(&self, now: Time) -> Option<RequestId> {
         let in_hand = self.reqs.values().filter(|r| r.phase == Phase::Calling).count();
-        let rested = |r: &&Req| (now - r.since).num() >= self.calls.usual * r.tries as f64;
+        let rested = |r: &&Req| (now - r.since).as_f64() >= self.calls.usual * r.tries as f64;
         let wanting = self.running().filter(|r| r.live(Phase::Wanting)).filter(rested);
         let next = wanting.min_by_key(|r| (r.arrived, r.new.id)).map(|r| r.new.id);
         next.filter(|_| self.calls.open(now, in_hand))
--- a/crates/decide/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -1,71 +1,8 @@
 //! Time, ids, handlers, and the results record that every input to the decider returns.
-use std::ops::{Add, AddAssign, Sub};
-
-/// A point in time or a span, in whole tenths of a millisecond.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Time(pub i64);
-
-pub const SECOND: Time = Time(10_000);
-
-impl Time {
-    pub const MAX: Time = Time(i64::MAX / 4);
-
-    /// A part or multiple of a span.
-    pub fn times(self, ratio: f64) -> Time {
-        Time((self.0 as f64 * ratio).round() as i64)
-    }
-
-    pub fn num(self) -> f64 {
-        self.0 as f64
-    }
-}
-
-impl Add for Time {
-    type Output = Time;
-    fn add(self, other: Time) -> Time {
-        Time(self.0.saturating_add(other.0))
-    }
-}
-
-impl Sub for Time {
-    type Output = Time;
-    fn sub(self, other: Time) -> Time {
-        Time(self.0.saturating_sub(other.0))
-    }
-}
-
-impl AddAssign for Time {
-    fn add_assign(&mut self, other: Time) {
-        *self = *self + other;
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ReqId(pub u32);
-
-/// The place of a handler in the list given at start.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HandlerId(pub usize);
-
-/// The place of a customer in the list given at start.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CustomerId(pub usize);
-
-/// The number of the caller that sent a req: a sidecar, or a connection where no number is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallerId(pub u64);
-
-/// Whether a handler may run again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Replayable,
-    Uniqued,
-    NonReplayable,
-}
-
+pub use cottondyke_types::*;
 #[derive(Clone, Copy, Debug)]
 pub struct Handler {
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// The time within which an answer is wanted.
     pub response_target: Time,
     /// The response target grows by this many times the req's own work.
@@ -106,14 +43,14 @@
 /// A req as it is read.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    pub id: ReqId,
+    pub id: RequestId,
     pub handler: HandlerId,
-    pub customer: Option<CustomerId>,
+    pub customer: Option<TenantId>,
     pub caller: Option<CallerId>,
     /// Expected work, as time of a standard core.
     pub hint: Option<Time>,
     pub retry: bool,
-    pub repeats: Option<ReqId>,
+    pub repeats: Option<RequestId>,
     pub kb: f64,
     /// The time since it reached the machine.
     pub lay: Time,
@@ -166,7 +103,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shed {
-    pub id: ReqId,
+    pub id: RequestId,
     /// When to come back.
     pub pause: Time,
     /// Asks the caller not to try elsewhere.
@@ -177,16 +114,16 @@
 /// what frees comes before what starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Results {
-    pub stop: Vec<ReqId>,
-    pub fail: Vec<ReqId>,
+    pub stop: Vec<RequestId>,
+    pub fail: Vec<RequestId>,
     pub shed: Vec<Shed>,
-    pub keep: Vec<(ReqId, Time)>,
-    pub release: Vec<ReqId>,
-    pub start: Vec<ReqId>,
-    pub join: Vec<ReqId>,
+    pub keep: Vec<(RequestId, Time)>,
+    pub release: Vec<RequestId>,
+    pub start: Vec<RequestId>,
+    pub join: Vec<RequestId>,
     /// A call to make, and how long before it is given up.
-    pub call: Vec<(ReqId, Time)>,
-    pub skip: Vec<ReqId>,
+    pub call: Vec<(RequestId, Time)>,
+    pub skip: Vec<RequestId>,
     pub health: Option<bool>,
     pub advice: Option<f64>,
     /// Connections that carried nothing for this long are closed.
@@ -289,65 +226,6 @@
     }
 }
 
-/// Sums over a span of time, kept in fixed buckets of time that are used again in a ring.
-#[derive(Clone, Debug)]
-pub struct Ring<const K: usize, const SLOTS: usize> {
-    width: i64,
-    turn: i64,
-    slots: [[f64; K]; SLOTS],
-}
-
-impl<const K: usize, const SLOTS: usize> Ring<K, SLOTS> {
-    pub fn new(span: Time) -> Self {
-        Ring {
-            width: (span.0 / SLOTS as i64).max(1),
-            turn: 0,
-            slots: [[0.0; K]; SLOTS],
-        }
-    }
-
-    pub fn span(&self) -> f64 {
-        (self.width * SLOTS as i64) as f64
-    }
-
-    fn slot(turn: i64) -> usize {
-        turn.rem_euclid(SLOTS as i64) as usize
-    }
-
-    pub fn sums(&self, now: Time) -> [f64; K] {
-        let oldest = now.0.div_euclid(self.width) - SLOTS as i64;
-        let live = (0..SLOTS as i64)
-            .map(|back| self.turn - back)
-            .filter(|turn| *turn > oldest);
-        live.fold([0.0; K], |sums, turn| {
-            std::array::from_fn(|k| sums[k] + self.slots[Self::slot(turn)][k])
-        })
-    }
-
-    /// The first place up to which a part of the sums' total lies.
-    pub fn quantile(&self, now: Time, part: f64) -> Option<usize> {
-        let sums = self.sums(now);
-        let all = sums.iter().sum::<f64>();
-        (0..K).find(|k| all > 0.0 && sums[..=*k].iter().sum::<f64>() >= part * all)
-    }
-
-    pub fn add_all(&mut self, now: Time, amounts: [f64; K]) {
-        amounts
-            .into_iter()
-            .enumerate()
-            .for_each(|(k, amount)| self.add(now, k, amount));
-    }
-
-    pub fn add(&mut self, now: Time, k: usize, amount: f64) {
-        let turn = now.0.div_euclid(self.width).max(self.turn);
-        for old in (self.turn + 1).max(turn - SLOTS as i64 + 1)..=turn {
-            self.slots[Self::slot(old)] = [0.0; K];
-        }
-        self.turn = turn;
-        self.slots[Self::slot(turn)][k] += amount;
-    }
-}
-
 /// A multiply-with-carry generator.
 pub struct Chance(u64);
 
--- a/crates/decide/tests/decide/golden.rs
+++ b/crates/admission/tests/decide/golden.rs
@@ -1,7 +1,7 @@
 //! Digests of all results over long fixed runs: they change with any change of what is decided.
 use crate::rules::{set, step};
 use crate::world::*;
-use cottondyke_decide::types::*;
+use cottondyke_admission::types::*;
 
 const STEPS: u64 = 2000;
 /// Steps from the notice to leave to the end.
@@ -55,9 +55,9 @@
             wake,
             passes,
         } = results;
-        let ids = |list: &[ReqId]| list.iter().map(|id| vec![id.0.into()]).collect();
-        let spans = |list: &[(ReqId, Time)]| {
-            let both = |(id, span): &(ReqId, Time)| vec![id.0.into(), span.0 as u64];
+        let ids = |list: &[RequestId]| list.iter().map(|id| vec![id.0.into()]).collect();
+        let spans = |list: &[(RequestId, Time)]| {
+            let both = |(id, span): &(RequestId, Time)| vec![id.0.into(), span.0 as u64];
             list.iter().map(both).collect()
         };
         let sheds = |s: &Shed| vec![s.id.0.into(), s.pause.0 as u64, s.last.into()];
--- a/crates/decide/tests/decide/plain.rs
+++ b/crates/admission/tests/decide/plain.rs
@@ -1,7 +1,7 @@
 //! Plain cases: boundary values, and one small case for each failure found.
 use crate::world::*;
-use cottondyke_decide::policy::*;
-use cottondyke_decide::types::*;
+use cottondyke_admission::policy::*;
+use cottondyke_admission::types::*;
 
 fn arrive(world: &mut World, count: usize, lay: Time) {
     for _ in 0..count {
@@ -153,19 +153,19 @@
         share: Some(share),
         ..PLAIN
     });
-    let spans = calls_in_a_row(&mut world, TIMEOUT, TARGET.times(12.0));
+    let spans = calls_in_a_row(&mut world, TIMEOUT, TARGET.scaled(12.0));
     let held = |from: Time| {
         let part = |(began, ended): &(Time, Time)| {
             (*ended + linger).min(from + TARGET) - (*began).max(from)
         };
-        spans.iter().map(|s| part(s).num().max(0.0)).sum::<f64>()
+        spans.iter().map(|s| part(s).as_f64().max(0.0)).sum::<f64>()
     };
     let most = spans
         .iter()
         .map(|(began, _)| held(*began))
         .fold(0.0, f64::max);
     assert!(
-        spans.len() > 3 && most <= share * TARGET.num(),
+        spans.len() > 3 && most <= share * TARGET.as_f64(),
         "{most} in hand over the window: {spans:?}"
     );
     // Three hundred servers with one call each were ten times what the shared database had slots for; its
@@ -174,11 +174,11 @@
         share: Some(0.8),
         ..PLAIN
     });
-    calls_in_a_row(&mut world, Time(100), TARGET.times(3.0));
-    let slow = calls_in_a_row(&mut world, Time(2500), TARGET.times(6.0));
+    calls_in_a_row(&mut world, Time(100), TARGET.scaled(3.0));
+    let slow = calls_in_a_row(&mut world, Time(2500), TARGET.scaled(6.0));
     let late = &slow[slow.len() / 2..];
-    let part =
-        late.iter().map(|(b, e)| (*e - *b).num()).sum::<f64>() / (world.now - late[0].0).num();
+    let part = late.iter().map(|(b, e)| (*e - *b).as_f64()).sum::<f64>()
+        / (world.now - late[0].0).as_f64();
     assert!(
         (0.1..0.35).contains(&part),
         "{part} of the time with a call in hand: {slow:?}"
@@ -228,7 +228,7 @@
             world.pass(Time(3_000));
         }
         assert_eq!(
-            *world.caps.last().unwrap() < world.caps[0].times(0.5),
+            *world.caps.last().unwrap() < world.caps[0].scaled(0.5),
             early,
             "{:?}",
             world.caps
@@ -330,7 +330,7 @@
         world.end(id, RunEnd::Done);
     }
     assert!(
-        world.caps.iter().all(|cap| *cap >= TARGET.times(0.5)),
+        world.caps.iter().all(|cap| *cap >= TARGET.scaled(0.5)),
         "{:?}",
         world.caps
     );
@@ -390,7 +390,7 @@
     }
     assert!(world.shed.len() > 20);
     assert_eq!(world.reqs[&id].state, State::OnCore);
-    world.pass(TARGET.times(0.5));
+    world.pass(TARGET.scaled(0.5));
     assert!(world.reqs[&id].answered);
 }
 
@@ -407,7 +407,7 @@
         world.want_call(id);
     }
     assert_eq!(world.count(State::Wanting), 1);
-    world.pass(TARGET.times(0.08));
+    world.pass(TARGET.scaled(0.08));
     assert_eq!(
         (world.count(State::Wanting), world.count(State::OnCore)),
         (0, 1)
@@ -417,7 +417,7 @@
 #[test]
 fn settings_of_any_scale_are_taken() {
     // None told, one of each, and far more than any fleet: every req is answered and every figure finite.
-    let one = [handler(Kind::Replayable, 0.5)];
+    let one = [handler(Idempotency::Idempotent, 0.5)];
     let (none, late) = (Time(0), Time(0) + TIMEOUT);
     for scale in [0.0, 1.0, 1e9] {
         for reading in [
@@ -450,7 +450,7 @@
             );
             let mut all = vec![decider.wake(none, Gauges::default())];
             for id in 0..40 {
-                let (id, customer) = (ReqId(id), Some(CustomerId(id as usize % 3)));
+                let (id, customer) = (RequestId(id), Some(TenantId(id as usize % 3)));
                 let (hint, retry, repeats) = (Some(span), id.0 % 2 == 0, None);
                 let (handler, kb, lay, wait) = (HandlerId(0), scale, span, Some(span));
                 let new = Arrival {
@@ -497,7 +497,7 @@
     for (count, more) in [(6, false), (40, true)] {
         let mut world = World::new(PLAIN);
         arrive(&mut world, 6, Time(0));
-        looks(&mut world, count, TARGET.times(0.06), 0.5);
+        looks(&mut world, count, TARGET.scaled(0.06), 0.5);
         assert_eq!(
             world.count(State::OnCore) > CORES,
             more,
@@ -519,7 +519,7 @@
         world.seen = seen;
         for _ in 0..10 {
             (0..3).for_each(|_| _ = world.arrive(handler, Time(0), TIMEOUT, None));
-            looks(&mut world, 1, TARGET.times(0.06), 0.1);
+            looks(&mut world, 1, TARGET.scaled(0.06), 0.1);
         }
         let running = world.count(State::OnCore);
         assert_eq!(
@@ -533,7 +533,7 @@
         );
         // All come back to the cores: at the next look those past the ceiling are stopped.
         world.seen = seen.map(|_| running as f64);
-        looks(&mut world, 1, TARGET.times(0.06), 1.0);
+        looks(&mut world, 1, TARGET.scaled(0.06), 1.0);
         assert_eq!(
             world.count(State::OnCore),
             ceiling,
--- a/crates/decide/tests/decide/rules.rs
+++ b/crates/admission/tests/decide/rules.rs
@@ -1,6 +1,6 @@
 //! Seeded random runs that check the four rules after every step.
 use crate::world::*;
-use cottondyke_decide::types::*;
+use cottondyke_admission::types::*;
 use quickcheck::{Gen, QuickCheck};
 
 type Steps = Vec<(u8, u16, u16)>;
@@ -24,7 +24,7 @@
 }
 
 pub fn step(world: &mut World, (kind, a, b): (u8, u16, u16)) {
-    let pick = |ids: Vec<ReqId>| ids.get(a as usize % ids.len().max(1)).copied();
+    let pick = |ids: Vec<RequestId>| ids.get(a as usize % ids.len().max(1)).copied();
     match kind % 16 {
         0..=6 => {
             let (lay, wait) = (Time((b % 4000) as i64), Time((a % 30_000) as i64 + 100));
@@ -61,7 +61,7 @@
             }
         }
         11 => {
-            let open = |id: &ReqId| !world.reqs[id].answered;
+            let open = |id: &RequestId| !world.reqs[id].answered;
             if let Some(id) = pick(world.reqs.keys().copied().filter(open).collect()) {
                 world.gone(id);
             }
--- a/crates/decide/tests/decide/world.rs
+++ b/crates/admission/tests/decide/world.rs
@@ -1,7 +1,7 @@
 //! A small honest model of a server: what runs, is held, kept and answered. It carries out results in their
 //! documented order and fails the test at the first broken rule.
-use cottondyke_decide::policy::*;
-use cottondyke_decide::types::*;
+use cottondyke_admission::policy::*;
+use cottondyke_admission::types::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +19,7 @@
 pub struct Noted {
     pub arrived: Time,
     pub due: Time,
-    pub kind: Kind,
+    pub kind: Idempotency,
     pub kb: f64,
     pub mark: Option<u32>,
     pub state: State,
@@ -66,8 +66,8 @@
     pub now: Time,
     pub set: Set,
     pub decider: Decider,
-    pub reqs: BTreeMap<ReqId, Noted>,
-    pub keys: BTreeMap<ReqId, Time>,
+    pub reqs: BTreeMap<RequestId, Noted>,
+    pub keys: BTreeMap<RequestId, Time>,
     pub left: Option<(Time, Time)>,
     pub wakes: Vec<Time>,
     pub shed: Vec<Shed>,
@@ -88,7 +88,7 @@
     next: u32,
 }
 
-pub fn handler(kind: Kind, skip: f64) -> Handler {
+pub fn handler(kind: Idempotency, skip: f64) -> Handler {
     Handler {
         kind,
         response_target: TARGET,
@@ -97,7 +97,7 @@
         value: 1.0,
         late_value: 0.2,
         window: WINDOW,
-        calls: kind != Kind::NonReplayable,
+        calls: kind != Idempotency::NonIdempotent,
         skip_value: skip,
     }
 }
@@ -105,7 +105,11 @@
 impl World {
     pub fn new(set: Set) -> Self {
         let now = Time(50_000);
-        let kinds = [Kind::Replayable, Kind::Uniqued, Kind::NonReplayable];
+        let kinds = [
+            Idempotency::Idempotent,
+            Idempotency::Keyed,
+            Idempotency::NonIdempotent,
+        ];
         let handlers = kinds.map(|k| handler(k, set.skip));
         let callers = Callers::new(now, set.callers, TARGET, IDLE);
         let first = if set.cold { FIRST } else { 1.0 };
@@ -157,15 +161,19 @@
         world
     }
 
-    pub fn arrive(&mut self, kind: usize, lay: Time, wait: Time, mark: Option<u32>) -> ReqId {
-        let id = ReqId(self.next);
+    pub fn arrive(&mut self, kind: usize, lay: Time, wait: Time, mark: Option<u32>) -> RequestId {
+        let id = RequestId(self.next);
         self.next += 1;
-        let kinds = [Kind::Replayable, Kind::Uniqued, Kind::NonReplayable];
+        let kinds = [
+            Idempotency::Idempotent,
+            Idempotency::Keyed,
+            Idempotency::NonIdempotent,
+        ];
         let kind = kinds[kind % 3];
         let arrived = self.now - lay;
-        let mark = mark.filter(|_| kind == Kind::Uniqued);
+        let mark = mark.filter(|_| kind == Idempotency::Keyed);
         // A repeat is known by the entry that lived when it reached the machine.
-        let same = |(other, n): &(&ReqId, &Noted)| {
+        let same = |(other, n): &(&RequestId, &Noted)| {
             n.mark.is_some()
                 && n.mark == mark
                 && self.keys.get(other).is_some_and(|end| *end > arrived)
@@ -196,7 +204,7 @@
         };
         self.reqs.insert(id, noted);
         let place = kinds.iter().position(|k| *k == kind).unwrap_or(0);
-        let customer = Some(CustomerId(self.customer.unwrap_or(id.0 as usize % 4)));
+        let customer = Some(TenantId(self.customer.unwrap_or(id.0 as usize % 4)));
         let (hint, retry) = (None, id.0.is_multiple_of(5));
         let handler = HandlerId(place);
         let new = Arrival {
@@ -217,7 +225,7 @@
         id
     }
 
-    pub fn end(&mut self, id: ReqId, end: RunEnd) {
+    pub fn end(&mut self, id: RequestId, end: RunEnd) {
         let noted = self.reqs.get_mut(&id).unwrap();
         noted.state = State::Over;
         noted.answered |= matches!(end, RunEnd::Done | RunEnd::Errored);
@@ -225,7 +233,7 @@
         self.apply(results);
     }
 
-    pub fn want_call(&mut self, id: ReqId) {
+    pub fn want_call(&mut self, id: RequestId) {
         let noted = self.reqs.get_mut(&id).unwrap();
         (noted.state, noted.calls_unknown) = (State::Wanting, false);
         let answered = noted.answered;
@@ -237,7 +245,7 @@
         self.apply(results);
     }
 
-    pub fn end_call(&mut self, id: ReqId, end: CallEnd) {
+    pub fn end_call(&mut self, id: RequestId, end: CallEnd) {
         let noted = self.reqs.get_mut(&id).unwrap();
         noted.state = if end == CallEnd::Done {
             State::OnCore
@@ -249,7 +257,7 @@
         self.apply(results);
     }
 
-    pub fn gone(&mut self, id: ReqId) {
+    pub fn gone(&mut self, id: RequestId) {
         let noted = self.reqs.get_mut(&id).unwrap();
         noted.answered = true;
         if matches!(noted.state, State::Held | State::Joined) {
@@ -298,7 +306,7 @@
         self.reqs.values().filter(|n| n.state == state).count()
     }
 
-    pub fn ids(&self, state: State) -> Vec<ReqId> {
+    pub fn ids(&self, state: State) -> Vec<RequestId> {
         self.reqs
             .iter()
             .filter(|(_, n)| n.state == state)
@@ -315,7 +323,7 @@
             assert_ne!(self.set.halting, Halting::Never, "a stop where none may be");
             assert_eq!(
                 noted.kind,
-                Kind::Replayable,
+                Idempotency::Idempotent,
                 "effect twice: a run that may not repeat was stopped"
             );
             if noted.state == State::OnCore && !self.frozen {
@@ -370,7 +378,7 @@
                 .find(|n| n.ran && n.mark.is_some() && n.mark == noted.mark);
             let clear = twin.is_none_or(|n| noted.arrived - n.arrived > WINDOW);
             assert!(
-                clear || noted.kind != Kind::Uniqued,
+                clear || noted.kind != Idempotency::Keyed,
                 "effect twice: a repeat ran within its window"
             );
             let noted = self.reqs.get_mut(&id).unwrap();
@@ -386,7 +394,7 @@
             assert_eq!(noted.state, State::Wanting, "a call that nothing waits for");
             assert!(cap > Time(0));
             self.caps.push(cap);
-            let safe = noted.kind == Kind::Replayable || !noted.calls_unknown;
+            let safe = noted.kind == Idempotency::Idempotent || !noted.calls_unknown;
             assert!(safe, "effect twice: a call made again that may have run");
             noted.state = State::Calling;
         }
@@ -422,7 +430,7 @@
             );
         }
         let warm = if self.set.cold {
-            (now - Time(50_000)).num() / WARM.num()
+            (now - Time(50_000)).as_f64() / WARM.as_f64()
         } else {
             1.0
         };
--- a/crates/lab/src/load.rs
+++ b/crates/chaos/src/load.rs
@@ -1,5 +1,5 @@
 //! Open-loop callers: reqs go out when they are due, whatever has come back, and each is timed from then.
-use cottondyke_standin::peers::{frame, payload, unix_ms, Heard, Sidecar};
+use cottondyke_test_support::peers::{frame, payload, unix_ms, Heard, Sidecar};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/lab/src/trials/dependencies.rs
+++ b/crates/chaos/src/trials/dependencies.rs
@@ -5,7 +5,7 @@
 use crate::load::{Callers, Mix, Sent};
 use crate::outcome::Outcome;
 use crate::Usage;
-use cottondyke_standin::dependency::{Dependency, Fault};
+use cottondyke_test_support::dependency::{Dependency, Fault};
 use std::io;
 use std::time::{Duration, Instant};
 
--- a/crates/lab/src/trials/restarts.rs
+++ b/crates/chaos/src/trials/restarts.rs
@@ -5,7 +5,7 @@
 use crate::load::{Callers, Mix};
 use crate::outcome::Outcome;
 use crate::Usage;
-use cottondyke_standin::dependency::Fault;
+use cottondyke_test_support::dependency::Fault;
 use std::io;
 use std::time::{Duration, Instant};
 
--- a/crates/lab/src/trials/shop.rs
+++ b/crates/chaos/src/trials/shop.rs
@@ -1,6 +1,6 @@
 //! The shop that the trials of dependencies share: its script, its stand-ins, and what an answer of it is worth.
 use crate::load::Sent;
-use cottondyke_standin::dependency::{Dependency, Shape};
+use cottondyke_test_support::dependency::{Dependency, Shape};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
--- a/crates/lab/src/world.rs
+++ b/crates/chaos/src/world.rs
@@ -1,13 +1,13 @@
 //! A simulated world for the cores of many instances: messages, clocks, disks and crashes from one seed. It plays
-//! what `cottondyke_fleet::Instance` decides, and counts units in use where they are used; after every step it holds
+//! what `cottondyke_cluster::Instance` decides, and counts units in use where they are used; after every step it holds
 //! their sum against the whole. The same seed plays the same run.
 use crate::outcome::Outcome;
 use crate::Usage as Options;
-use cottondyke_budget::{Defences, Holder, Terms, Usage};
-use cottondyke_decide::types::Time;
-use cottondyke_fleet::{Change, Effect, Instance, Setup};
-use cottondyke_peers::Standing;
-use cottondyke_registry::{KeeperId, Saved, Write};
+use cottondyke_cluster::{Change, Effect, Instance, Setup};
+use cottondyke_consensus::{KeeperId, Saved, Write};
+use cottondyke_membership::Standing;
+use cottondyke_quota::{Defences, Holder, Terms, Usage};
+use cottondyke_types::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
@@ -825,7 +825,7 @@
 pub fn sizes(usage: &Options) -> std::io::Result<Outcome> {
     usage.off(&[])?;
     let mut outcome = Outcome::default();
-    let periods = cottondyke_peers::DEAD_WITHIN as f64 * PROBE as f64 / S as f64;
+    let periods = cottondyke_membership::DEAD_WITHIN as f64 * PROBE as f64 / S as f64;
     for members in [10, 100, 1_000]
         .into_iter()
         .filter(|members| *members <= usage.members)
--- a/crates/fleet/src/instance.rs
+++ b/crates/cluster/src/instance.rs
@@ -1,11 +1,11 @@
 //! The instance: which word goes to which core, and what each core's effects mean for the others.
 use crate::word::Word;
-use cottondyke_budget::{
+use cottondyke_consensus::{self as registry, Founding, Keeper, KeeperId, Saved, State, Write};
+use cottondyke_membership::{self as peers, Listed, Member, Peers};
+use cottondyke_quota::{
     Ask, Command, Epoch, Granter, Holdback, Holder, Shares, Table, Terms, Usage, MOST_HOLDERS,
 };
-use cottondyke_decide::types::Time;
-use cottondyke_peers::{self as peers, Listed, Member, Peers};
-use cottondyke_registry::{self as registry, Founding, Keeper, KeeperId, Saved, State, Write};
+use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -299,7 +299,7 @@
         };
         let patience = self
             .waits
-            .map_or(Time::MAX, |at| at + self.setup.terms.lease.times(PATIENCE));
+            .map_or(Time::MAX, |at| at + self.setup.terms.lease.scaled(PATIENCE));
         let divide = if self.granter.leads() {
             self.granter.due()
         } else {
@@ -637,7 +637,7 @@
         }
     }
 
-    fn reply(&mut self, replies: Vec<cottondyke_budget::Reply>) {
+    fn reply(&mut self, replies: Vec<cottondyke_quota::Reply>) {
         for reply in replies {
             if reply.holder == *self.shares.me() {
                 self.shares.told(&reply);
@@ -695,7 +695,7 @@
     fn ask(&mut self, now: Time) {
         if self
             .waits
-            .is_some_and(|at| now >= at + self.setup.terms.lease.times(PATIENCE))
+            .is_some_and(|at| now >= at + self.setup.terms.lease.scaled(PATIENCE))
         {
             self.turn(now);
         }
--- a/crates/fleet/src/word.rs
+++ b/crates/cluster/src/word.rs
@@ -1,8 +1,8 @@
 //! What instances say to each other: a version, then the word by `postcard`. Every word may be lost, late, twice or
 //! out of order; each is sent again by whoever needs its answer.
 use crate::instance::View;
-use cottondyke_budget::{Ask, Reply};
-use cottondyke_registry::{KeeperId, Seek};
+use cottondyke_consensus::{KeeperId, Seek};
+use cottondyke_quota::{Ask, Reply};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/fleet/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -1,9 +1,9 @@
 //! The bytes of what instances say to each other and propose to the registry, as the versions in use write them.
-use cottondyke_budget::{Ask, Command, Epoch, Holder, Nonce, Reply, Share, Table, Told, Want};
-use cottondyke_decide::types::Time;
-use cottondyke_fleet::{Agreed, Word};
-use cottondyke_peers::{Effect, Listed, Member, Peers, Standing};
-use cottondyke_registry::{KeeperId, Seek, State};
+use cottondyke_cluster::{Agreed, Word};
+use cottondyke_consensus::{KeeperId, Seek, State};
+use cottondyke_membership::{Effect, Listed, Member, Peers, Standing};
+use cottondyke_quota::{Ask, Command, Epoch, Holder, Nonce, Reply, Share, Table, Told, Want};
+use cottondyke_types::Time;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/registry/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -2,7 +2,7 @@
 //! keeper in the file's order founds it, only once all others said that they have none either, and writes the set
 //! down before it tells anyone.
 use crate::KeeperId;
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/registry/tests/golden_storage.rs
+++ b/crates/consensus/tests/golden_storage.rs
@@ -1,6 +1,6 @@
 //! A registry's file as the versions in use wrote it, opened, read whole, written on and opened again.
-use cottondyke_registry::sqlite::Disk;
-use cottondyke_registry::{Effect, Keeper, KeeperId, Saved, State, Write};
+use cottondyke_consensus::sqlite::Disk;
+use cottondyke_consensus::{Effect, Keeper, KeeperId, Saved, State, Write};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
 use std::collections::BTreeMap;
--- a/crates/registry/tests/keepers.rs
+++ b/crates/consensus/tests/keepers.rs
@@ -1,5 +1,5 @@
 //! Keepers that speak in memory, each with a disk that is written at once unless a test holds it back.
-use cottondyke_registry::{Effect, Keeper, KeeperId, Saved, State};
+use cottondyke_consensus::{Effect, Keeper, KeeperId, Saved, State};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Commands in their order.
@@ -202,7 +202,7 @@
 /// Guards what a keeper said: all that was written is read again, in order, and a newer layout is refused in words.
 #[test]
 fn the_disk_holds_what_was_written() {
-    use cottondyke_registry::{sqlite::Disk, Write};
+    use cottondyke_consensus::{sqlite::Disk, Write};
     let folder = std::env::temp_dir().join(format!("cottondyke-registry-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("registry.db");
--- a/crates/depend/src/breaker.rs
+++ b/crates/dependency/src/breaker.rs
@@ -1,6 +1,6 @@
 //! A circuit breaker: opens when most calls of the last second failed, rests a time that grows and is drawn
 //! apart for each instance, then lets few probes through; closes after enough of them ended well in a row.
-use cottondyke_decide::types::{Ring, Time, SECOND};
+use cottondyke_types::{SlidingWindow, Time, SECOND};
 
 /// Calls that failed within the look-back before it opens, and the part of all that they must be.
 const LEAST: f64 = 5.0;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct Breaker {
     stage: Stage,
-    ends: Ring<2, 8>,
+    ends: SlidingWindow<2, 8>,
     row: u32,
     probes: usize,
     /// Openings since it was last closed for good.
@@ -45,7 +45,7 @@
 
 impl Breaker {
     pub fn new(now: Time, enabled: bool) -> Self {
-        let ends = Ring::new(SECOND);
+        let ends = SlidingWindow::new(SECOND);
         Breaker {
             stage: Stage::Closed,
             ends,
@@ -126,7 +126,7 @@
             }
             Stage::HalfOpen { good: before } if probe && before + 1 >= PROVEN => {
                 (self.stage, self.closed, self.row) = (Stage::Closed, now, 0);
-                self.ends = Ring::new(SECOND);
+                self.ends = SlidingWindow::new(SECOND);
                 true
             }
             Stage::HalfOpen { good: before } if probe => {
@@ -140,9 +140,9 @@
 
     fn open(&mut self, now: Time, draw: f64) {
         let rest = FIRST_REST
-            .times(GROWTH.powi(self.openings.min(16) as i32))
+            .scaled(GROWTH.powi(self.openings.min(16) as i32))
             .min(LONGEST_REST);
-        let rest = rest.times(1.0 + SPREAD * (2.0 * draw.clamp(0.0, 1.0) - 1.0));
+        let rest = rest.scaled(1.0 + SPREAD * (2.0 * draw.clamp(0.0, 1.0) - 1.0));
         self.openings += 1;
         self.stage = Stage::Open { until: now + rest };
     }
--- a/crates/depend/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -7,7 +7,7 @@
 use crate::pages::CallId;
 use crate::plan::{Defences, Dependency, Stamp};
 use crate::retry::RetryBudget;
-use cottondyke_decide::types::{ReqId, Time};
+use cottondyke_types::{RequestId, Time};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -79,7 +79,7 @@
     pub breaker: Breaker,
     pub latency: Latency,
     pub retries: RetryBudget,
-    pub waiting: VecDeque<(ReqId, usize)>,
+    pub waiting: VecDeque<(RequestId, usize)>,
     /// Calls whose second one waits for a place, before all that waits for its first.
     pub hedging: VecDeque<CallId>,
     pub sums: Sums,
@@ -298,7 +298,7 @@
             .quantile(NEARLY)
             .or(self.latency.usual())
             .unwrap_or(Time(1));
-        nearly.min(self.spec.budget.times(MOST_NEEDED))
+        nearly.min(self.spec.budget.scaled(MOST_NEEDED))
     }
 
     /// After how long a second call is made, where it is.
--- a/crates/depend/src/kept.rs
+++ b/crates/dependency/src/kept.rs
@@ -1,11 +1,11 @@
 //! Whole answers kept for the time when their dependency brings none, bounded in bytes; the oldest go first.
-use cottondyke_decide::types::{CustomerId, Time};
+use cottondyke_types::{TenantId, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 /// What an answer belongs to: the dependency's name, the customer who asked, and the request. Customers never
 /// see each other's.
-pub type Key = (Rc<str>, Option<CustomerId>, Rc<[u8]>);
+pub type Key = (Rc<str>, Option<TenantId>, Rc<[u8]>);
 
 /// Room that an entry takes beside its key and body, in bytes.
 const OVERHEAD: usize = 160;
--- a/crates/depend/src/latency.rs
+++ b/crates/dependency/src/latency.rs
@@ -1,6 +1,6 @@
 //! What was learned of a dependency's latency: quantiles over the last one to two spans, and how the recent mean
 //! stands to the usual one.
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use hdrhistogram::Histogram;
 
 /// Half of the time over which quantiles look back.
@@ -55,7 +55,7 @@
             self.newer
                 .saturating_record(time.0.clamp(1, LONGEST as i64) as u64);
         }
-        let t = time.num().max(1.0);
+        let t = time.as_f64().max(1.0);
         if self.usual == 0.0 {
             (self.recent, self.usual) = (t, t);
         }
--- a/crates/depend/src/limit.rs
+++ b/crates/dependency/src/limit.rs
@@ -1,6 +1,6 @@
 //! The adaptive concurrency limit of one dependency: additive increase while it is used and calls end well,
 //! multiplicative decrease on signs of overload, a slighter one while the latency gradient shows a queue.
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 
 /// Parts of the limit that stay after a sign of overload, and after a call that shows a queue.
 const OVERLOAD: f64 = 0.7;
--- a/crates/depend/src/pages.rs
+++ b/crates/dependency/src/pages.rs
@@ -4,7 +4,7 @@
 use crate::gate::{Gate, Learnt, Verdict};
 use crate::kept::{Kept, Key};
 use crate::plan::{Dependency, Fallback, Part, Plan, Stamp, RESERVE};
-use cottondyke_decide::types::{CustomerId, ReqId, Time};
+use cottondyke_types::{RequestId, TenantId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -19,11 +19,11 @@
 /// A req that starts as a page.
 #[derive(Clone, Debug)]
 pub struct Start {
-    pub run: ReqId,
+    pub run: RequestId,
     /// The page's place in the plan.
     pub page: usize,
     pub body: Rc<[u8]>,
-    pub customer: Option<CustomerId>,
+    pub customer: Option<TenantId>,
     pub target: Time,
     pub due: Time,
     /// Whether its calls may run again though they may have run.
@@ -84,7 +84,7 @@
     /// Make a call with the body of the run's req. Unless `reuse`, on a connection of its own.
     Call {
         call: CallId,
-        run: ReqId,
+        run: RequestId,
         to: Rc<Dependency>,
         body: Rc<[u8]>,
         within: Time,
@@ -99,7 +99,7 @@
         listen: Time,
     },
     Ended {
-        run: ReqId,
+        run: RequestId,
         answer: Answer,
     },
     Changed {
@@ -148,7 +148,7 @@
 
 #[derive(Debug)]
 struct Call {
-    run: ReqId,
+    run: RequestId,
     part: usize,
     gate: GateId,
     since: Time,
@@ -162,9 +162,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// The end of a part's step.
-    Step(ReqId, usize, usize),
+    Step(RequestId, usize, usize),
     /// From then on a part that waits could not be answered in what is left.
-    Wait(ReqId, usize, usize),
+    Wait(RequestId, usize, usize),
     /// A second call for one that is still out.
     Hedge(CallId),
     /// A held call is over by itself.
@@ -192,7 +192,7 @@
     force: Rc<Force>,
     gates: BTreeMap<GateId, Gate>,
     next_gate: GateId,
-    runs: BTreeMap<ReqId, Run>,
+    runs: BTreeMap<RequestId, Run>,
     calls: BTreeMap<CallId, Call>,
     next_call: u64,
     timers: BTreeSet<(Time, Timer)>,
@@ -305,7 +305,7 @@
     }
 
     /// Ends a run at once; its calls in hand are given up.
-    pub fn stop(&mut self, now: Time, id: ReqId) -> Vec<Action> {
+    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Action> {
         let mut out = Vec::new();
         if self.runs.contains_key(&id) {
             self.end(now, id, Answer::Stopped, &mut out);
@@ -484,7 +484,7 @@
         let all = later.fold(own, |sum, budget| sum + budget);
         let left = last - now;
         now + if all > left {
-            own.times((left.num() / all.num()).max(0.0))
+            own.scaled((left.as_f64() / all.as_f64()).max(0.0))
         } else {
             own
         }
@@ -494,7 +494,7 @@
     fn begin(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         dependency: usize,
         out: &mut Vec<Action>,
@@ -547,7 +547,7 @@
     fn first_call(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         probe: bool,
         out: &mut Vec<Action>,
@@ -572,7 +572,7 @@
     fn call(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         probe: bool,
         out: &mut Vec<Action>,
@@ -657,7 +657,7 @@
     fn out_of_time(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         number: usize,
         out: &mut Vec<Action>,
@@ -683,7 +683,7 @@
     fn waits_no_longer(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         number: usize,
         out: &mut Vec<Action>,
@@ -700,7 +700,7 @@
         }
     }
 
-    fn leave_queue(&mut self, gate: GateId, id: ReqId, place: usize) {
+    fn leave_queue(&mut self, gate: GateId, id: RequestId, place: usize) {
         if let Some(gate) = self.gates.get_mut(&gate) {
             gate.waiting.retain(|waits| *waits != (id, place));
         }
@@ -720,7 +720,7 @@
         } else {
             Learnt::Nothing
         };
-        self.give_up(now, id, learnt, within.times(LISTEN), out);
+        self.give_up(now, id, learnt, within.scaled(LISTEN), out);
     }
 
     /// A call is not needed any more, which says nothing of its dependency: it is listened to for what is left of
@@ -769,7 +769,7 @@
     }
 
     /// Takes the part's next fall-backs until one brings something or is begun.
-    fn fall_back(&mut self, now: Time, id: ReqId, place: usize, out: &mut Vec<Action>) {
+    fn fall_back(&mut self, now: Time, id: RequestId, place: usize, out: &mut Vec<Action>) {
         loop {
             let Some(run) = self.runs.get_mut(&id) else {
                 return;
@@ -809,7 +809,7 @@
     fn settle(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         place: usize,
         state: State,
         body: Option<Rc<[u8]>>,
@@ -826,7 +826,7 @@
     }
 
     /// Ends a run once all its parts are settled, or one that it cannot do without is missing.
-    fn finish(&mut self, now: Time, id: ReqId, out: &mut Vec<Action>) {
+    fn finish(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(run) = self.runs.get(&id) else {
             return;
         };
@@ -869,7 +869,7 @@
         }
     }
 
-    fn end(&mut self, now: Time, id: ReqId, answer: Answer, out: &mut Vec<Action>) {
+    fn end(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Action>) {
         let Some(run) = self.runs.remove(&id) else {
             return;
         };
--- a/crates/depend/src/plan.rs
+++ b/crates/dependency/src/plan.rs
@@ -1,5 +1,5 @@
 //! What the operator's file says of dependencies and pages, checked and typed.
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/depend/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -1,7 +1,7 @@
 //! Seeded random runs against a model of the dependencies that counts by itself: what is held there, extra calls,
 //! and the ends of runs. Every step is audited.
-use cottondyke_decide::types::{CustomerId, ReqId, Time};
-use cottondyke_depend::*;
+use cottondyke_dependency::*;
+use cottondyke_types::{RequestId, TenantId, Time};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -79,7 +79,7 @@
     all: Vec<Rc<Dependency>>,
     next_run: u32,
     /// Open runs and when they are due.
-    runs: BTreeMap<ReqId, Time>,
+    runs: BTreeMap<RequestId, Time>,
     /// Calls that the driver has in hand, and the dependency, whether listened to until a time.
     calls: BTreeMap<CallId, (Rc<str>, Option<Time>)>,
     /// Calls that were given up and go on unseen: the worst that a dependency may do.
@@ -217,7 +217,7 @@
         }
         match self.random.u8(0..100) {
             0..40 if self.runs.len() < 12 => {
-                let run = ReqId(self.next_run);
+                let run = RequestId(self.next_run);
                 self.next_run += 1;
                 let target = self.now + Time(self.random.i64(-100..3_000));
                 let due = target.max(self.now) + Time(self.random.i64(101..2_000));
@@ -225,7 +225,7 @@
                     run,
                     page: self.random.usize(0..3),
                     body: self.random.u8(0..6).to_string().into_bytes().into(),
-                    customer: [None, Some(CustomerId(1))][self.random.usize(0..2)],
+                    customer: [None, Some(TenantId(1))][self.random.usize(0..2)],
                     target,
                     due,
                     may_repeat: self.random.bool(),
--- a/crates/peers/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! A member is found dead `SUSPECTED` probe periods after it was first suspected, and suspected within about two; so a
 //! dead one is out of all lists after `DEAD_WITHIN` probe periods. One that is slow or hard to reach has that long to
 //! refute it.
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use foca::{
     Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec,
     Runtime, State, Timer,
@@ -162,13 +162,13 @@
         let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let often = |periods: f64, members: usize| {
             Some(PeriodicParams {
-                frequency: span(probe.times(periods)),
+                frequency: span(probe.scaled(periods)),
                 num_members: some(members),
             })
         };
         let config = Config {
             probe_period: span(probe),
-            probe_rtt: span(probe.times(0.3)),
+            probe_rtt: span(probe.scaled(0.3)),
             num_indirect_probes: some(INDIRECT),
             max_transmissions: NonZeroU8::new(PASSED_ON).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: if suspicion {
@@ -267,7 +267,7 @@
             + if self.active {
                 Time(self.probe.0 * SEEK)
             } else {
-                self.probe.times(0.5)
+                self.probe.scaled(0.5)
             };
         let own = self.me().name.clone();
         let mut known: Vec<Member> = self
--- a/crates/peers/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -1,6 +1,6 @@
 //! Members in a simulated world: datagrams that are late and lost, clocks of one world, lists looked at from outside.
-use cottondyke_decide::types::Time;
-use cottondyke_peers::{Effect, Listed, Member, Peers, Standing, DEAD_WITHIN};
+use cottondyke_membership::{Effect, Listed, Member, Peers, Standing, DEAD_WITHIN};
+use cottondyke_types::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/operator/src/args.rs
+++ b/crates/operator-config/src/args.rs
@@ -1,7 +1,7 @@
 //! Reads the arguments of one declaration: each is asked for by name with what is expected of it, and what was
 //! not asked for is an error with the nearest name that is known.
 use crate::{Declared, Place, Wrong, AT, MADE};
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use serde_json::{Map, Value as Json};
 
 /// How alike two names must be for one to be offered for the other.
--- a/crates/operator/src/check.rs
+++ b/crates/operator-config/src/check.rs
@@ -2,8 +2,8 @@
 use crate::args::nearest;
 use crate::typed::*;
 use crate::{Place, Wrong};
-use cottondyke_decide::types::Time;
-use cottondyke_depend::{self as depend, RESERVE};
+use cottondyke_dependency::{self as depend, RESERVE};
+use cottondyke_types::Time;
 use std::rc::Rc;
 
 /// A handler as the check needs it, from the configuration or from the script itself.
--- a/crates/operator/src/typed.rs
+++ b/crates/operator-config/src/typed.rs
@@ -2,7 +2,7 @@
 //! project; each value carries the place where it was declared.
 use crate::args::{shown, Args};
 use crate::{Declared, Place, Wrong, MADE};
-use cottondyke_decide::types::{Kind, Time};
+use cottondyke_types::{Idempotency, Time};
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 use std::net::SocketAddr;
@@ -40,11 +40,11 @@
 }
 
 impl Effect {
-    pub fn kind(self) -> Kind {
+    pub fn kind(self) -> Idempotency {
         match self {
-            Effect::Replayable => Kind::Replayable,
-            Effect::Uniqued => Kind::Uniqued,
-            Effect::NonReplayable => Kind::NonReplayable,
+            Effect::Replayable => Idempotency::Idempotent,
+            Effect::Uniqued => Idempotency::Keyed,
+            Effect::NonReplayable => Idempotency::NonIdempotent,
         }
     }
 }
--- a/crates/budget/src/granter.rs
+++ b/crates/quota/src/granter.rs
@@ -8,7 +8,7 @@
     divide, Ask, Claim, Command, Epoch, Holder, Nonce, Reply, Share, Table, Terms, Told, Want,
     Whole, DRIFT,
 };
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Members that are remembered, askings that wait for a confirmation, and commands made at one time.
@@ -297,7 +297,7 @@
 
     /// A holder's lease on this clock, at the longest.
     fn lease_here(&self) -> Time {
-        self.terms.lease.times(1.0 + DRIFT) + Time(1)
+        self.terms.lease.scaled(1.0 + DRIFT) + Time(1)
     }
 
     /// When a holder's share is free again, and how much of it stays back then.
@@ -378,7 +378,7 @@
     /// When `commands` and `news` are due next.
     pub fn due(&self) -> Time {
         let part = if self.stirred { ROUND } else { IDLE };
-        self.divided + self.terms.lease.times(part)
+        self.divided + self.terms.lease.scaled(part)
     }
 
     /// What to propose now; `wholes` are the leader's file: name, units, linger.
@@ -394,7 +394,7 @@
         (self.divided, self.stirred) = (now, false);
         if self
             .busy
-            .is_some_and(|at| now < at + self.terms.lease.times(AGAIN))
+            .is_some_and(|at| now < at + self.terms.lease.scaled(AGAIN))
         {
             return Vec::new();
         }
@@ -598,7 +598,7 @@
 
     /// Members of whom nothing is left are forgotten.
     fn forget(&mut self, now: Time, since: Time, table: &Table) {
-        let span = self.terms.lease.times(2.0);
+        let span = self.terms.lease.scaled(2.0);
         let holds = |h: &Holder| {
             table
                 .budgets
--- a/crates/budget/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -16,7 +16,7 @@
 pub use shares::{Shares, Usage};
 pub use table::{Command, Epoch, Holder, Refused, Share, Table, Whole};
 
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 
 /// Part by which the clock of the leader and that of a holder may run apart over a lease.
--- a/crates/budget/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -1,7 +1,7 @@
 //! A member's own part: what it may use of each budget now, and what it asks for. It trusts a share until its lease
 //! is over by its own clock, counted from before it asked, and not one moment longer.
 use crate::{Ask, Epoch, Holder, Nonce, Reply, Terms, Want, MOST_BUDGETS};
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Parts of a lease after which it asks again, and after which it asks once more where no answer came.
@@ -177,7 +177,7 @@
             true => RENEW,
             false => AGAIN,
         };
-        last + self.terms.lease.times(part)
+        last + self.terms.lease.scaled(part)
     }
 
     /// An asking, where one is due: the time that its lease counts from is now, before it is sent.
@@ -200,7 +200,7 @@
         });
         let soon = self
             .last
-            .is_none_or(|last| now >= last + self.terms.lease.times(SOON));
+            .is_none_or(|last| now >= last + self.terms.lease.scaled(SOON));
         if now < self.next() && !(changed && soon) {
             return None;
         }
--- a/crates/budget/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -1,7 +1,7 @@
 //! What is agreed of budgets: wholes, and who holds how much under which epoch. It changes by commands alone, in
 //! their order, and is the same wherever the same commands were applied.
 use crate::{MOST_BUDGETS, MOST_HOLDERS};
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/budget/tests/granter.rs
+++ b/crates/quota/tests/granter.rs
@@ -1,8 +1,8 @@
 //! Interleavings of the leader's part, written down.
-use cottondyke_budget::{
+use cottondyke_quota::{
     Ask, Command, Defences, Epoch, Granter, Holder, Nonce, Shares, Table, Terms, Usage, Want,
 };
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 
 fn ask(nonce: u64, epoch: Epoch) -> Ask {
     let want = Want {
--- a/crates/budget/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -2,8 +2,8 @@
 //! may happen between them that a bounded search comes to: words lost, late and twice, commands agreed one by one,
 //! leaders that follow each other, holders that crash and holders that are stopped in the middle of a call, a registry
 //! founded anew. What must hold in every state: units in use, or usable without another word, are never over the whole.
-use cottondyke_budget::*;
-use cottondyke_decide::types::Time;
+use cottondyke_quota::*;
+use cottondyke_types::Time;
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::hash::{Hash, Hasher};
 
--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -1,7 +1,7 @@
 //! `cottondyke-script FILE`: evaluates a script under the system's limits, and writes what it declares, typed, as
 //! JSON. The server calls it: neither the interpreter nor the typing takes memory there, and nothing that a script
 //! does reaches it.
-use cottondyke_operator::{operator, Operator, Wrong};
+use cottondyke_operator_config::{operator, Operator, Wrong};
 use rustix::process::{setrlimit, Resource, Rlimit};
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/script/tests/golden_operator.rs
+++ b/crates/script/tests/golden_operator.rs
@@ -2,7 +2,7 @@
 //! `golden/operator.txt` is `$ ` with an input and `=> ` with its answer: an error's line, or what is in force. Inputs:
 //! `DECLARATION KEYWORD = VALUE`, one change to the script below (nothing after `=` takes the keyword out), or
 //! `script TEXT` for the whole file, in which `\n` ends a line.
-use cottondyke_operator::operator;
+use cottondyke_operator_config::operator;
 use std::path::Path;
 
 const ROWS: &str = include_str!("golden/operator.txt");
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,5 +1,5 @@
 //! Scripts, good and bad: each bad one with the place and the words of its error.
-use cottondyke_operator::{operator, Operator, Wrong};
+use cottondyke_operator_config::{operator, Operator, Wrong};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/server/src/answer.rs
+++ b/crates/server/src/answer.rs
@@ -4,7 +4,7 @@
 use crate::wire::sidecar::Reply;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use cottondyke_decide::types::{Time, SECOND};
+use cottondyke_types::{Time, SECOND};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::collections::BTreeMap;
--- a/crates/server/src/call.rs
+++ b/crates/server/src/call.rs
@@ -5,7 +5,7 @@
 use crate::wire::http;
 use crate::wire::WireId;
 use async_io::Timer;
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use futures_lite::FutureExt;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/server/src/client.rs
+++ b/crates/server/src/client.rs
@@ -3,7 +3,7 @@
 //! nothing behind it; one that has been forgotten or written to meanwhile is found out before it is used.
 use crate::wire::http::{self, Decoder};
 use async_io::Async;
-use cottondyke_decide::types::CallEnd;
+use cottondyke_admission::types::CallEnd;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,9 +1,9 @@
 //! What the program is told at its start.
 use crate::time::span_of_ms;
-use cottondyke_decide::policy::Decider;
-use cottondyke_decide::types::{Kind, Time};
-use cottondyke_operator::{Effect, Known, Operator, Place};
+use cottondyke_admission::policy::Decider;
+use cottondyke_operator_config::{Effect, Known, Operator, Place};
 use cottondyke_settings::{self as settings, Places, Wrong};
+use cottondyke_types::{Idempotency, Time};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -81,7 +81,7 @@
     pub memory: usize,
     /// The longest client timeout, in milliseconds.
     pub longest: f64,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<Idempotency>,
     /// Response target and client timeout by handler.
     pub times: Vec<(Time, Time)>,
     /// Dedup window by handler.
@@ -409,7 +409,7 @@
             .zip(&self.kinds)
             .try_for_each(|(class, kind)| {
                 // Missing, it would be no time at all, and repeats would run again.
-                if *kind == Kind::Uniqued {
+                if *kind == Idempotency::Keyed {
                     within(class, "dedup_window_ms", 0.1, 1e12)?;
                 }
                 within(class, "deadline_ms", 0.1, 1e12)?;
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/desk.rs
@@ -19,8 +19,9 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use cottondyke_decide::policy::Decider;
-use cottondyke_decide::types::*;
+use cottondyke_admission::policy::Decider;
+use cottondyke_admission::types::{Arrival, Gauges, Results, RunEnd};
+use cottondyke_types::{CallerId, HandlerId, Idempotency, RequestId, Time, SECOND};
 use futures_lite::FutureExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -51,7 +52,7 @@
     body: Rc<[u8]>,
     answered: bool,
     running: bool,
-    joined: Option<ReqId>,
+    joined: Option<RequestId>,
 }
 
 impl Entry {
@@ -104,7 +105,7 @@
     clock: Clock,
     started: Time,
     decider: Decider,
-    reqs: BTreeMap<ReqId, Entry>,
+    reqs: BTreeMap<RequestId, Entry>,
     /// The ids of all in `reqs`, as they stand on the wire.
     wires: BTreeSet<WireId>,
     next_id: u32,
@@ -122,7 +123,7 @@
     /// Until when gauges that were asked for are waited for.
     asked: Option<Time>,
     /// Joined reqs whose answer is known, told to the decider once its results are carried out.
-    joined: VecDeque<(ReqId, RunEnd)>,
+    joined: VecDeque<(RequestId, RunEnd)>,
     /// What kinds of work told while results were carried out, taken after them.
     events: VecDeque<Event>,
     cpu: cpu::Gauge,
@@ -427,7 +428,8 @@
                 self.notice = Some(now);
                 let results = self.decider.leaving(now, self.left());
                 self.carry_all(now, results);
-                self.works.leaving(now, now + self.left().times(PAGES_PART));
+                self.works
+                    .leaving(now, now + self.left().scaled(PAGES_PART));
                 self.connections.no_more(now);
                 self.next_chores = now;
             }
@@ -560,9 +562,9 @@
         }
     }
 
-    fn fresh_id(&mut self) -> ReqId {
+    fn fresh_id(&mut self) -> RequestId {
         loop {
-            let id = ReqId(self.next_id);
+            let id = RequestId(self.next_id);
             self.next_id = self.next_id.wrapping_add(1);
             if !self.reqs.contains_key(&id) && !self.keys.holds(id) {
                 return id;
@@ -587,11 +589,11 @@
         }
         let id = self.fresh_id();
         let kind = self.config.kinds[req.handler.0];
-        let reads = kind == Kind::Replayable && self.config.fresh > Time(0);
+        let reads = kind == Idempotency::Idempotent && self.config.fresh > Time(0);
         // A uniqued req is another try of one of its own customer; a read is shared by class and key alone.
-        let customer = req.customer.filter(|_| kind == Kind::Uniqued);
+        let customer = req.customer.filter(|_| kind == Idempotency::Keyed);
         let key: Option<IdempotencyKey> = req.mark.map(|mark| (req.handler, customer, mark));
-        let key = key.filter(|_| reads || kind == Kind::Uniqued);
+        let key = key.filter(|_| reads || kind == Idempotency::Keyed);
         // A stamp teaches how long reqs lie unread where the engine has known a req of that connection; else no
         // more than what was learned so does.
         let lay = since_unix(req.at);
@@ -603,9 +605,9 @@
         // says whether it knows the req. So it takes it only on the connection of the open first try, or on one of
         // which the engine has known a req. A read on any other runs by itself; a uniqued req, which may not run
         // again, is errored.
-        let same = |of: &ReqId| self.reqs.get(of).is_some_and(|first| first.conn == conn);
+        let same = |of: &RequestId| self.reqs.get(of).is_some_and(|first| first.conn == conn);
         let copied = repeats.is_some_and(|of| !proven && !same(&of));
-        if copied && kind == Kind::Uniqued {
+        if copied && kind == Idempotency::Keyed {
             tracing::debug!(conn = conn.0, id = ?req.id, "a repeat from where the engine has known no req");
             self.tally.unfit += 1;
             self.connections
@@ -674,10 +676,10 @@
     /// Enters a req that repeats none in the table. Guards effects: the window opens when the try that runs reached
     /// the machine, and stamps may be odd, so it is taken to open now at the earliest. It does not rest on whether the
     /// decider still books an entry: of two tries that lay unread past a short window each would run.
-    fn keep(&mut self, now: Time, id: ReqId, key: Option<&IdempotencyKey>) {
+    fn keep(&mut self, now: Time, id: RequestId, key: Option<&IdempotencyKey>) {
         let Some(key) = key else { return };
         let HandlerId(handler) = key.0;
-        let uniqued = self.config.kinds[handler] == Kind::Uniqued;
+        let uniqued = self.config.kinds[handler] == Idempotency::Keyed;
         let until = uniqued.then(|| now + self.config.windows[handler] + SLACK);
         let tail = if uniqued {
             span_of_ms(self.config.longest)
@@ -739,7 +741,7 @@
 
     /// Runs of which nothing was heard since long after their clients gave up.
     fn forget_runs(&mut self, now: Time) {
-        let long = span_of_ms(self.config.longest).times(FORGOTTEN);
+        let long = span_of_ms(self.config.longest).scaled(FORGOTTEN);
         let lost = self
             .reqs
             .iter()
@@ -755,7 +757,7 @@
 
     /// Nothing was started for a req, since the engine does not know it: it leaves nothing for its repeats. Guards
     /// marks against clients that use them first: those that joined it are not errored for it.
-    fn never_started(&mut self, id: ReqId) -> Vec<ReqId> {
+    fn never_started(&mut self, id: RequestId) -> Vec<RequestId> {
         self.keys.release(id);
         let joined = self.reqs.iter_mut().filter(|(_, e)| !e.answered);
         joined
@@ -764,7 +766,7 @@
     }
 
     /// An open req whose first try was none comes anew, as it stands now: as the first try, or as a repeat of the next.
-    fn again(&mut self, now: Time, id: ReqId) {
+    fn again(&mut self, now: Time, id: RequestId) {
         let Some(entry) = self.reqs.get(&id) else {
             return;
         };
@@ -796,7 +798,13 @@
     }
 
     /// A run has ended: what is still owed goes out first, then the decider hears of it.
-    fn run_over(&mut self, now: Time, id: ReqId, end: RunEnd, output: Output) -> Option<Results> {
+    fn run_over(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        end: RunEnd,
+        output: Output,
+    ) -> Option<Results> {
         let entry = self.reqs.get_mut(&id).filter(|e| e.running)?;
         entry.running = false;
         self.works.forget(id);
@@ -825,7 +833,7 @@
     }
 
     /// Reqs that wait for the answer of `of` get it.
-    fn settle_joined(&mut self, now: Time, of: ReqId, result: Option<Rc<Output>>) {
+    fn settle_joined(&mut self, now: Time, of: RequestId, result: Option<Rc<Output>>) {
         let waiting = self
             .reqs
             .iter()
@@ -842,7 +850,7 @@
     }
 
     /// The final answer, once.
-    fn answer(&mut self, now: Time, id: ReqId, reply: Reply) {
+    fn answer(&mut self, now: Time, id: RequestId, reply: Reply) {
         let Some(entry) = self.reqs.get_mut(&id) else {
             return;
         };
@@ -980,12 +988,12 @@
     }
 
     /// A req that was answered before it ran leaves nothing for its repeats.
-    fn never_ran(&mut self, now: Time, id: ReqId) {
+    fn never_ran(&mut self, now: Time, id: RequestId) {
         self.keys.release(id);
         self.settle_joined(now, id, None);
     }
 
-    fn join(&mut self, now: Time, id: ReqId) {
+    fn join(&mut self, now: Time, id: RequestId) {
         let Some(entry) = self.reqs.get_mut(&id) else {
             return;
         };
--- a/crates/server/src/drain.rs
+++ b/crates/server/src/drain.rs
@@ -4,7 +4,7 @@
 use crate::sources::Sources;
 use async_channel::{Receiver, Sender};
 use async_signal::{Signal, Signals};
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use futures_lite::{FutureExt, StreamExt};
 use std::io;
 
@@ -98,7 +98,7 @@
     let Some(notice) = notice else {
         return Stage::Serving;
     };
-    let reached = |part: f64| now >= notice + left.times(part);
+    let reached = |part: f64| now >= notice + left.scaled(part);
     let stages = [
         (OVER_PART, Stage::Over),
         (END_PART, Stage::Ended),
--- a/crates/server/src/fetch.rs
+++ b/crates/server/src/fetch.rs
@@ -2,8 +2,8 @@
 use crate::client::{self, CallError, Pool};
 use crate::time::{ms, Clock};
 use crate::wire::{http, WireId};
-use cottondyke_decide::types::Time;
-use cottondyke_depend::{Dependency, Outcome, Stamp};
+use cottondyke_dependency::{Dependency, Outcome, Stamp};
+use cottondyke_types::Time;
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/crates/server/src/fleet/disk.rs
+++ b/crates/server/src/fleet/disk.rs
@@ -1,8 +1,8 @@
 //! The folder of an instance: its lock, the number of its life, and the registry's file with the thread that
 //! writes it.
 use async_channel::{Receiver, Sender};
-use cottondyke_registry::sqlite::Disk;
-use cottondyke_registry::{KeeperId, Saved, Write};
+use cottondyke_consensus::sqlite::Disk;
+use cottondyke_consensus::{KeeperId, Saved, Write};
 use std::fs::{File, TryLockError};
 use std::hash::{BuildHasher, Hasher};
 use std::io::{self, Write as _};
--- a/crates/server/src/fleet/look.rs
+++ b/crates/server/src/fleet/look.rs
@@ -1,6 +1,6 @@
 //! `cottondyke peers ADDR`: asks a running instance what it knows.
 use crate::wire::peers::{encode, Decoder};
-use cottondyke_fleet::{View, Word};
+use cottondyke_cluster::{View, Word};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! This instance among others, on sockets and a disk. What is decided is in `cottondyke_fleet`; here its effects
+//! This instance among others, on sockets and a disk. What is decided is in `cottondyke_cluster`; here its effects
 //! become words on links and writes, and its shares reach the gates. Without `peers(...)` nothing of it exists.
 mod disk;
 mod links;
@@ -7,12 +7,12 @@
 use crate::time::Clock;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use cottondyke_budget::{Defences, Holder, Terms, Usage};
-use cottondyke_decide::types::Time;
-use cottondyke_depend::{Lent, Plan, Use};
-use cottondyke_fleet::{Change, Effect, Instance, Setup};
-use cottondyke_operator::{budget_of, rate_of, Operator, Peers};
-use cottondyke_peers::MOST_DATAGRAM;
+use cottondyke_cluster::{Change, Effect, Instance, Setup};
+use cottondyke_dependency::{Lent, Plan, Use};
+use cottondyke_membership::MOST_DATAGRAM;
+use cottondyke_operator_config::{budget_of, rate_of, Operator, Peers};
+use cottondyke_quota::{Defences, Holder, Terms, Usage};
+use cottondyke_types::Time;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/crates/server/src/health.rs
+++ b/crates/server/src/health.rs
@@ -2,7 +2,7 @@
 use crate::input::ConnId;
 use crate::wire::engine::Tag;
 use crate::wire::sidecar::Stream;
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use std::collections::BTreeMap;
 
 /// A check waits this long for the engine's test, and is then answered as bad.
--- a/crates/server/src/input.rs
+++ b/crates/server/src/input.rs
@@ -7,8 +7,8 @@
 use crate::wire::engine::{Command, Notice};
 use crate::wire::sidecar::{Req, Stream};
 use async_channel::Sender;
-use cottondyke_decide::types::ReqId;
-use cottondyke_depend::{CallId, Outcome};
+use cottondyke_dependency::{CallId, Outcome};
+use cottondyke_types::RequestId;
 use std::net::SocketAddr;
 
 /// Inputs that may wait for the desk; past that their senders wait.
@@ -45,7 +45,7 @@
     },
     EngineDown(Vec<Command>),
     Notice(Notice),
-    Called(ReqId, CallNo, Result<Vec<u8>, CallError>),
+    Called(RequestId, CallNo, Result<Vec<u8>, CallError>),
     /// A call for a part of a page.
     Fetched(CallId, Outcome),
     Leave,
--- a/crates/server/src/keys.rs
+++ b/crates/server/src/keys.rs
@@ -2,12 +2,12 @@
 //! at which it came to the machine, however late it is read: so an entry outlives its dedup window by a tail, in
 //! which only tries that came within the window still find it.
 use crate::work::Output;
-use cottondyke_decide::types::{CustomerId, HandlerId, ReqId, Time};
+use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// What repeats have in common: their handler, their customer where that counts, and their mark.
-pub type IdempotencyKey = (HandlerId, Option<CustomerId>, Box<str>);
+pub type IdempotencyKey = (HandlerId, Option<TenantId>, Box<str>);
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
@@ -28,15 +28,15 @@
 
 #[derive(Debug, Default)]
 pub struct DedupTable {
-    by_key: BTreeMap<IdempotencyKey, ReqId>,
-    entries: BTreeMap<ReqId, Entry>,
-    ends: BTreeMap<(Time, ReqId), ()>,
+    by_key: BTreeMap<IdempotencyKey, RequestId>,
+    entries: BTreeMap<RequestId, Entry>,
+    ends: BTreeMap<(Time, RequestId), ()>,
     bytes: usize,
 }
 
 impl DedupTable {
     /// The entry that a req with this key, which came to the machine at `arrived`, repeats.
-    pub fn repeats(&mut self, now: Time, arrived: Time, key: &IdempotencyKey) -> Option<ReqId> {
+    pub fn repeats(&mut self, now: Time, arrived: Time, key: &IdempotencyKey) -> Option<RequestId> {
         self.expire(now);
         let id = self.by_key.get(key)?;
         let within = |e: &Entry| e.until.is_none_or(|until| arrived < until);
@@ -45,7 +45,7 @@
 
     /// Keeps a req's entry for what comes before `until`, or while it is open, and for `tail` longer for what of
     /// that is read late. The entry moves here from an older req.
-    pub fn keep(&mut self, id: ReqId, key: IdempotencyKey, until: Option<Time>, tail: Time) {
+    pub fn keep(&mut self, id: RequestId, key: IdempotencyKey, until: Option<Time>, tail: Time) {
         let outcome = self
             .entries
             .get(&id)
@@ -71,13 +71,13 @@
         }
     }
 
-    pub fn release(&mut self, id: ReqId) {
+    pub fn release(&mut self, id: RequestId) {
         if let Some(entry) = self.drop_entry(id) {
             self.by_key.remove(&entry.key);
         }
     }
 
-    fn drop_entry(&mut self, id: ReqId) -> Option<Entry> {
+    fn drop_entry(&mut self, id: RequestId) -> Option<Entry> {
         let entry = self.entries.remove(&id)?;
         if let Outcome::Done(Some(result)) = &entry.outcome {
             self.bytes -= result.size();
@@ -93,7 +93,7 @@
     pub fn ended(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         result: Option<Rc<Output>>,
         fresh: Time,
         most: usize,
@@ -126,11 +126,11 @@
         }
     }
 
-    pub fn outcome(&self, id: ReqId) -> Option<&Outcome> {
+    pub fn outcome(&self, id: RequestId) -> Option<&Outcome> {
         self.entries.get(&id).map(|e| &e.outcome)
     }
 
-    pub fn holds(&self, id: ReqId) -> bool {
+    pub fn holds(&self, id: RequestId) -> bool {
         self.entries.contains_key(&id)
     }
 
--- a/crates/server/src/run.rs
+++ b/crates/server/src/run.rs
@@ -3,7 +3,7 @@
 use crate::wire::engine::{Command, Decoder, Notice, NoticeNo, Tag};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use cottondyke_decide::types::{Time, SECOND};
+use cottondyke_types::{Time, SECOND};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::collections::VecDeque;
 use std::future::Future;
--- a/crates/server/src/sources.rs
+++ b/crates/server/src/sources.rs
@@ -2,7 +2,7 @@
 //! missing. The script is evaluated by another program under the system's limits, since no interpreter bounds what
 //! one step may take, and since this one would carry the interpreter's memory for ever.
 use crate::config::Config;
-use cottondyke_operator::{Operator, Wrong};
+use cottondyke_operator_config::{Operator, Wrong};
 use std::io::Read;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
--- a/crates/server/src/time.rs
+++ b/crates/server/src/time.rs
@@ -1,5 +1,5 @@
 //! The clocks: spans by the monotonic one, the time since a req came to the machine by the Unix one.
-use cottondyke_decide::types::Time;
+use cottondyke_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Keeps points in time before the start of the program positive.
@@ -36,7 +36,7 @@
 }
 
 pub fn ms(span: Time) -> f64 {
-    span.num() / 10.0
+    span.as_f64() / 10.0
 }
 
 /// How long ago `at` (Unix milliseconds) was, rounded up; none where the clocks differ.
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/wire/engine.rs
@@ -1,6 +1,6 @@
 //! Lines between the server and its engine.
 use super::{Malformed, Pending, WireId};
-use cottondyke_decide::types::RunEnd;
+use cottondyke_admission::types::RunEnd;
 use std::rc::Rc;
 
 const MOST_LINE: usize = 65_536;
--- a/crates/server/src/wire/peers.rs
+++ b/crates/server/src/wire/peers.rs
@@ -1,6 +1,6 @@
 //! Frames between instances: the head that sidecars' frames have (length, kind, stream), then one word.
 use super::{Malformed, Pending};
-use cottondyke_fleet::MOST_WORD;
+use cottondyke_cluster::MOST_WORD;
 
 const WORD: u8 = 7;
 const HEAD: usize = 4;
--- a/crates/server/src/wire/sidecar.rs
+++ b/crates/server/src/wire/sidecar.rs
@@ -1,7 +1,7 @@
 //! Frames between sidecars and the server.
 use super::{Malformed, Pending, WireId};
 use crate::work::Output;
-use cottondyke_decide::types::{CustomerId, HandlerId};
+use cottondyke_types::{HandlerId, TenantId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     pub stream: Stream,
     pub id: WireId,
     pub handler: HandlerId,
-    pub customer: Option<CustomerId>,
+    pub customer: Option<TenantId>,
     /// When it came to the machine, in Unix milliseconds.
     pub at: u64,
     pub retry: bool,
@@ -247,7 +247,7 @@
         stream,
         id: WireId::new(id).ok_or("id is not 16 hex digits")?,
         handler: HandlerId(handler),
-        customer: customer.map(CustomerId),
+        customer: customer.map(TenantId),
         at: at.parse().map_err(|_| "at is not a number")?,
         retry,
         wait,
--- a/crates/server/src/work/engine.rs
+++ b/crates/server/src/work/engine.rs
@@ -9,7 +9,8 @@
 use crate::wire::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_decide::types::{ReqId, RunEnd, Time, SECOND};
+use cottondyke_admission::types::RunEnd;
+use cottondyke_types::{RequestId, Time, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -53,8 +54,8 @@
 
 pub struct Runs {
     link: Engine,
-    runs: BTreeMap<ReqId, Run>,
-    by_wire: BTreeMap<WireId, ReqId>,
+    runs: BTreeMap<RequestId, Run>,
+    by_wire: BTreeMap<WireId, RequestId>,
     /// The gauge of the cores among those that the engine reads out.
     busy: Option<usize>,
     /// Gauges that the desk asked for.
@@ -92,7 +93,7 @@
         }
     }
 
-    pub fn start(&mut self, id: ReqId, job: &Job, class: Rc<str>, replayable: bool) {
+    pub fn start(&mut self, id: RequestId, job: &Job, class: Rc<str>, replayable: bool) {
         let run = Run {
             wire: job.wire,
             class,
@@ -110,21 +111,21 @@
     }
 
     /// Asks for the run's end, which comes as an event once the engine has carried it out.
-    pub fn stop(&mut self, id: ReqId) {
+    pub fn stop(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get(&id) {
             self.link.send(Command::Halt(run.wire));
         }
     }
 
     /// Nobody waits for the run any longer: its call in hand is given up.
-    pub fn unwanted(&mut self, id: ReqId) {
+    pub fn unwanted(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get_mut(&id) {
             (run.wanted, run.call) = (false, None);
         }
     }
 
     /// The run is over, or taken to be.
-    pub fn forget(&mut self, id: ReqId) {
+    pub fn forget(&mut self, id: RequestId) {
         if let Some(run) = self.runs.remove(&id) {
             self.by_wire.remove(&run.wire);
         }
@@ -180,7 +181,7 @@
         }
     }
 
-    fn run_of(&mut self, wire: WireId) -> Option<(ReqId, &mut Run)> {
+    fn run_of(&mut self, wire: WireId) -> Option<(RequestId, &mut Run)> {
         let id = *self.by_wire.get(&wire)?;
         self.runs.get_mut(&id).map(|run| (id, run))
     }
@@ -250,7 +251,7 @@
     }
 
     /// Makes the call that the run waits for, for `cap` at the most.
-    pub fn call(&mut self, id: ReqId, cap: Time) {
+    pub fn call(&mut self, id: RequestId, cap: Time) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -272,7 +273,7 @@
     pub fn called(
         &mut self,
         now: Time,
-        id: ReqId,
+        id: RequestId,
         no: CallNo,
         result: Result<Vec<u8>, CallError>,
     ) -> Option<Event> {
@@ -284,7 +285,7 @@
                 let feed = Command::Feed(run.wire, reply);
                 (run.need, run.told) = (None, Some((now, feed.clone())));
                 self.link.send(feed);
-                cottondyke_decide::types::CallEnd::Done
+                cottondyke_admission::types::CallEnd::Done
             }
             Err(error) => {
                 tracing::debug!(?error, id = ?run.wire, "a call failed");
@@ -299,7 +300,7 @@
     }
 
     /// The run goes on without its call.
-    pub fn skip(&mut self, now: Time, id: ReqId) {
+    pub fn skip(&mut self, now: Time, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
--- a/crates/server/src/work/mod.rs
+++ b/crates/server/src/work/mod.rs
@@ -2,7 +2,8 @@
 //! `Event::Ended`; it knows nothing of connections, and the decider hears of it by the desk alone.
 pub mod engine;
 pub mod pages;
-use cottondyke_decide::types::{CallEnd, CustomerId, Kind, ReqId, RunEnd, Time};
+use cottondyke_admission::types::{CallEnd, RunEnd};
+use cottondyke_types::{Idempotency, RequestId, TenantId, Time};
 use std::rc::Rc;
 
 /// What a run brought.
@@ -31,8 +32,8 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     pub wire: crate::wire::WireId,
-    pub handler: cottondyke_decide::types::HandlerId,
-    pub customer: Option<CustomerId>,
+    pub handler: cottondyke_types::HandlerId,
+    pub customer: Option<TenantId>,
     pub body: Rc<[u8]>,
     /// The end of its response target, and the time by which it must be answered.
     pub target: Time,
@@ -43,11 +44,11 @@
 #[derive(Debug)]
 pub enum Event {
     /// The run shows that it goes on.
-    Lives(ReqId),
-    Ended(ReqId, RunEnd, Output),
+    Lives(RequestId),
+    Ended(RequestId, RunEnd, Output),
     /// The run needs a call that the decider lets out.
-    CallWanted(ReqId),
-    CallEnded(ReqId, CallEnd),
+    CallWanted(RequestId),
+    CallEnded(RequestId, CallEnd),
     /// The part of the cores in use, asked for by the desk.
     Gauges(Option<f64>),
     /// A test that the desk asked for.
@@ -62,7 +63,7 @@
     /// None without an operator's file.
     pub pages: Option<pages::Runs>,
     classes: Vec<Rc<str>>,
-    kinds: Vec<Kind>,
+    kinds: Vec<Idempotency>,
 }
 
 impl Works {
@@ -71,7 +72,7 @@
         engine: Option<engine::Runs>,
         pages: Option<pages::Runs>,
         classes: Vec<Rc<str>>,
-        kinds: Vec<Kind>,
+        kinds: Vec<Idempotency>,
     ) -> Self {
         Works {
             engine,
@@ -91,9 +92,9 @@
         self.engine.as_ref().is_none_or(engine::Runs::is_up)
     }
 
-    pub fn start(&mut self, now: Time, id: ReqId, job: &Job) -> Vec<Event> {
+    pub fn start(&mut self, now: Time, id: RequestId, job: &Job) -> Vec<Event> {
         let (place, ready) = (job.handler.0, self.ready());
-        let replayable = self.kinds[place] == Kind::Replayable;
+        let replayable = self.kinds[place] == Idempotency::Idempotent;
         match (&mut self.pages, &mut self.engine) {
             // What starts before the first hello starts anew with it.
             (Some(pages), _) if pages.has(place) && !ready => {}
@@ -105,7 +106,7 @@
     }
 
     /// Asks for a run's end.
-    pub fn stop(&mut self, now: Time, id: ReqId) -> Vec<Event> {
+    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Event> {
         if let Some(engine) = &mut self.engine {
             engine.stop(id);
         }
@@ -115,14 +116,14 @@
     }
 
     /// Nobody waits for the run any longer. Pages end by themselves when they are due.
-    pub fn unwanted(&mut self, id: ReqId) {
+    pub fn unwanted(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
             engine.unwanted(id);
         }
     }
 
     /// The run is over for the desk.
-    pub fn forget(&mut self, id: ReqId) {
+    pub fn forget(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
             engine.forget(id);
         }
--- a/crates/server/src/work/pages.rs
+++ b/crates/server/src/work/pages.rs
@@ -1,4 +1,4 @@
-//! Pages composed by the program. What is decided of them is in `cottondyke_depend`; here its actions become
+//! Pages composed by the program. What is decided of them is in `cottondyke_dependency`; here its actions become
 //! tasks, and answers become bytes.
 use super::{Event, Job, Output};
 use crate::client::Pool;
@@ -9,10 +9,11 @@
 use crate::wire::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_decide::types::{ReqId, RunEnd, Time};
-use cottondyke_depend::breaker::Stage;
-use cottondyke_depend::gate::Sums;
-use cottondyke_depend::{Action, Answer, CallId, Outcome, Pages, PartEnd, Plan, Start, State};
+use cottondyke_admission::types::RunEnd;
+use cottondyke_dependency::breaker::Stage;
+use cottondyke_dependency::gate::Sums;
+use cottondyke_dependency::{Action, Answer, CallId, Outcome, Pages, PartEnd, Plan, Start, State};
+use cottondyke_types::{RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -20,7 +21,7 @@
     pages: Pages,
     /// The page of each handler that has one.
     by_handler: Vec<Option<usize>>,
-    wires: BTreeMap<ReqId, WireId>,
+    wires: BTreeMap<RequestId, WireId>,
     calls: BTreeMap<CallId, Task<()>>,
     /// Calls that nobody waits for, listened to until then.
     listening: BTreeSet<(Time, CallId)>,
@@ -85,7 +86,7 @@
         self.by_handler.get(handler).is_some_and(Option::is_some)
     }
 
-    pub fn start(&mut self, now: Time, id: ReqId, job: &Job, may_repeat: bool) -> Vec<Event> {
+    pub fn start(&mut self, now: Time, id: RequestId, job: &Job, may_repeat: bool) -> Vec<Event> {
         let Some(page) = self.by_handler.get(job.handler.0).copied().flatten() else {
             return vec![Event::Ended(id, RunEnd::Errored, Output::default())];
         };
@@ -109,7 +110,7 @@
         self.carry(now, actions)
     }
 
-    pub fn stop(&mut self, now: Time, id: ReqId) -> Vec<Event> {
+    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Event> {
         let actions = self.pages.stop(now, id);
         self.carry(now, actions)
     }
--- a/crates/server/tests/accept.rs
+++ b/crates/server/tests/accept.rs
@@ -5,7 +5,7 @@
 use cottondyke::input::{ConnId, Input};
 use cottondyke::intake::Front;
 use cottondyke::room::Room;
-use cottondyke_standin::peers::PATIENCE;
+use cottondyke_test_support::peers::PATIENCE;
 use futures_lite::future;
 use std::net::TcpListener;
 use std::rc::Rc;
--- a/crates/server/tests/closing.rs
+++ b/crates/server/tests/closing.rs
@@ -8,7 +8,7 @@
 use cottondyke::intake::{self, Front};
 use cottondyke::room::Room;
 use cottondyke::wire::sidecar::Names;
-use cottondyke_standin::peers::{frame, payload, unix_ms, Sidecar, PATIENCE};
+use cottondyke_test_support::peers::{frame, payload, unix_ms, Sidecar, PATIENCE};
 use futures_lite::{future, AsyncReadExt};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use rustix::net::{connect, socket, AddressFamily, SocketType};
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -3,7 +3,7 @@
 //! The evaluator `cottondyke-script` must lie beside the program: `cargo build -p cottondyke-script`.
 use cottondyke::fleet::look::shown;
 use cottondyke::wire::peers::encode;
-use cottondyke_fleet::{View, Word};
+use cottondyke_cluster::{View, Word};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpListener;
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -2,8 +2,8 @@
 use async_executor::LocalExecutor;
 use cottondyke::fleet::{self, look::look};
 use cottondyke::time::Clock;
-use cottondyke_fleet::View;
-use cottondyke_operator::{Operator, Peers};
+use cottondyke_cluster::View;
+use cottondyke_operator_config::{Operator, Peers};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -6,7 +6,7 @@
 use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
 use cottondyke::wire::{http, peers, Malformed, Pending, WireId};
 use cottondyke::work::Output;
-use cottondyke_decide::types::RunEnd;
+use cottondyke_admission::types::RunEnd;
 use std::rc::Rc;
 
 const ID: &str = "9b1f03aa5c7e2d41";
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/leaving.rs
@@ -10,7 +10,8 @@
 use cottondyke::wire::engine::{Command, Notice, NoticeNo};
 use cottondyke::wire::sidecar::{Req, Stream};
 use cottondyke::wire::WireId;
-use cottondyke_decide::types::{HandlerId, RunEnd};
+use cottondyke_admission::types::RunEnd;
+use cottondyke_types::HandlerId;
 use futures_lite::{future, FutureExt};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -101,7 +102,7 @@
 
     fn ask(&self, conn: u64, stream: u32) {
         let id = WireId::new(&format!("{stream:016x}")).unwrap();
-        let at = cottondyke_standin::peers::unix_ms();
+        let at = cottondyke_test_support::peers::unix_ms();
         let req = Req {
             stream: Stream(stream),
             id,
--- a/crates/server/tests/serve/calls.rs
+++ b/crates/server/tests/serve/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the records service.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use std::io::{Read, Write};
 
 /// A run that waits for its call.
--- a/crates/server/tests/serve/conns.rs
+++ b/crates/server/tests/serve/conns.rs
@@ -1,6 +1,6 @@
 //! Connections of sidecars that are slow, rude, idle or too many.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::json;
 use std::io::Write;
 
--- a/crates/server/tests/serve/crossings.rs
+++ b/crates/server/tests/serve/crossings.rs
@@ -1,6 +1,6 @@
 //! Moments where two events cross, forced to come in the bad order each time.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Write};
 use std::time::{Duration, Instant};
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -1,6 +1,6 @@
 //! The engine's link: late, broken, odd.
 use crate::rig::*;
-use cottondyke_standin::peers::{unix_ms, Service};
+use cottondyke_test_support::peers::{unix_ms, Service};
 use std::io::Write;
 
 /// Guards checks and due times against an engine that has not come up: both are answered all the same.
--- a/crates/server/tests/serve/pages.rs
+++ b/crates/server/tests/serve/pages.rs
@@ -1,6 +1,6 @@
 //! Pages composed from dependencies, by the program on its own.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpListener;
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -1,6 +1,6 @@
 //! The configuration read anew on SIGHUP.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::json;
 use std::net::TcpListener;
 
--- a/crates/server/tests/serve/reqs.rs
+++ b/crates/server/tests/serve/reqs.rs
@@ -1,6 +1,6 @@
 //! From a req to its one final answer.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use std::io::Write;
 
 /// Guards bodies and results against any change on their way, line ends and NULs included.
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -1,6 +1,6 @@
 //! Processes that restart all at once, and a process whose descriptors are taken by clients that rest.
 use crate::rig::*;
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::json;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -1,5 +1,5 @@
 //! The real binary on loopback, with stand-ins whose ports the system picks.
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::peers::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -13,8 +13,9 @@
 use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
 use cottondyke::wire::WireId;
 use cottondyke::work::Output;
-use cottondyke_decide::types::{CustomerId, HandlerId, ReqId, RunEnd, Time};
-use cottondyke_standin::peers::{frame, payload};
+use cottondyke_admission::types::RunEnd;
+use cottondyke_test_support::peers::{frame, payload};
+use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use quickcheck::{quickcheck, TestResult};
 use std::fmt::Debug;
 use std::rc::Rc;
@@ -116,7 +117,7 @@
     };
     assert_eq!(
         (req.handler, req.customer, req.retry),
-        (HandlerId(1), Some(CustomerId(0)), true)
+        (HandlerId(1), Some(TenantId(0)), true)
     );
     assert_eq!(
         (req.at, req.hint, req.kb, req.body.as_slice()),
@@ -354,7 +355,7 @@
         let mut keys = DedupTable::default();
         let key = |n: usize| (HandlerId(0), None, n.to_string().into_boxed_str());
         for (n, span) in spans.iter().enumerate() {
-            keys.keep(ReqId(n as u32), key(n), Some(Time(i64::from(*span))), Time(0));
+            keys.keep(RequestId(n as u32), key(n), Some(Time(i64::from(*span))), Time(0));
         }
         (0..=255).all(|now| spans.iter().enumerate().all(|(n, span)| {
             keys.repeats(Time(now), Time(now), &key(n)).is_some() == (i64::from(*span) > now)
@@ -368,7 +369,7 @@
         let arrived = read - i64::from(lay % 600).min(read);
         let mut keys = DedupTable::default();
         let key = (HandlerId(0), None, "mark".into());
-        keys.keep(ReqId(1), key.clone(), Some(Time(span)), Time(tail));
+        keys.keep(RequestId(1), key.clone(), Some(Time(span)), Time(tail));
         let found = keys.repeats(Time(read), Time(arrived), &key).is_some();
         found == (arrived < span && read < span + tail)
     }
@@ -381,14 +382,20 @@
     let result = Rc::new(Output::whole(vec![0; 1 << 20]));
     for n in 0..40 {
         keys.keep(
-            ReqId(n),
+            RequestId(n),
             (HandlerId(0), None, n.to_string().into()),
             Some(Time(1_000)),
             Time(0),
         );
-        keys.ended(Time(0), ReqId(n), Some(result.clone()), Time(0), 16 << 20);
+        keys.ended(
+            Time(0),
+            RequestId(n),
+            Some(result.clone()),
+            Time(0),
+            16 << 20,
+        );
     }
-    let held = |n| matches!(keys.outcome(ReqId(n)), Some(Outcome::Done(Some(_))));
+    let held = |n| matches!(keys.outcome(RequestId(n)), Some(Outcome::Done(Some(_))));
     assert_eq!(
         (0..40).filter(|n| held(*n)).collect::<Vec<_>>(),
         (24..40).collect::<Vec<_>>()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! From the start-up settings of an instance to a decider: each part is handed its own few. The adapter and
 //! the server both build theirs here.
-use cottondyke_decide::policy::*;
-use cottondyke_decide::types::*;
+use cottondyke_admission::policy::*;
+use cottondyke_admission::types::*;
 use serde_json::Value;
 
 /// What is wrong, in words that name the place.
@@ -85,17 +85,17 @@
     }
 }
 
-fn kind(class: &Value) -> Result<Kind, Wrong> {
+fn kind(class: &Value) -> Result<Idempotency, Wrong> {
     match text(class, "effect")? {
-        "repeatable" => Ok(Kind::Replayable),
-        "by_key" => Ok(Kind::Uniqued),
-        "once" => Ok(Kind::NonReplayable),
+        "repeatable" => Ok(Idempotency::Idempotent),
+        "by_key" => Ok(Idempotency::Keyed),
+        "once" => Ok(Idempotency::NonIdempotent),
         other => Err(format!("unknown effect {other}")),
     }
 }
 
 /// The kind of each handler.
-pub fn kinds(conf: &Value) -> Result<Vec<Kind>, Wrong> {
+pub fn kinds(conf: &Value) -> Result<Vec<Idempotency>, Wrong> {
     list(conf, "classes").iter().map(kind).collect()
 }
 
--- a/examples/toy/main.rs
+++ b/examples/demo_platform/main.rs
@@ -1,8 +1,8 @@
 //! A toy for trying the server: `toy` stands in for engine, records service and control plane, `toy send TEXT`
 //! sends one req as a sidecar would; addresses are those of `examples/config.json`. `toy shop [FAULT]` stands in for
 //! the dependencies of `examples/pages/shop.star`, the prices with a fault, and `toy browse TEXT` asks for its page.
-use cottondyke_standin::dependency::{Dependency, Fault, Shape};
-use cottondyke_standin::peers::*;
+use cottondyke_test_support::dependency::{Dependency, Fault, Shape};
+use cottondyke_test_support::peers::*;
 use std::io;
 use std::net::TcpListener;
 use std::thread;
