--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,6 +1,6 @@
 //! From the wire's values to the decider's.
 use cottondyke_admission::types::*;
-use cottondyke_settings::{maybe_number, number, present, text, whole, Places, Wrong};
+use cottondyke_settings::{maybe_number, number, present, text, whole, WireNames, Wrong};
 use serde_json::Value;
 
 /// Whole tenths, rounded down: no due time is lengthened.
@@ -45,53 +45,53 @@
     Ok(Arrival {
         id: req(event)?,
         handler: HandlerId(handler),
-        customer: present(event, "client_group")
+        tenant: present(event, "client_group")
             .and_then(Value::as_u64)
             .map(|n| TenantId(n as usize)),
         caller: present(event, "by").and_then(Value::as_u64).map(CallerId),
-        hint: hint.map(tenths),
-        retry: flags & 2 != 0,
-        repeats: repeats
+        cost_hint: hint.map(tenths),
+        is_retry: flags & 2 != 0,
+        duplicate_of: repeats
             .map(|n| id(n, "same_as"))
             .transpose()?
             .map(RequestId),
-        kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
-        lay,
-        unread: lay,
-        wait: maybe_number(event, "grace_ms")?
+        memory_kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
+        queueing_delay: lay,
+        observed_delay: lay,
+        client_wait: maybe_number(event, "grace_ms")?
             .filter(|ms| *ms > 0.0)
             .map(tenths),
     })
 }
 
-pub fn run_end(event: &Value) -> Result<RunEnd, Wrong> {
+pub fn run_end(event: &Value) -> Result<RunOutcome, Wrong> {
     match text(event, "ending")? {
-        "delivered" => Ok(RunEnd::Done),
-        "app_error" => Ok(RunEnd::Errored),
-        "revoked" => Ok(RunEnd::Stopped),
-        "unused" => Ok(RunEnd::Void),
+        "delivered" => Ok(RunOutcome::Completed),
+        "app_error" => Ok(RunOutcome::Failed),
+        "revoked" => Ok(RunOutcome::Cancelled),
+        "unused" => Ok(RunOutcome::NotStarted),
         other => Err(format!("unknown ending {other} of a run")),
     }
 }
 
-pub fn call_end(event: &Value) -> Result<CallEnd, Wrong> {
+pub fn call_end(event: &Value) -> Result<CallOutcome, Wrong> {
     match text(event, "ending")? {
-        "delivered" => Ok(CallEnd::Done),
-        "shed" | "dial_failed" | "unused" => Ok(CallEnd::NeverRan),
-        "app_error" => Ok(CallEnd::Spoilt),
-        "expired" | "dropped" | "revoked" => Ok(CallEnd::Unknown),
+        "delivered" => Ok(CallOutcome::Completed),
+        "shed" | "dial_failed" | "unused" => Ok(CallOutcome::NotExecuted),
+        "app_error" => Ok(CallOutcome::Failed),
+        "expired" | "dropped" | "revoked" => Ok(CallOutcome::Indeterminate),
         other => Err(format!("unknown ending {other} of a call")),
     }
 }
 
-pub fn gauges(event: &Value, places: &Places) -> Result<Gauges, Wrong> {
+pub fn gauges(event: &Value, names: &WireNames) -> Result<LoadSample, Wrong> {
     let row = event
         .get("usage")
         .and_then(Value::as_array)
         .ok_or("usage is missing or not a row")?;
     let at = |place: Option<usize>| row.get(place?).and_then(Value::as_f64);
-    Ok(Gauges {
-        busy: at(places.busy),
-        runnable: at(places.runnable),
+    Ok(LoadSample {
+        cpu_utilization: at(names.cpu_utilization_column),
+        runnable_tasks: at(names.runnable_tasks_column),
     })
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,20 +3,20 @@
 mod decode;
 mod encode;
 
-use cottondyke_admission::policy::Decider;
-use cottondyke_admission::types::{Results, Time};
-use cottondyke_settings::{self as settings, Places, Wrong};
+use cottondyke_admission::policy::AdmissionController;
+use cottondyke_admission::types::{Actions, Time};
+use cottondyke_settings::{self as settings, WireNames, Wrong};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
-type Instances = BTreeMap<String, (Decider, Places)>;
+type Instances = BTreeMap<String, (AdmissionController, WireNames)>;
 
 fn event(
     instances: &mut Instances,
     now: Time,
     event: &Value,
-) -> Result<Option<(String, Results)>, Wrong> {
+) -> Result<Option<(String, Actions)>, Wrong> {
     let who = settings::text(event, "who")?;
     let word = settings::text(event, "cmd")?;
     let results = match word {
@@ -25,9 +25,10 @@
                 .get("conf")
                 .filter(|c| c.is_object())
                 .ok_or("Create without its settings (conf)")?;
-            let mut decider = settings::decider(now, settings::whole(event, "salt")?, conf)?;
-            let results = decider.wake(now, Default::default());
-            instances.insert(who.to_string(), (decider, settings::places(conf)));
+            let mut controller =
+                settings::admission_controller(now, settings::whole(event, "salt")?, conf)?;
+            let results = controller.tick(now, Default::default());
+            instances.insert(who.to_string(), (controller, settings::wire_names(conf)));
             results
         }
         "Destroy" => {
@@ -36,18 +37,20 @@
         }
         _ => {
             let running = instances.get_mut(who);
-            let (decider, places) =
+            let (controller, wire_names) =
                 running.ok_or_else(|| format!("{word} for {who}, which is not running"))?;
             match word {
-                "Incoming" => decider.arrival(now, decode::arrival(event, places.handlers.len())?),
-                "Ended" => decider.run_ended(now, decode::req(event)?, decode::run_end(event)?),
-                "NeedsDep" => decider.call_wanted(now, decode::req(event)?),
+                "Incoming" => {
+                    controller.arrival(now, decode::arrival(event, wire_names.handlers.len())?)
+                }
+                "Ended" => controller.run_ended(now, decode::req(event)?, decode::run_end(event)?),
+                "NeedsDep" => controller.call_wanted(now, decode::req(event)?),
                 "CallResult" => {
-                    decider.call_ended(now, decode::req(event)?, decode::call_end(event)?)
+                    controller.call_ended(now, decode::req(event)?, decode::call_end(event)?)
                 }
-                "Abandoned" => decider.caller_gone(now, decode::req(event)?),
-                "Leaving" => decider.leaving(now, decode::span(event, "grace_ms")?),
-                "Wake" => decider.wake(now, decode::gauges(event, places)?),
+                "Abandoned" => controller.caller_gone(now, decode::req(event)?),
+                "Leaving" => controller.drain(now, decode::span(event, "grace_ms")?),
+                "Wake" => controller.tick(now, decode::gauges(event, wire_names)?),
                 _ => return Err(format!("unknown event {word}")),
             }
         }
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,5 +1,5 @@
 //! The decisions of one server. Invocation: build the parts from the start-up settings, join them with
-//! `Decider::new`, call `wake` once, then one method for each input; each returns a `Results` (types.rs).
+//! `AdmissionController::new`, call `wake` once, then one method for each input; each returns a `Actions` (types.rs).
 //! After every input the rules in `RULES` are gone through in order until none fires.
 //! docs/design.md tells what follows SERT, what departs from it, and when each departure acts.
 use crate::types::*;
@@ -51,12 +51,12 @@
 const GAPS: usize = 10; // bins of the gaps between a caller's reqs, each twice as wide as the one before
 const FEW: f64 = 256.0; // connections that any server bears: where no more callers are, all stay open
 const MID_BIN: f64 = 0.75; // of a bin's edge, its middle
-const DEAR_PART: f64 = 0.15; // of the time callers leave connections idle: price of a new connection
+const DEAR_PART: f64 = 0.15; // of the time callers leave connections idle, for which a kept one costs a new one
 
 type Sums<const K: usize> = SlidingWindow<K, SLOTS>;
 
 /// What reqs are worth, from the goal's weights and what was won lately.
-pub struct Hold {
+pub struct PriorityWeights {
     handlers: Vec<Handler>,
     quotas: Vec<f64>, // reqs here inside each customer's share, over the rings' span
     shortest: Time,   // response target
@@ -67,7 +67,7 @@
     by_customer: Vec<Sums<4>>, // the same
 }
 
-impl Hold {
+impl PriorityWeights {
     /// `quotas`: reqs a second inside each customer's share, over a fleet of `fleet` servers; `weights`: of
     /// the whole, the worst handler and the worst customer.
     pub fn new(
@@ -79,12 +79,12 @@
         let quotas = quotas.iter().map(|q| q / fleet.max(1.0) * span.as_f64() / SECOND.as_f64()).collect();
         let shortest = handlers.iter().map(|h| h.response_target).min().unwrap_or(Time(1));
         let handlers = handlers.to_vec();
-        Hold { handlers, quotas, shortest, over_share, by_work, weights, by_handler, by_customer }
+        PriorityWeights { handlers, quotas, shortest, over_share, by_work, weights, by_handler, by_customer }
     }
 
-    fn count(&mut self, now: Time, req: &Req, won: usize, part: f64) {
+    fn count(&mut self, now: Time, req: &RequestRecord, won: usize, part: f64) {
         let worth = self.handlers[req.handler()].value * part * if self.by_work { req.base } else { 1.0 };
-        let of_customer = req.new.customer.and_then(|c| self.by_customer.get_mut(c.0));
+        let of_customer = req.arrival.tenant.and_then(|c| self.by_customer.get_mut(c.0));
         for ring in of_customer.into_iter().chain([&mut self.by_handler[req.handler()]]) {
             ring.add(now, won, worth);
             ring.add(now, 2 + won, 1.0);
@@ -125,7 +125,7 @@
 }
 
 /// How many reqs run.
-pub struct Pool {
+pub struct ConcurrencyLimit {
     cores: f64,
     factor: f64,
     first: f64, // part of its speed at which a cold server starts
@@ -137,12 +137,12 @@
     seen: Option<f64>, // what the cores' gauge counted on them, and starts since
 }
 
-impl Pool {
+impl ConcurrencyLimit {
     /// `factor`: reqs a core that a warm server survives; a cold one starts at `first` of its speed.
     pub fn new(now: Time, cores: usize, factor: f64, first: f64, warm: Time) -> Self {
         let cores = cores.max(1) as f64;
         let (size, busy) = (cores, 0.0);
-        Pool { cores, factor, first, warm, born: now, size, busy, filled: now, seen: None }
+        ConcurrencyLimit { cores, factor, first, warm, born: now, size, busy, filled: now, seen: None }
     }
 
     /// The part of its full speed that a cold server has surely reached.
@@ -164,9 +164,9 @@
 
     /// The pool is the smallest that keeps the cores busy: more only slow each other. It grows after it was
     /// full for longer than the gauge looks back: idle cores then show waits on disk, not runs just started.
-    fn learn(&mut self, now: Time, gauges: Gauges, waiting: bool, on_core: usize, target: Time) {
-        self.busy = gauges.busy.unwrap_or(on_core as f64 / self.cores);
-        self.seen = gauges.runnable;
+    fn learn(&mut self, now: Time, sample: LoadSample, waiting: bool, on_core: usize, target: Time) {
+        self.busy = sample.cpu_utilization.unwrap_or(on_core as f64 / self.cores);
+        self.seen = sample.runnable_tasks;
         self.filled = if waiting && on_core as f64 > self.size - 1.0 { self.filled } else { now };
         let idle = POOL_STEP * FULL_USE / self.busy.max(FLOOR_PART);
         let grow = if now - self.filled >= target.scaled(LOOK_BACK) { idle } else { 0.0 };
@@ -176,17 +176,17 @@
 }
 
 /// SERT's threshold between a learned floor and the client timeout.
-pub struct Threshold {
-    halting: Halting,
+pub struct TerminationThreshold {
+    halting: Cancellation,
     loss: Sums<3>,                 // arrived, refused, terminated
     runs: Vec<(Time, Sums<BINS>)>, // client timeout, run times as parts of it
 }
 
-impl Threshold {
-    pub fn new(interval: Time, halting: Halting, handlers: &[Handler]) -> Self {
+impl TerminationThreshold {
+    pub fn new(interval: Time, halting: Cancellation, handlers: &[Handler]) -> Self {
         let ring = |h: &Handler| (h.client_timeout, SlidingWindow::new(h.client_timeout.scaled(RUNS_SPAN)));
         let runs = handlers.iter().map(ring).collect();
-        Threshold { halting, loss: SlidingWindow::new(interval), runs }
+        TerminationThreshold { halting, loss: SlidingWindow::new(interval), runs }
     }
 
     fn count_run(&mut self, now: Time, handler: usize, time: Time) {
@@ -209,7 +209,7 @@
 }
 
 /// What reqs cost here: time on a core of its own, learned against the hint for each handler.
-pub struct Costs {
+pub struct CostEstimator {
     clock: f64, // time that each req on the cores has had of a core
     last: Time,
     work: Vec<[f64; 2]>, // running sums: core time, hinted work
@@ -218,35 +218,35 @@
     strain: f64,
 }
 
-impl Costs {
+impl CostEstimator {
     /// `first`: the part of its speed that a cold server starts at.
     pub fn new(now: Time, handlers: &[Handler], first: f64) -> Self {
         let base = |h: &Handler| h.response_target.as_f64() * FIRST_COST;
         let work = handlers.iter().map(|h| [base(h) / first.max(FLOOR_PART), base(h)]).collect();
-        let calls = handlers.iter().map(|h| f64::from(h.calls)).collect();
-        Costs { clock: 0.0, last: now, work, away: vec![0.0; handlers.len()], calls, strain: 1.0 }
+        let calls = handlers.iter().map(|h| f64::from(h.makes_calls)).collect();
+        CostEstimator { clock: 0.0, last: now, work, away: vec![0.0; handlers.len()], calls, strain: 1.0 }
     }
 
-    fn usual(&self, req: &Req) -> f64 {
+    fn usual(&self, req: &RequestRecord) -> f64 {
         let [spent, base] = self.work[req.handler()];
         req.base * spent / base.max(1.0)
     }
 
-    fn of(&self, req: &Req) -> f64 {
+    fn of(&self, req: &RequestRecord) -> f64 {
         self.usual(req) * self.strain
     }
 
-    fn spent(&self, req: &Req) -> f64 {
-        req.spent + if req.phase == Phase::OnCore { self.clock - req.clock } else { 0.0 }
+    fn spent(&self, req: &RequestRecord) -> f64 {
+        req.spent + if req.phase == Phase::Running { self.clock - req.clock } else { 0.0 }
     }
 
-    fn left(&self, req: &Req) -> f64 {
+    fn left(&self, req: &RequestRecord) -> f64 {
         let whole = self.of(req);
         (whole - self.spent(req)).max(whole * LEAST_LEFT)
     }
 
     /// What a run spent off the cores is learned as time away: calls, and disk waits that no event tells.
-    fn learn(&mut self, now: Time, req: &Req, ended: bool) {
+    fn learn(&mut self, now: Time, req: &RequestRecord, ended: bool) {
         let spent = self.spent(req);
         if ended || spent > self.usual(req) {
             let sums = &mut self.work[req.handler()];
@@ -261,7 +261,7 @@
 }
 
 /// Calls to what is below.
-pub struct Calls {
+pub struct CallLimiter {
     share: Option<f64>,
     window: f64,
     linger: Time,
@@ -276,7 +276,7 @@
     lately: f64, // the same of late
 }
 
-impl Calls {
+impl CallLimiter {
     /// `share`: the mean number in hand over `window` that is ours, where told; `linger`: how long an
     /// abandoned call stays.
     pub fn new(share: Option<f64>, window: Time, linger: Time, cores: usize) -> Self {
@@ -286,7 +286,7 @@
         let alone = share.filter(|s| s * GUARD_PART < 1.0);
         let most = alone.map_or(cores * MOST_CALLS, |s| s.min(1.0));
         let (limit, alone, rested, usual, lately) = (most, alone.is_some(), Time(0), 0.0, 0.0);
-        Calls { share, window, linger, held, lingering, limit, most, alone, rested, cores, usual, lately }
+        CallLimiter { share, window, linger, held, lingering, limit, most, alone, rested, cores, usual, lately }
     }
 
     /// How long one call may be in hand so that the share holds over the window, however long it takes: a
@@ -327,12 +327,12 @@
     /// Fewer calls when they fail or are slow, more as they end well. What refuses is probed with one call at
     /// a time; a tier that does not answer, whose machines fail one by one, with one a core. What all share
     /// is crowded by all together, by one call each if they are many: there the limit goes under one.
-    fn ended(&mut self, now: Time, time: Time, end: CallEnd) {
+    fn ended(&mut self, now: Time, time: Time, end: CallOutcome) {
         let slow = if self.alone { STRAINED } else { PATIENCE };
-        let well = end == CallEnd::Done && (self.usual == 0.0 || time.as_f64() <= slow * self.usual);
+        let well = end == CallOutcome::Completed && (self.usual == 0.0 || time.as_f64() <= slow * self.usual);
         self.usual += (time.as_f64() - self.usual) * if self.usual > 0.0 { WEIGHT * WEIGHT } else { 1.0 };
         self.lately += (time.as_f64() - self.lately) * if self.lately > 0.0 { LATELY } else { 1.0 };
-        let probe = if end == CallEnd::NeverRan { 1.0 } else { self.cores.min(self.limit) };
+        let probe = if end == CallOutcome::NotExecuted { 1.0 } else { self.cores.min(self.limit) };
         let least = self.share.map_or(probe, |s| if self.alone { s * LEAST_CALLS } else { 1.0 });
         let room = 1.0 - time.as_f64() / (slow * self.usual).max(1.0);
         let step = if self.limit < 1.0 { self.limit * room * LATELY } else { 1.0 };
@@ -344,7 +344,7 @@
 }
 
 /// Who sends here, and how long idle connections stay.
-pub struct Callers {
+pub struct CallerTracker {
     told: f64,
     heeded: Time, // how long advice is
     idle: Time,   // how long callers leave connections idle
@@ -355,10 +355,10 @@
     keep: Time,
 }
 
-impl Callers {
+impl CallerTracker {
     pub fn new(now: Time, told: f64, heeded: Time, idle: Time) -> Self {
         let (heard, gaps) = (BTreeMap::new(), SlidingWindow::new(idle.scaled(2.0)));
-        Callers { told, heeded, idle, born: now, heard, gaps, lately: 0, keep: idle }
+        CallerTracker { told, heeded, idle, born: now, heard, gaps, lately: 0, keep: idle }
     }
 
     /// The longest gap in a bin; those of the last are longer than any connection stays.
@@ -412,99 +412,99 @@
 }
 
 /// What callers are told.
-pub struct Advice {
-    reading: Reading,
-    callers: Callers,
+pub struct LoadAdvisor {
+    reading: AdviceFormat,
+    callers: CallerTracker,
     longest_pause: Time,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     said: Option<f64>,
     load: Sums<4>, // arrivals, retries among them, time that they lay unread, sheds
     least: f64,    // time that reading takes by itself
 }
 
-impl Advice {
-    pub fn new(reading: Reading, callers: Callers, pauses: Time, heeded: Time, seed: u64) -> Self {
-        let (load, chance, said, least) = (SlidingWindow::new(heeded), Chance::new(seed), None, f64::MAX);
-        Advice { reading, callers, longest_pause: pauses, chance, said, load, least }
+impl LoadAdvisor {
+    pub fn new(reading: AdviceFormat, callers: CallerTracker, pauses: Time, heeded: Time, seed: u64) -> Self {
+        let (load, chance, said, least) = (SlidingWindow::new(heeded), MultiplyWithCarry::new(seed), None, f64::MAX);
+        LoadAdvisor { reading, callers, longest_pause: pauses, chance, said, load, least }
     }
 }
 
-pub struct Decider {
-    beat: Beat,
-    reqs: BTreeMap<RequestId, Req>,
-    hold: Hold,
-    pool: Pool,
-    limits: Threshold,
-    costs: Costs,
-    memory: Memory,
-    calls: Calls,
+pub struct AdmissionController {
+    beat: TickSchedule,
+    reqs: BTreeMap<RequestId, RequestRecord>,
+    hold: PriorityWeights,
+    pool: ConcurrencyLimit,
+    limits: TerminationThreshold,
+    costs: CostEstimator,
+    memory: MemoryLimits,
+    calls: CallLimiter,
     keys: BTreeMap<RequestId, Time>, // entries that tell repeats of uniqued reqs, and their ends
     grace: Time,                 // after the notice to leave, in which arrivals may still run
     left: Option<(Time, Time)>,  // notice, stop
-    advice: Advice,
+    advice: LoadAdvisor,
 }
 
-type Condition = fn(&Decider, Time) -> Option<RequestId>;
-type Effect = fn(&mut Decider, Time, RequestId, &mut Results);
+type Condition = fn(&AdmissionController, Time) -> Option<RequestId>;
+type Effect = fn(&mut AdmissionController, Time, RequestId, &mut Actions);
 
 /// Gone through from the top after every input until none fires; each firing settles one req.
 const RULES: [(Condition, Effect); 12] = [
-    (Decider::due_unstarted, Decider::turn_away),
-    (Decider::due, Decider::give_up),
-    (Decider::repeat, Decider::join),
-    (Decider::overdue, Decider::give_up),
-    (Decider::crowding, Decider::give_up),
-    (Decider::swelling_hold, Decider::turn_away),
-    (Decider::swelling_runs, Decider::give_up),
-    (Decider::too_late_to_run, Decider::turn_away),
-    (Decider::unwinnable, Decider::turn_away),
-    (Decider::next_to_start, Decider::start),
-    (Decider::waited_long_to_call, Decider::skip),
-    (Decider::next_to_call, Decider::call),
+    (AdmissionController::due_unstarted, AdmissionController::turn_away),
+    (AdmissionController::due, AdmissionController::give_up),
+    (AdmissionController::repeat, AdmissionController::join),
+    (AdmissionController::overdue, AdmissionController::give_up),
+    (AdmissionController::crowding, AdmissionController::give_up),
+    (AdmissionController::swelling_hold, AdmissionController::turn_away),
+    (AdmissionController::swelling_runs, AdmissionController::give_up),
+    (AdmissionController::too_late_to_run, AdmissionController::turn_away),
+    (AdmissionController::unwinnable, AdmissionController::turn_away),
+    (AdmissionController::next_to_start, AdmissionController::start),
+    (AdmissionController::waited_long_to_call, AdmissionController::skip),
+    (AdmissionController::next_to_call, AdmissionController::call),
 ];
 
-impl Decider {
+impl AdmissionController {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        resolution: Time, hold: Hold, pool: Pool, limits: Threshold, costs: Costs, memory: Memory,
-        calls: Calls, grace: Time, advice: Advice,
+        resolution: Time, hold: PriorityWeights, pool: ConcurrencyLimit, limits: TerminationThreshold, costs: CostEstimator, memory: MemoryLimits,
+        calls: CallLimiter, grace: Time, advice: LoadAdvisor,
     ) -> Self {
-        let (beat, reqs, keys) = (Beat::new(resolution), BTreeMap::new(), BTreeMap::new());
-        Decider { beat, reqs, hold, pool, limits, costs, memory, calls, keys, grace, left: None, advice }
+        let (beat, reqs, keys) = (TickSchedule::new(resolution), BTreeMap::new(), BTreeMap::new());
+        AdmissionController { beat, reqs, hold, pool, limits, costs, memory, calls, keys, grace, left: None, advice }
     }
 
-    pub fn arrival(&mut self, now: Time, new: Arrival) -> Results {
+    pub fn arrival(&mut self, now: Time, arrival: Arrival) -> Actions {
         let mut out = self.pass(now);
-        let Some(handler) = self.hold.handlers.get(new.handler.0).copied() else { return out };
-        let base = new.hint.map_or(handler.response_target.as_f64() * FIRST_COST, |h| h.as_f64().max(1.0));
-        let req = Req::new(new, now, base, &handler);
+        let Some(handler) = self.hold.handlers.get(arrival.handler.0).copied() else { return out };
+        let base = arrival.cost_hint.map_or(handler.response_target.as_f64() * FIRST_COST, |h| h.as_f64().max(1.0));
+        let req = RequestRecord::new(arrival,now, base, &handler);
         self.hold.count(now, &req, 0, 1.0);
         self.limits.loss.add(now, 0, 1.0);
-        self.advice.load.add_all(now, [1.0, f64::from(new.retry), new.unread.as_f64(), 0.0]);
-        self.advice.callers.hear(now, new.caller);
+        self.advice.load.add_all(now, [1.0, f64::from(arrival.is_retry), arrival.observed_delay.as_f64(), 0.0]);
+        self.advice.callers.hear(now, arrival.caller);
         // A req of which is not known that it lay unread tells nothing of the time that reading takes.
-        let lay = if new.unread > Time(0) { new.unread.as_f64() } else { f64::MAX };
+        let lay = if arrival.observed_delay > Time(0) { arrival.observed_delay.as_f64() } else { f64::MAX };
         self.advice.least = (self.advice.least * (1.0 + WEIGHT * WEIGHT)).min(lay);
-        let end = req.arrived + handler.window;
-        if handler.kind == Idempotency::Keyed && new.repeats.is_none() && end > now {
-            out.keep.push((new.id, end - now));
-            self.keys.insert(new.id, end);
+        let end = req.arrived + handler.dedup_window;
+        if handler.idempotency == Idempotency::Keyed && arrival.duplicate_of.is_none() && end > now {
+            out.retain_key.push((arrival.id, end - now));
+            self.keys.insert(arrival.id, end);
         }
-        self.reqs.insert(new.id, req);
+        self.reqs.insert(arrival.id, req);
         self.settle(now, out)
     }
 
-    pub fn run_ended(&mut self, now: Time, id: RequestId, end: RunEnd) -> Results {
+    pub fn run_ended(&mut self, now: Time, id: RequestId, end: RunOutcome) -> Actions {
         let out = self.pass(now);
         if let Some(req) = self.reqs.remove(&id) {
             if req.phase == Phase::Calling {
                 self.calls.lingering.push(now + self.calls.linger);
             }
-            if req.live(Phase::OnCore) && matches!(end, RunEnd::Done | RunEnd::Errored) {
+            if req.live(Phase::Running) && matches!(end, RunOutcome::Completed | RunOutcome::Failed) {
                 self.costs.learn(now, &req, true);
                 self.limits.count_run(now, req.handler(), now - req.started);
             }
-            if end == RunEnd::Done && !req.answered {
+            if end == RunOutcome::Completed && !req.answered {
                 let late = self.hold.handlers[req.handler()].late_value;
                 self.hold.count(now, &req, 1, if now <= req.target { 1.0 } else { late });
             }
@@ -512,34 +512,34 @@
         self.settle(now, out)
     }
 
-    pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Results {
+    pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Actions {
         let out = self.pass(now);
         if let Some(req) = self.reqs.get_mut(&id) {
             req.spent = self.costs.spent(req);
-            (req.phase, req.since, req.tries, req.calls) = (Phase::Wanting, now, 0, req.calls + 1.0);
+            (req.phase, req.since, req.tries, req.calls) = (Phase::AwaitingCall, now, 0, req.calls + 1.0);
         }
         self.settle(now, out)
     }
 
-    pub fn call_ended(&mut self, now: Time, id: RequestId, end: CallEnd) -> Results {
+    pub fn call_ended(&mut self, now: Time, id: RequestId, end: CallOutcome) -> Actions {
         let mut out = self.pass(now);
         if let Some(req) = self.reqs.get_mut(&id).filter(|r| r.phase == Phase::Calling) {
             let time = now - req.since;
             (req.away, req.since) = (req.away + time.as_f64(), now);
             self.calls.ended(now, time, end);
-            if end == CallEnd::Unknown {
+            if end == CallOutcome::Indeterminate {
                 self.calls.lingering.push(now + self.calls.linger);
             }
             let handler = self.hold.handlers[req.handler()];
             // A call is made again where that is safe or it never ran; one that ended leaves its place.
-            let (ended, safe) = (end == CallEnd::Spoilt, handler.kind == Idempotency::Idempotent);
-            let again = safe && (ended || self.calls.spare()) || end == CallEnd::NeverRan;
-            if end == CallEnd::Done {
-                (req.phase, req.clock) = (Phase::OnCore, self.costs.clock);
+            let (ended, safe) = (end == CallOutcome::Failed, handler.idempotency == Idempotency::Idempotent);
+            let again = safe && (ended || self.calls.spare()) || end == CallOutcome::NotExecuted;
+            if end == CallOutcome::Completed {
+                (req.phase, req.clock) = (Phase::Running, self.costs.clock);
             } else if again && ended && req.tries < TRIES {
                 self.call(now, id, &mut out);
             } else if again && req.tries < TRIES {
-                req.phase = Phase::Wanting;
+                req.phase = Phase::AwaitingCall;
             } else if handler.skip_value > 0.0 && !req.answered {
                 self.skip(now, id, &mut out);
             } else {
@@ -549,65 +549,65 @@
         self.settle(now, out)
     }
 
-    pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Results {
+    pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Actions {
         let out = self.pass(now);
         self.reqs.entry(id).and_modify(|r| r.answered = true);
-        self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Held | Phase::Joined));
+        self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Queued | Phase::Coalesced));
         self.settle(now, out)
     }
 
-    pub fn leaving(&mut self, now: Time, left: Time) -> Results {
+    pub fn drain(&mut self, now: Time, left: Time) -> Actions {
         let mut out = self.pass(now);
         out.health = Some(false);
         self.left = Some((now, now + left.scaled(STOP_PART) - self.beat.resolution));
         self.settle(now, out)
     }
 
-    pub fn wake(&mut self, now: Time, gauges: Gauges) -> Results {
+    pub fn tick(&mut self, now: Time, sample: LoadSample) -> Actions {
         let mut out = self.pass(now);
         self.beat.woken = self.beat.woken.filter(|at| *at > now);
         out.health = (self.beat.next_look == Time(i64::MIN)).then_some(true);
         if now >= self.beat.next_look {
             self.beat.next_look = now + self.hold.shortest.scaled(TICK_PART).max(self.beat.resolution);
             let (on_core, waiting) = (self.on_core(), self.held().next().is_some());
-            self.pool.learn(now, gauges, waiting, on_core, self.hold.shortest);
-            out.trim = self.advice.callers.look(now);
-            let again = self.running().filter(|r| r.answered && r.phase == Phase::OnCore).map(|r| r.new.id);
-            out.stop = again.filter(|id| self.stoppable(*id)).collect();
+            self.pool.learn(now, sample, waiting, on_core, self.hold.shortest);
+            out.idle_timeout = self.advice.callers.look(now);
+            let again = self.running().filter(|r| r.answered && r.phase == Phase::Running).map(|r| r.arrival.id);
+            out.cancel = again.filter(|id| self.stoppable(*id)).collect();
         }
         self.settle(now, out)
     }
 
-    fn held(&self) -> impl Iterator<Item = &Req> {
-        self.reqs.values().filter(|r| r.phase == Phase::Held)
+    fn held(&self) -> impl Iterator<Item = &RequestRecord> {
+        self.reqs.values().filter(|r| r.phase == Phase::Queued)
     }
 
     fn on_core(&self) -> usize {
-        self.reqs.values().filter(|r| r.phase == Phase::OnCore).count()
+        self.reqs.values().filter(|r| r.phase == Phase::Running).count()
     }
 
-    fn running(&self) -> impl Iterator<Item = &Req> {
-        self.reqs.values().filter(|r| !matches!(r.phase, Phase::Held | Phase::Joined))
+    fn running(&self) -> impl Iterator<Item = &RequestRecord> {
+        self.reqs.values().filter(|r| !matches!(r.phase, Phase::Queued | Phase::Coalesced))
     }
 
     fn stoppable(&self, id: RequestId) -> bool {
-        let kind = self.reqs.get(&id).map(|r| self.hold.handlers[r.handler()].kind);
-        self.limits.halting != Halting::Never && kind == Some(Idempotency::Idempotent)
+        let kind = self.reqs.get(&id).map(|r| self.hold.handlers[r.handler()].idempotency);
+        self.limits.halting != Cancellation::Never && kind == Some(Idempotency::Idempotent)
     }
 
     /// Of the replayable runs on the cores, the one that has had the least.
     fn youngest(&self) -> Option<RequestId> {
-        let live = self.running().filter(|r| r.live(Phase::OnCore) && self.stoppable(r.new.id));
-        live.max_by_key(|r| (r.started, r.new.id)).map(|r| r.new.id)
+        let live = self.running().filter(|r| r.live(Phase::Running) && self.stoppable(r.arrival.id));
+        live.max_by_key(|r| (r.started, r.arrival.id)).map(|r| r.arrival.id)
     }
 
     fn memory_used(&self) -> f64 {
-        let running: f64 = self.running().map(|r| r.new.kb * (self.memory.blowup - 1.0)).sum();
-        let all: f64 = self.reqs.values().map(|r| r.new.kb).sum();
+        let running: f64 = self.running().map(|r| r.arrival.memory_kb * (self.memory.running_factor - 1.0)).sum();
+        let all: f64 = self.reqs.values().map(|r| r.arrival.memory_kb).sum();
         running + all + self.keys.len() as f64 * self.memory.per_key
     }
 
-    fn due_at(&self, req: &Req) -> Time {
+    fn due_at(&self, req: &RequestRecord) -> Time {
         self.left.map_or(req.due, |(_, stop)| req.due.min(stop))
     }
 
@@ -641,27 +641,27 @@
 
     /// Runs that wait to call, part of the calls that may be in hand.
     fn queued(&self) -> f64 {
-        self.running().filter(|r| r.live(Phase::Wanting)).count() as f64 / self.calls.limit
+        self.running().filter(|r| r.live(Phase::AwaitingCall)).count() as f64 / self.calls.limit
     }
 
     /// Held reqs, first to start first: the oldest, or where not all can be won, what wins most by work.
-    fn order(&self, now: Time) -> Vec<&Req> {
+    fn order(&self, now: Time) -> Vec<&RequestRecord> {
         let (handlers, customers) = self.hold.gains(now, now - self.pool.born);
         let pressed = f64::from(self.pressure(self.in_hand() + self.unread(now)) > 0.0);
-        let rank = |req: &Req| {
+        let rank = |req: &RequestRecord| {
             let handler = &self.hold.handlers[req.handler()];
             let late = now.as_f64() + self.costs.of(req) > req.target.as_f64();
-            let of_customer = req.new.customer.and_then(|c| customers.get(c.0)).unwrap_or(&1.0);
+            let of_customer = req.arrival.tenant.and_then(|c| customers.get(c.0)).unwrap_or(&1.0);
             let work = if self.hold.by_work { 1.0 } else { self.costs.usual(req).max(1.0) };
             let part = if late { handler.late_value } else { 1.0 };
             handlers[req.handler()] * of_customer * part * handler.value / work * pressed
         };
-        let mut held: Vec<(f64, &Req)> = self.held().map(|r| (rank(r), r)).collect();
-        held.sort_by(|(a, r), (b, q)| b.total_cmp(a).then((r.arrived, r.new.id).cmp(&(q.arrived, q.new.id))));
+        let mut held: Vec<(f64, &RequestRecord)> = self.held().map(|r| (rank(r), r)).collect();
+        held.sort_by(|(a, r), (b, q)| b.total_cmp(a).then((r.arrived, r.arrival.id).cmp(&(q.arrived, q.arrival.id))));
         held.into_iter().map(|(_, req)| req).collect()
     }
 
-    fn pass(&mut self, now: Time) -> Results {
+    fn pass(&mut self, now: Time) -> Actions {
         let (on_core, span) = (self.on_core(), (now - self.costs.last).as_f64());
         let calls = self.reqs.values().filter(|r| r.phase == Phase::Calling).count();
         self.calls.lingering.retain(|end| *end > now);
@@ -672,17 +672,17 @@
         self.costs.clock += span * (busy.min(self.pool.cores) / (on_core as f64).max(1.0)).min(1.0);
         self.costs.last = now;
         self.keys.retain(|_, end| *end > now);
-        let over = |r: &Req| self.costs.spent(r) / self.costs.usual(r).max(1.0);
-        let runs: f64 = self.running().filter(|r| r.phase == Phase::OnCore).map(over).sum();
+        let over = |r: &RequestRecord| self.costs.spent(r) / self.costs.usual(r).max(1.0);
+        let runs: f64 = self.running().filter(|r| r.phase == Phase::Running).map(over).sum();
         self.costs.strain = ((runs + DOUBT) / (on_core as f64 + DOUBT)).max(1.0);
-        Results::default()
+        Actions::default()
     }
 
-    fn settle(&mut self, now: Time, mut out: Results) -> Results {
+    fn settle(&mut self, now: Time, mut out: Actions) -> Actions {
         let fires = |it: &Self| RULES.iter().find_map(|(found, effect)| Some((found(it, now)?, effect)));
         while let Some((id, effect)) = fires(self) {
             effect(self, now, id, &mut out);
-            out.passes += 1;
+            out.rules_fired += 1;
         }
         self.advise(now, &mut out);
         let due =
@@ -690,19 +690,19 @@
         let at = due.unwrap_or(Time::MAX).min(self.beat.next_look).max(now + self.beat.resolution);
         if self.beat.woken.is_none_or(|woken| at < woken) {
             self.beat.woken = Some(at);
-            out.wake = Some(at - now);
+            out.next_tick = Some(at - now);
         }
         out
     }
 
-    fn advise(&mut self, now: Time, out: &mut Results) {
+    fn advise(&mut self, now: Time, out: &mut Actions) {
         let calm = (1.0 - self.pressure(self.burden(now))).clamp(LEAST_ADVICE, 1.0);
         let wanted = if self.left.is_some() { 0.0 } else { calm.min(self.pool.warmth(now)) };
         let level = match self.advice.reading {
-            Reading::Unused => return,
-            Reading::Share => wanted,
-            Reading::Credit => wanted * self.pool.size / self.advice.callers.senders(),
-            Reading::Rank => 1.0 - wanted,
+            AdviceFormat::Unused => return,
+            AdviceFormat::Share => wanted,
+            AdviceFormat::Credit => wanted * self.pool.size / self.advice.callers.senders(),
+            AdviceFormat::Rank => 1.0 - wanted,
         };
         if self.advice.said.is_none_or(|said| (said - level).abs() > ADVICE_STEP * level.max(said)) {
             self.advice.said = Some(level);
@@ -710,26 +710,26 @@
         }
     }
 
-    fn give_up(&mut self, now: Time, id: RequestId, out: &mut Results) {
+    fn give_up(&mut self, now: Time, id: RequestId, out: &mut Actions) {
         let Some(req) = self.reqs.get_mut(&id).filter(|r| !r.answered) else { return };
         out.fail.push(id);
         req.answered = true;
         let req = req.clone();
-        if req.phase == Phase::OnCore && self.stoppable(id) {
-            out.stop.push(id);
+        if req.phase == Phase::Running && self.stoppable(id) {
+            out.cancel.push(id);
             self.costs.learn(now, &req, false);
             self.limits.count_run(now, req.handler(), now - req.started);
         }
         if self.costs.strain < STRAINED && self.pool.warmth(now) >= 1.0 {
             self.limits.loss.add(now, 2, 1.0);
         }
-        self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Held | Phase::Joined));
+        self.reqs.retain(|_, r| !r.answered || !matches!(r.phase, Phase::Queued | Phase::Coalesced));
     }
 
-    fn turn_away(&mut self, now: Time, id: RequestId, out: &mut Results) {
+    fn turn_away(&mut self, now: Time, id: RequestId, out: &mut Actions) {
         let Some(req) = self.reqs.remove(&id) else { return };
         self.limits.loss.add(now, 1, 1.0);
-        out.release.extend(self.keys.remove(&id).map(|_| id));
+        out.release_key.extend(self.keys.remove(&id).map(|_| id));
         self.advice.load.add(now, 3, 1.0);
         let [arrivals, retries, _, shed] = self.advice.load.sums(now);
         let leaving = self.left.is_some();
@@ -740,44 +740,44 @@
         // Where no share can be advised, the time for one req of each caller; else past a full burden.
         let turn = self.advice.callers.told * self.advice.load.span() / (arrivals - shed).max(1.0);
         let over = (self.burden(now) - UNREAD * FULL * self.hold.shortest.as_f64()).max(0.0);
-        let spread = self.advice.reading == Reading::Unused;
+        let spread = self.advice.reading == AdviceFormat::Unused;
         // A shed names a time to come back: at least that in which the cores make room for it.
         let room = self.costs.of(&req) / self.pool.cores;
         let wait = if spread { turn * dear.min(1.0) } else { over * self.advice.chance.draw() + room };
         let pause = if leaving { self.advice.longest_pause } else { Time(wait as i64) };
-        out.shed.push(Shed { id, pause: pause.min(self.advice.longest_pause), last });
+        out.reject.push(Rejection { id, retry_after:pause.min(self.advice.longest_pause), do_not_retry: last });
     }
 
-    fn join(&mut self, _: Time, id: RequestId, out: &mut Results) {
+    fn join(&mut self, _: Time, id: RequestId, out: &mut Actions) {
         if let Some(req) = self.reqs.get_mut(&id) {
-            req.phase = Phase::Joined;
-            out.join.push(id);
+            req.phase = Phase::Coalesced;
+            out.coalesce.push(id);
         }
     }
 
-    fn start(&mut self, now: Time, id: RequestId, out: &mut Results) {
+    fn start(&mut self, now: Time, id: RequestId, out: &mut Actions) {
         if let Some(req) = self.reqs.get_mut(&id) {
-            (req.phase, req.started, req.since, req.clock) = (Phase::OnCore, now, now, self.costs.clock);
+            (req.phase, req.started, req.since, req.clock) = (Phase::Running, now, now, self.costs.clock);
             self.pool.seen = self.pool.seen.map(|seen| seen + 1.0);
             out.start.push(id);
         }
     }
 
-    fn skip(&mut self, _: Time, id: RequestId, out: &mut Results) {
+    fn skip(&mut self, _: Time, id: RequestId, out: &mut Actions) {
         if let Some(req) = self.reqs.get_mut(&id) {
-            (req.phase, req.clock) = (Phase::OnCore, self.costs.clock);
-            out.skip.push(id);
+            (req.phase, req.clock) = (Phase::Running, self.costs.clock);
+            out.skip_call.push(id);
         }
     }
 
     /// A call that may be made again is given up early: the next may end well where this one hangs.
-    fn call(&mut self, now: Time, id: RequestId, out: &mut Results) {
+    fn call(&mut self, now: Time, id: RequestId, out: &mut Actions) {
         let Some(req) = self.reqs.get(&id) else { return };
         let (due, handler) = (self.due_at(req), &self.hold.handlers[req.handler()]);
         let rest = if handler.skip_value > 0.0 { Time(self.costs.left(req) as i64) } else { Time(0) };
         let ends = [req.target - rest, req.target];
         let left = ends.into_iter().find(|end| *end > now).unwrap_or(due).min(due) - now;
-        let again = handler.kind == Idempotency::Idempotent && self.calls.spare() && req.tries + 1 < TRIES;
+        let again = handler.idempotency == Idempotency::Idempotent && self.calls.spare() && req.tries + 1 < TRIES;
         let backed_off = handler.skip_value > 0.0 && self.calls.limit < self.calls.cores;
         let early = (again || backed_off) && self.calls.usual > 0.0;
         let lone = if backed_off || self.calls.share.is_none() { 1.0 } else { LONE };
@@ -792,32 +792,32 @@
 
     /// No req is lost: one that falls due is answered now, whatever runs; turned away where none of it ran.
     fn due(&self, now: Time) -> Option<RequestId> {
-        let due = |r: &&Req| !r.answered && self.due_at(r) - self.beat.resolution <= now;
-        self.reqs.values().find(due).map(|r| r.new.id)
+        let due = |r: &&RequestRecord| !r.answered && self.due_at(r) - self.beat.resolution <= now;
+        self.reqs.values().find(due).map(|r| r.arrival.id)
     }
 
     fn due_unstarted(&self, now: Time) -> Option<RequestId> {
-        let due = |r: &&Req| r.new.repeats.is_none() && self.due_at(r) - self.beat.resolution <= now;
-        self.held().find(due).map(|r| r.new.id)
+        let due = |r: &&RequestRecord| r.arrival.duplicate_of.is_none() && self.due_at(r) - self.beat.resolution <= now;
+        self.held().find(due).map(|r| r.arrival.id)
     }
 
     /// SERT: a replayable run past the threshold is stopped for good, but not while it can be done in time.
     fn overdue(&self, now: Time) -> Option<RequestId> {
         let [arrived, refused, stopped] = self.limits.loss.sums(now);
         let loss = if arrived > 0.0 { (refused + stopped) / arrived } else { 0.0 };
-        let overdue = |r: &&Req| {
+        let overdue = |r: &&RequestRecord| {
             let upper = self.due_at(r) - r.started;
             let lost = now > r.target;
             lost && now - r.started > threshold(self.limits.floor(now, r.handler()).min(upper), upper, loss)
         };
         let live = self.running().filter(|r| !r.answered && r.phase != Phase::Calling);
-        live.filter(|r| self.stoppable(r.new.id)).find(overdue).map(|r| r.new.id)
+        live.filter(|r| self.stoppable(r.arrival.id)).find(overdue).map(|r| r.arrival.id)
     }
 
     /// The crowd on the cores stays under what the server survives, cold or warm: seen past it, all that can
     /// be stopped goes until no more run than that.
     fn crowding(&self, now: Time) -> Option<RequestId> {
-        let stays = |r: &&Req| r.phase == Phase::OnCore && !(r.answered && self.stoppable(r.new.id));
+        let stays = |r: &&RequestRecord| r.phase == Phase::Running && !(r.answered && self.stoppable(r.arrival.id));
         let stay = self.running().filter(stays).count() as f64;
         let crowd = self.pool.seen.map_or(stay, |seen| seen.min(stay));
         self.youngest().filter(|_| crowd > self.pool.ceiling(now))
@@ -826,26 +826,26 @@
     /// Held and running reqs and keys stay within the memory: the last in the order goes first.
     fn swelling_hold(&self, now: Time) -> Option<RequestId> {
         let over = self.memory_used() > self.memory.limit * GUARD_PART;
-        self.order(now).iter().rfind(|_| over).map(|r| r.new.id)
+        self.order(now).iter().rfind(|_| over).map(|r| r.arrival.id)
     }
 
     fn swelling_runs(&self, _: Time) -> Option<RequestId> {
-        let joined = || self.reqs.values().find(|r| r.phase == Phase::Joined).map(|r| r.new.id);
+        let joined = || self.reqs.values().find(|r| r.phase == Phase::Coalesced).map(|r| r.arrival.id);
         self.youngest().or_else(joined).filter(|_| self.memory_used() > self.memory.limit * GUARD_PART)
     }
 
     /// After the notice to leave: what came past the grace does not run.
     fn too_late_to_run(&self, _: Time) -> Option<RequestId> {
         let last = self.left?.0 + self.grace - self.beat.resolution;
-        self.held().find(|r| r.arrived > last).map(|r| r.new.id)
+        self.held().find(|r| r.arrived > last).map(|r| r.arrival.id)
     }
 
     /// A repeat takes the answer of the req it repeats, unless that one waits for this one.
     fn repeat(&self, _: Time) -> Option<RequestId> {
-        let joined = |id| self.reqs.get(&id).filter(|r| r.phase == Phase::Joined);
-        let waits = |id, on| joined(id).is_some_and(|r| r.new.repeats == Some(on));
-        let joins = |r: &&Req| r.new.repeats.is_some_and(|other| !waits(other, r.new.id));
-        self.held().find(joins).map(|r| r.new.id)
+        let joined = |id| self.reqs.get(&id).filter(|r| r.phase == Phase::Coalesced);
+        let waits = |id, on| joined(id).is_some_and(|r| r.arrival.duplicate_of == Some(on));
+        let joins = |r: &&RequestRecord| r.arrival.duplicate_of.is_some_and(|other| !waits(other, r.arrival.id));
+        self.held().find(joins).map(|r| r.arrival.id)
     }
 
     /// Predictive intake, looked at again after every input: with the cores in use, a held req that will not
@@ -853,12 +853,12 @@
     fn unwinnable(&self, now: Time) -> Option<RequestId> {
         let in_use = self.pool.busy.max(self.on_core() as f64 / self.pool.size).max(self.queued());
         let cores = self.pool.cores.min(self.open_size(now));
-        let running = self.running().filter(|r| r.live(Phase::OnCore));
+        let running = self.running().filter(|r| r.live(Phase::Running));
         let mut ahead: f64 = running.map(|r| self.costs.left(r)).sum();
-        let to_call = |r: &Req| (self.costs.calls[r.handler()] - r.calls).max(0.0);
-        let at_call = |r: &Req| f64::from(matches!(r.phase, Phase::Wanting | Phase::Calling));
+        let to_call = |r: &RequestRecord| (self.costs.calls[r.handler()] - r.calls).max(0.0);
+        let at_call = |r: &RequestRecord| f64::from(matches!(r.phase, Phase::AwaitingCall | Phase::Calling));
         let mut calls: f64 = self.running().filter(|r| !r.answered).map(|r| to_call(r) + at_call(r)).sum();
-        let lost = |r: &&&Req| {
+        let lost = |r: &&&RequestRecord| {
             let (own, to_call) = (self.costs.of(r), to_call(r));
             let wait = if to_call > 0.0 { self.calls.wait(now, calls + to_call - 1.0) } else { 0.0 };
             calls += to_call;
@@ -867,7 +867,7 @@
             ahead += own;
             finish > (r.arrived + (r.target - r.arrived).scaled(part)).min(self.due_at(r)).as_f64()
         };
-        self.order(now).iter().filter(|_| in_use >= FREE_BUSY).find(lost).map(|r| r.new.id)
+        self.order(now).iter().filter(|_| in_use >= FREE_BUSY).find(lost).map(|r| r.arrival.id)
     }
 
     /// The pool: as many on the cores as keep them busy, within crowd and memory. What cannot be stopped is
@@ -875,28 +875,28 @@
     fn next_to_start(&self, now: Time) -> Option<RequestId> {
         let (on_core, running) = (self.on_core() as f64, self.running().count() as f64);
         let open = on_core + 1.0 <= self.open_size(now) && running + 1.0 <= self.pool.most(now);
-        let firm = self.running().filter(|r| !self.stoppable(r.new.id)).count() as f64;
-        let safe = |r: &Req| firm + 1.0 <= self.pool.ceiling(now) || self.stoppable(r.new.id);
+        let firm = self.running().filter(|r| !self.stoppable(r.arrival.id)).count() as f64;
+        let safe = |r: &RequestRecord| firm + 1.0 <= self.pool.ceiling(now) || self.stoppable(r.arrival.id);
         // Runs that would only queue to call stay where they are; what calls nothing goes past them.
-        let (queued, calls) = (self.queued(), |r: &Req| self.hold.handlers[r.handler()].calls);
-        let goes = |r: &Req| safe(r) && (queued <= 1.0 || !calls(r));
+        let (queued, calls) = (self.queued(), |r: &RequestRecord| self.hold.handlers[r.handler()].makes_calls);
+        let goes = |r: &RequestRecord| safe(r) && (queued <= 1.0 || !calls(r));
         let room = self.memory.limit * GUARD_PART - self.memory_used();
-        let fits = |r: &&&Req| open && goes(r) && r.new.kb * (self.memory.blowup - 1.0) <= room;
-        self.order(now).iter().find(fits).map(|r| r.new.id)
+        let fits = |r: &&&RequestRecord| open && goes(r) && r.arrival.memory_kb * (self.memory.running_factor - 1.0) <= room;
+        self.order(now).iter().find(fits).map(|r| r.arrival.id)
     }
 
     /// Where value allows, a req that has waited long for its call goes on without it.
     fn waited_long_to_call(&self, now: Time) -> Option<RequestId> {
-        let long = |r: &&Req| now - r.since >= (r.target.min(self.due_at(r)) - r.since).scaled(SKIP_PART);
-        let may = |r: &&Req| r.live(Phase::Wanting) && self.hold.handlers[r.handler()].skip_value > 0.0;
-        self.running().filter(may).find(long).map(|r| r.new.id)
+        let long = |r: &&RequestRecord| now - r.since >= (r.target.min(self.due_at(r)) - r.since).scaled(SKIP_PART);
+        let may = |r: &&RequestRecord| r.live(Phase::AwaitingCall) && self.hold.handlers[r.handler()].skip_value > 0.0;
+        self.running().filter(may).find(long).map(|r| r.arrival.id)
     }
 
     fn next_to_call(&self, now: Time) -> Option<RequestId> {
         let in_hand = self.reqs.values().filter(|r| r.phase == Phase::Calling).count();
-        let rested = |r: &&Req| (now - r.since).as_f64() >= self.calls.usual * r.tries as f64;
-        let wanting = self.running().filter(|r| r.live(Phase::Wanting)).filter(rested);
-        let next = wanting.min_by_key(|r| (r.arrived, r.new.id)).map(|r| r.new.id);
+        let rested = |r: &&RequestRecord| (now - r.since).as_f64() >= self.calls.usual * r.tries as f64;
+        let wanting = self.running().filter(|r| r.live(Phase::AwaitingCall)).filter(rested);
+        let next = wanting.min_by_key(|r| (r.arrived, r.arrival.id)).map(|r| r.arrival.id);
         next.filter(|_| self.calls.open(now, in_hand))
     }
 }
--- a/crates/admission/src/types.rs
+++ b/crates/admission/src/types.rs
@@ -2,7 +2,7 @@
 pub use cottondyke_types::*;
 #[derive(Clone, Copy, Debug)]
 pub struct Handler {
-    pub kind: Idempotency,
+    pub idempotency: Idempotency,
     /// The time within which an answer is wanted.
     pub response_target: Time,
     /// The response target grows by this many times the req's own work.
@@ -13,16 +13,16 @@
     /// The part of the value left after the response target.
     pub late_value: f64,
     /// How long a uniqued req may come back.
-    pub window: Time,
+    pub dedup_window: Time,
     /// Whether its runs may call what is below.
-    pub calls: bool,
+    pub makes_calls: bool,
     /// The part of the value left when a call was skipped; 0 forbids skipping.
     pub skip_value: f64,
 }
 
 /// How running work can be halted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Halting {
+pub enum Cancellation {
     Never,
     Drop,
     Pause,
@@ -30,7 +30,7 @@
 
 /// How callers read the free value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum AdviceFormat {
     Unused,
     /// The chance that a caller does not pass this server by.
     Share,
@@ -45,97 +45,97 @@
 pub struct Arrival {
     pub id: RequestId,
     pub handler: HandlerId,
-    pub customer: Option<TenantId>,
+    pub tenant: Option<TenantId>,
     pub caller: Option<CallerId>,
     /// Expected work, as time of a standard core.
-    pub hint: Option<Time>,
-    pub retry: bool,
-    pub repeats: Option<RequestId>,
-    pub kb: f64,
+    pub cost_hint: Option<Time>,
+    pub is_retry: bool,
+    pub duplicate_of: Option<RequestId>,
+    pub memory_kb: f64,
     /// The time since it reached the machine.
-    pub lay: Time,
+    pub queueing_delay: Time,
     /// The part of it that is believed to show how long reqs lie unread.
-    pub unread: Time,
+    pub observed_delay: Time,
     /// How long the caller still waits, where told.
-    pub wait: Option<Time>,
+    pub client_wait: Option<Time>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunEnd {
-    Done,
-    Errored,
+pub enum RunOutcome {
+    Completed,
+    Failed,
     /// Stopped, or ended at a call because nobody waits for it.
-    Stopped,
+    Cancelled,
     /// Nothing started.
-    Void,
+    NotStarted,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    Done,
+pub enum CallOutcome {
+    Completed,
     /// Known not to have run.
-    NeverRan,
+    NotExecuted,
     /// It ended with an error or a reply of no use; it may have had its effect.
-    Spoilt,
+    Failed,
     /// It may have had its effect, and may still go on.
-    Unknown,
+    Indeterminate,
 }
 
 /// The memory that held and running reqs and keys share, in kilobytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory {
+pub struct MemoryLimits {
     pub limit: f64,
     /// What a run takes, in multiples of what its req takes while held.
-    pub blowup: f64,
+    pub running_factor: f64,
     pub per_key: f64,
 }
 
 /// What the server's own gauges read.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gauges {
+pub struct LoadSample {
     /// The part of the cores in use.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// How many want a core now, runs and all else.
-    pub runnable: Option<f64>,
+    pub runnable_tasks: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shed {
+pub struct Rejection {
     pub id: RequestId,
     /// When to come back.
-    pub pause: Time,
+    pub retry_after: Time,
     /// Asks the caller not to try elsewhere.
-    pub last: bool,
+    pub do_not_retry: bool,
 }
 
 /// What to do after an input. The lists are carried out in the order in which they stand here:
 /// what frees comes before what starts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Results {
-    pub stop: Vec<RequestId>,
+pub struct Actions {
+    pub cancel: Vec<RequestId>,
     pub fail: Vec<RequestId>,
-    pub shed: Vec<Shed>,
-    pub keep: Vec<(RequestId, Time)>,
-    pub release: Vec<RequestId>,
+    pub reject: Vec<Rejection>,
+    pub retain_key: Vec<(RequestId, Time)>,
+    pub release_key: Vec<RequestId>,
     pub start: Vec<RequestId>,
-    pub join: Vec<RequestId>,
+    pub coalesce: Vec<RequestId>,
     /// A call to make, and how long before it is given up.
     pub call: Vec<(RequestId, Time)>,
-    pub skip: Vec<RequestId>,
+    pub skip_call: Vec<RequestId>,
     pub health: Option<bool>,
     pub advice: Option<f64>,
     /// Connections that carried nothing for this long are closed.
-    pub trim: Option<Time>,
-    pub wake: Option<Time>,
+    pub idle_timeout: Option<Time>,
+    pub next_tick: Option<Time>,
     /// Rules fired.
-    pub passes: usize,
+    pub rules_fired: usize,
 }
 
 /// When the decider is woken.
 #[derive(Clone, Copy, Debug)]
-pub struct Beat {
+pub struct TickSchedule {
     /// The shortest time between two inputs.
     pub resolution: Time,
     pub next_look: Time,
@@ -143,9 +143,9 @@
     pub woken: Option<Time>,
 }
 
-impl Beat {
+impl TickSchedule {
     pub fn new(resolution: Time) -> Self {
-        Beat {
+        TickSchedule {
             resolution,
             next_look: Time(i64::MIN),
             woken: None,
@@ -156,19 +156,19 @@
 /// Where a req is between its arrival and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    Held,
+    Queued,
     /// Waits for the answer of the req it repeats.
-    Joined,
-    OnCore,
+    Coalesced,
+    Running,
     /// Waits to make a call.
-    Wanting,
+    AwaitingCall,
     Calling,
 }
 
 /// What is noted of a req from its arrival to its end.
 #[derive(Clone, Debug)]
-pub struct Req {
-    pub new: Arrival,
+pub struct RequestRecord {
+    pub arrival: Arrival,
     /// Hinted work, or a stand-in where there is no hint.
     pub base: f64,
     pub arrived: Time,
@@ -192,20 +192,20 @@
     pub calls: f64,
 }
 
-impl Req {
-    pub fn new(new: Arrival, now: Time, base: f64, handler: &Handler) -> Self {
-        let arrived = now - new.lay;
+impl RequestRecord {
+    pub fn new(arrival: Arrival, now: Time, base: f64, handler: &Handler) -> Self {
+        let arrived = now - arrival.queueing_delay;
         let target = handler.response_target + Time((handler.target_stretch * base) as i64);
-        Req {
-            new,
+        RequestRecord {
+            arrival,
             base,
             arrived,
             target: arrived + target.min(handler.client_timeout),
-            due: new
-                .wait
+            due: arrival
+                .client_wait
                 .map_or(arrived + handler.client_timeout, |wait| now + wait)
                 .max(now),
-            phase: Phase::Held,
+            phase: Phase::Queued,
             answered: false,
             started: now,
             since: now,
@@ -218,7 +218,7 @@
     }
 
     pub fn handler(&self) -> usize {
-        self.new.handler.0
+        self.arrival.handler.0
     }
 
     pub fn live(&self, phase: Phase) -> bool {
@@ -227,11 +227,11 @@
 }
 
 /// A multiply-with-carry generator.
-pub struct Chance(u64);
+pub struct MultiplyWithCarry(u64);
 
-impl Chance {
+impl MultiplyWithCarry {
     pub fn new(seed: u64) -> Self {
-        Chance(seed % 0xffff_fffe + 1)
+        MultiplyWithCarry(seed % 0xffff_fffe + 1)
     }
 
     /// From 0 up to just under 1.
--- a/crates/admission/tests/decide/golden.rs
+++ b/crates/admission/tests/decide/golden.rs
@@ -38,29 +38,30 @@
         items.into_iter().flatten().for_each(|n| self.number(n));
     }
 
-    fn add(&mut self, results: &Results) {
-        let Results {
-            stop,
+    fn add(&mut self, results: &Actions) {
+        let Actions {
+            cancel: stop,
             fail,
-            shed,
-            keep,
-            release,
+            reject: shed,
+            retain_key: keep,
+            release_key: release,
             start,
-            join,
+            coalesce: join,
             call,
-            skip,
+            skip_call: skip,
             health,
             advice,
-            trim,
-            wake,
-            passes,
+            idle_timeout: trim,
+            next_tick: wake,
+            rules_fired: passes,
         } = results;
         let ids = |list: &[RequestId]| list.iter().map(|id| vec![id.0.into()]).collect();
         let spans = |list: &[(RequestId, Time)]| {
             let both = |(id, span): &(RequestId, Time)| vec![id.0.into(), span.0 as u64];
             list.iter().map(both).collect()
         };
-        let sheds = |s: &Shed| vec![s.id.0.into(), s.pause.0 as u64, s.last.into()];
+        let sheds =
+            |s: &Rejection| vec![s.id.0.into(), s.retry_after.0 as u64, s.do_not_retry.into()];
         let maybe = |number: Option<u64>| number.map(|n| vec![n]).into_iter().collect();
         self.list(0, ids(stop));
         self.list(1, ids(fail));
@@ -92,7 +93,7 @@
         let void = place % 50 == 7 && !world.frozen;
         if let Some(id) = world.ids(State::OnCore).first().filter(|_| void) {
             world.reqs.get_mut(id).unwrap().answered = true;
-            world.end(*id, RunEnd::Void);
+            world.end(*id, RunOutcome::NotStarted);
         }
         match kind % 16 {
             _ if place == STEPS - LAST => step(&mut world, (12, 0, 0)),
--- a/crates/admission/tests/decide/plain.rs
+++ b/crates/admission/tests/decide/plain.rs
@@ -23,7 +23,8 @@
         .map(|h| world.arrive(*h, Time(0), TIMEOUT, None))
         .collect();
     looks(world, count, step, busy);
-    ids.into_iter().for_each(|id| world.end(id, RunEnd::Done));
+    ids.into_iter()
+        .for_each(|id| world.end(id, RunOutcome::Completed));
 }
 
 /// Reqs of so many callers in turn; of none that says who it is where `named` is 0.
@@ -52,15 +53,15 @@
             world.end_call(
                 id,
                 if time < cap {
-                    CallEnd::Done
+                    CallOutcome::Completed
                 } else {
-                    CallEnd::Unknown
+                    CallOutcome::Indeterminate
                 },
             );
             world
                 .ids(State::OnCore)
                 .into_iter()
-                .for_each(|id| world.end(id, RunEnd::Done));
+                .for_each(|id| world.end(id, RunOutcome::Completed));
             spans.push((began, world.now));
         }
     }
@@ -219,12 +220,12 @@
             world.end_call(
                 id,
                 if n > 0 && n <= failed {
-                    CallEnd::Unknown
+                    CallOutcome::Indeterminate
                 } else {
-                    CallEnd::Done
+                    CallOutcome::Completed
                 },
             );
-            world.end(id, RunEnd::Done);
+            world.end(id, RunOutcome::Completed);
             world.pass(Time(3_000));
         }
         assert_eq!(
@@ -241,7 +242,7 @@
     let mut world = World::new(PLAIN);
     let id = world.arrive(1, Time(0), TIMEOUT, Some(1));
     world.want_call(id);
-    world.end_call(id, CallEnd::Unknown);
+    world.end_call(id, CallOutcome::Indeterminate);
     assert!(world.reqs[&id].answered && world.caps.len() == 1);
 }
 
@@ -255,7 +256,7 @@
         });
         let id = world.arrive(kind, Time(0), TIMEOUT, None);
         world.want_call(id);
-        world.end_call(id, CallEnd::Spoilt);
+        world.end_call(id, CallOutcome::Failed);
         assert_eq!(
             (world.caps.len(), world.reqs[&id].answered),
             (calls, kind == 1)
@@ -301,7 +302,7 @@
             world
                 .ids(State::Calling)
                 .into_iter()
-                .for_each(|id| world.end_call(id, CallEnd::NeverRan));
+                .for_each(|id| world.end_call(id, CallOutcome::NotExecuted));
         }
     }
     for _ in 0..3 {
@@ -326,8 +327,8 @@
         let id = world.arrive(2, Time(0), TIMEOUT, None);
         world.want_call(id);
         world.pass(Time(100));
-        world.end_call(id, CallEnd::Done);
-        world.end(id, RunEnd::Done);
+        world.end_call(id, CallOutcome::Completed);
+        world.end(id, RunOutcome::Completed);
     }
     assert!(
         world.caps.iter().all(|cap| *cap >= TARGET.scaled(0.5)),
@@ -347,7 +348,7 @@
         world.customer = Some(usize::from(n % 11 == 0));
         let id = world.arrive(0, Time(0), TIMEOUT, None);
         world.pass(Time(400));
-        world.end(id, RunEnd::Done);
+        world.end(id, RunOutcome::Completed);
     }
     world.customer = Some(0);
     arrive(&mut world, 12, Time(0));
@@ -355,7 +356,7 @@
     let other = world.arrive(0, Time(0), TIMEOUT, None);
     assert_eq!(world.reqs[&other].state, State::Held);
     let first = world.ids(State::OnCore)[0];
-    world.end(first, RunEnd::Done);
+    world.end(first, RunOutcome::Completed);
     assert_eq!(world.reqs[&other].state, State::OnCore);
 }
 
@@ -381,7 +382,7 @@
     for _ in 0..20 {
         let id = world.arrive(0, Time(0), TIMEOUT, None);
         world.pass(Time(500));
-        world.end(id, RunEnd::Done);
+        world.end(id, RunOutcome::Completed);
     }
     let id = world.arrive(0, Time(0), TIMEOUT, None);
     for _ in 0..60 {
@@ -421,34 +422,34 @@
     let (none, late) = (Time(0), Time(0) + TIMEOUT);
     for scale in [0.0, 1.0, 1e9] {
         for reading in [
-            Reading::Share,
-            Reading::Credit,
-            Reading::Rank,
-            Reading::Unused,
+            AdviceFormat::Share,
+            AdviceFormat::Credit,
+            AdviceFormat::Rank,
+            AdviceFormat::Unused,
         ] {
             let span = Time(scale as i64);
-            let mut decider = Decider::new(
+            let mut controller = AdmissionController::new(
                 Time(1),
-                Hold::new(&one, &[scale, scale], scale, 0.1, true, [0.0, scale, scale]),
-                Pool::new(none, scale.min(1e3) as usize, scale, scale.min(1.0), span),
-                Threshold::new(span, Halting::Drop, &one),
-                Costs::new(none, &one, scale.min(1.0)),
-                Memory {
+                PriorityWeights::new(&one, &[scale, scale], scale, 0.1, true, [0.0, scale, scale]),
+                ConcurrencyLimit::new(none, scale.min(1e3) as usize, scale, scale.min(1.0), span),
+                TerminationThreshold::new(span, Cancellation::Drop, &one),
+                CostEstimator::new(none, &one, scale.min(1.0)),
+                MemoryLimits {
                     limit: scale,
-                    blowup: scale,
+                    running_factor: scale,
                     per_key: scale,
                 },
-                Calls::new(Some(scale), span, span, scale.min(1e3) as usize),
+                CallLimiter::new(Some(scale), span, span, scale.min(1e3) as usize),
                 span,
-                Advice::new(
+                LoadAdvisor::new(
                     reading,
-                    Callers::new(none, scale, span, span),
+                    CallerTracker::new(none, scale, span, span),
                     span,
                     span,
                     u64::MAX,
                 ),
             );
-            let mut all = vec![decider.wake(none, Gauges::default())];
+            let mut all = vec![controller.tick(none, LoadSample::default())];
             for id in 0..40 {
                 let (id, customer) = (RequestId(id), Some(TenantId(id as usize % 3)));
                 let (hint, retry, repeats) = (Some(span), id.0 % 2 == 0, None);
@@ -456,31 +457,31 @@
                 let new = Arrival {
                     id,
                     handler,
-                    customer,
+                    tenant: customer,
                     caller: None,
-                    hint,
-                    retry,
-                    repeats,
-                    kb,
-                    lay,
-                    unread: lay,
-                    wait,
+                    cost_hint: hint,
+                    is_retry: retry,
+                    duplicate_of: repeats,
+                    memory_kb: kb,
+                    queueing_delay: lay,
+                    observed_delay: lay,
+                    client_wait: wait,
                 };
-                all.push(decider.arrival(Time(id.0 as i64 * 5), new));
-                all.push(decider.call_wanted(Time(id.0 as i64 * 5), id));
+                all.push(controller.arrival(Time(id.0 as i64 * 5), new));
+                all.push(controller.call_wanted(Time(id.0 as i64 * 5), id));
             }
             for at in [late, late + span, late + span + TIMEOUT] {
-                all.push(decider.wake(
+                all.push(controller.tick(
                     at,
-                    Gauges {
-                        busy: Some(scale),
-                        runnable: None,
+                    LoadSample {
+                        cpu_utilization: Some(scale),
+                        runnable_tasks: None,
                     },
                 ));
             }
             let answers = all
                 .iter()
-                .map(|r| r.shed.len() + r.fail.len())
+                .map(|r| r.reject.len() + r.fail.len())
                 .sum::<usize>();
             assert_eq!(answers, 40, "scale {scale}, {reading:?}");
             assert!(all
@@ -578,7 +579,7 @@
         (1.0, 10, 0.2, 0.0),
     ] {
         let mut world = World::new(Set {
-            reading: Reading::Credit,
+            reading: AdviceFormat::Credit,
             callers: told,
             ..PLAIN
         });
@@ -600,7 +601,7 @@
         world.wake(1.0);
         arrive(&mut world, 40, Time(lay));
         let (last, all) = (
-            world.shed.iter().filter(|s| s.last).count(),
+            world.shed.iter().filter(|s| s.do_not_retry).count(),
             world.shed.len(),
         );
         assert!(
@@ -615,7 +616,7 @@
     arrive(&mut world, 3, Time(0));
     arrive(&mut world, 40, Time(500));
     let (last, all) = (
-        world.shed.iter().filter(|s| s.last).count(),
+        world.shed.iter().filter(|s| s.do_not_retry).count(),
         world.shed.len(),
     );
     assert!(
@@ -630,7 +631,7 @@
         world.pass(Time(4000));
     }
     assert!(
-        !world.shed.first().expect("no shed at all").last,
+        !world.shed.first().expect("no shed at all").do_not_retry,
         "{:?}",
         world.shed
     );
@@ -641,10 +642,10 @@
     // Held toward its client timeout, a lost req kept its caller from asking elsewhere and named no time; a
     // server that refused quickly and named no time drew the traffic of callers that pick the least busy.
     for reading in [
-        Reading::Share,
-        Reading::Credit,
-        Reading::Rank,
-        Reading::Unused,
+        AdviceFormat::Share,
+        AdviceFormat::Credit,
+        AdviceFormat::Rank,
+        AdviceFormat::Unused,
     ] {
         let mut world = World::new(Set { reading, ..PLAIN });
         world.wake(1.0);
@@ -655,7 +656,7 @@
             "{held} held"
         );
         assert!(
-            world.shed.iter().all(|s| s.pause > Time(0)),
+            world.shed.iter().all(|s| s.retry_after > Time(0)),
             "{reading:?}: {:?}",
             world.shed
         );
--- a/crates/admission/tests/decide/rules.rs
+++ b/crates/admission/tests/decide/rules.rs
@@ -7,14 +7,15 @@
 
 pub fn set(choice: u16) -> Set {
     Set {
-        halting: [Halting::Drop, Halting::Never, Halting::Pause][choice as usize % 3],
+        halting: [Cancellation::Drop, Cancellation::Never, Cancellation::Pause]
+            [choice as usize % 3],
         told: choice & 4 != 0,
         cold: choice & 8 != 0,
         reading: [
-            Reading::Share,
-            Reading::Credit,
-            Reading::Rank,
-            Reading::Unused,
+            AdviceFormat::Share,
+            AdviceFormat::Credit,
+            AdviceFormat::Rank,
+            AdviceFormat::Unused,
         ][choice as usize / 16 % 4],
         share: (choice & 64 != 0).then_some([0.8, 2.5][choice as usize / 512 % 2]),
         skip: if choice & 128 != 0 { 0.5 } else { 0.0 },
@@ -35,9 +36,9 @@
                 world.end(
                     id,
                     if b % 8 == 0 {
-                        RunEnd::Errored
+                        RunOutcome::Failed
                     } else {
-                        RunEnd::Done
+                        RunOutcome::Completed
                     },
                 );
             }
@@ -52,10 +53,10 @@
                 world.end_call(
                     id,
                     [
-                        CallEnd::Done,
-                        CallEnd::NeverRan,
-                        CallEnd::Unknown,
-                        CallEnd::Spoilt,
+                        CallOutcome::Completed,
+                        CallOutcome::NotExecuted,
+                        CallOutcome::Indeterminate,
+                        CallOutcome::Failed,
                     ][b as usize % 4],
                 );
             }
--- a/crates/admission/tests/decide/world.rs
+++ b/crates/admission/tests/decide/world.rs
@@ -30,10 +30,10 @@
 
 #[derive(Clone, Copy)]
 pub struct Set {
-    pub halting: Halting,
+    pub halting: Cancellation,
     pub told: bool,
     pub cold: bool,
-    pub reading: Reading,
+    pub reading: AdviceFormat,
     pub share: Option<f64>,
     pub skip: f64,
     pub limit_kb: f64,
@@ -41,10 +41,10 @@
 }
 
 pub const PLAIN: Set = Set {
-    halting: Halting::Drop,
+    halting: Cancellation::Drop,
     told: false,
     cold: false,
-    reading: Reading::Share,
+    reading: AdviceFormat::Share,
     share: None,
     skip: 0.0,
     limit_kb: 1e6,
@@ -65,12 +65,12 @@
 pub struct World {
     pub now: Time,
     pub set: Set,
-    pub decider: Decider,
+    pub controller: AdmissionController,
     pub reqs: BTreeMap<RequestId, Noted>,
     pub keys: BTreeMap<RequestId, Time>,
     pub left: Option<(Time, Time)>,
     pub wakes: Vec<Time>,
-    pub shed: Vec<Shed>,
+    pub shed: Vec<Rejection>,
     pub frozen: bool,
     /// What a gauge counts on the cores, where there is one; the other runs are at the disk.
     pub seen: Option<f64>,
@@ -78,7 +78,7 @@
     pub advice: f64,
     pub caps: Vec<Time>,
     /// All results in their order.
-    pub results: Vec<Results>,
+    pub results: Vec<Actions>,
     /// How long idle connections stay.
     pub trim: Time,
     /// Whose reqs arrive; else each customer's in turn.
@@ -90,14 +90,14 @@
 
 pub fn handler(kind: Idempotency, skip: f64) -> Handler {
     Handler {
-        kind,
+        idempotency: kind,
         response_target: TARGET,
         target_stretch: 0.0,
         client_timeout: TIMEOUT,
         value: 1.0,
         late_value: 0.2,
-        window: WINDOW,
-        calls: kind != Idempotency::NonIdempotent,
+        dedup_window: WINDOW,
+        makes_calls: kind != Idempotency::NonIdempotent,
         skip_value: skip,
     }
 }
@@ -111,11 +111,11 @@
             Idempotency::NonIdempotent,
         ];
         let handlers = kinds.map(|k| handler(k, set.skip));
-        let callers = Callers::new(now, set.callers, TARGET, IDLE);
+        let callers = CallerTracker::new(now, set.callers, TARGET, IDLE);
         let first = if set.cold { FIRST } else { 1.0 };
-        let decider = Decider::new(
+        let controller = AdmissionController::new(
             Time(20),
-            Hold::new(
+            PriorityWeights::new(
                 &handlers,
                 &[50.0, 50.0, 50.0],
                 10.0,
@@ -123,24 +123,24 @@
                 false,
                 [0.6, 0.2, 0.2],
             ),
-            Pool::new(now, CORES, FACTOR, first, WARM),
-            Threshold::new(TARGET, set.halting, &handlers),
-            Costs::new(now, &handlers, first),
-            Memory {
+            ConcurrencyLimit::new(now, CORES, FACTOR, first, WARM),
+            TerminationThreshold::new(TARGET, set.halting, &handlers),
+            CostEstimator::new(now, &handlers, first),
+            MemoryLimits {
                 limit: set.limit_kb,
-                blowup: BLOWUP,
+                running_factor: BLOWUP,
                 per_key: PER_KEY,
             },
-            Calls::new(set.share, TARGET, Time(2000), CORES),
+            CallLimiter::new(set.share, TARGET, Time(2000), CORES),
             GRACE,
-            Advice::new(set.reading, callers, TARGET, TARGET, 7),
+            LoadAdvisor::new(set.reading, callers, TARGET, TARGET, 7),
         );
         let (reqs, keys, wakes, shed) = (BTreeMap::new(), BTreeMap::new(), vec![], vec![]);
         let (left, frozen, most_passes, advice, caps, next) = (None, false, 0, 1.0, vec![], 1);
         let mut world = World {
             now,
             set,
-            decider,
+            controller,
             reqs,
             keys,
             left,
@@ -210,26 +210,26 @@
         let new = Arrival {
             id,
             handler,
-            customer,
+            tenant: customer,
             caller: self.caller,
-            hint,
-            retry,
-            repeats,
-            kb: 10.0,
-            lay,
-            unread: lay,
-            wait,
+            cost_hint: hint,
+            is_retry: retry,
+            duplicate_of: repeats,
+            memory_kb: 10.0,
+            queueing_delay: lay,
+            observed_delay: lay,
+            client_wait: wait,
         };
-        let results = self.decider.arrival(self.now, new);
+        let results = self.controller.arrival(self.now, new);
         self.apply(results);
         id
     }
 
-    pub fn end(&mut self, id: RequestId, end: RunEnd) {
+    pub fn end(&mut self, id: RequestId, end: RunOutcome) {
         let noted = self.reqs.get_mut(&id).unwrap();
         noted.state = State::Over;
-        noted.answered |= matches!(end, RunEnd::Done | RunEnd::Errored);
-        let results = self.decider.run_ended(self.now, id, end);
+        noted.answered |= matches!(end, RunOutcome::Completed | RunOutcome::Failed);
+        let results = self.controller.run_ended(self.now, id, end);
         self.apply(results);
     }
 
@@ -238,22 +238,22 @@
         (noted.state, noted.calls_unknown) = (State::Wanting, false);
         let answered = noted.answered;
         if answered {
-            self.end(id, RunEnd::Stopped);
+            self.end(id, RunOutcome::Cancelled);
             return;
         }
-        let results = self.decider.call_wanted(self.now, id);
+        let results = self.controller.call_wanted(self.now, id);
         self.apply(results);
     }
 
-    pub fn end_call(&mut self, id: RequestId, end: CallEnd) {
+    pub fn end_call(&mut self, id: RequestId, end: CallOutcome) {
         let noted = self.reqs.get_mut(&id).unwrap();
-        noted.state = if end == CallEnd::Done {
+        noted.state = if end == CallOutcome::Completed {
             State::OnCore
         } else {
             State::Wanting
         };
-        noted.calls_unknown |= matches!(end, CallEnd::Unknown | CallEnd::Spoilt);
-        let results = self.decider.call_ended(self.now, id, end);
+        noted.calls_unknown |= matches!(end, CallOutcome::Indeterminate | CallOutcome::Failed);
+        let results = self.controller.call_ended(self.now, id, end);
         self.apply(results);
     }
 
@@ -264,25 +264,25 @@
             noted.state = State::Over;
         }
         let at_call = matches!(noted.state, State::Wanting | State::Calling);
-        let results = self.decider.caller_gone(self.now, id);
+        let results = self.controller.caller_gone(self.now, id);
         self.apply(results);
         if at_call {
-            self.end(id, RunEnd::Stopped);
+            self.end(id, RunOutcome::Cancelled);
         }
     }
 
     pub fn leave(&mut self, left: Time) {
         self.left = Some((self.now, self.now + left));
-        let results = self.decider.leaving(self.now, left);
+        let results = self.controller.drain(self.now, left);
         self.apply(results);
     }
 
     pub fn wake(&mut self, busy: f64) {
-        let gauges = Gauges {
-            busy: Some(busy),
-            runnable: self.seen,
+        let gauges = LoadSample {
+            cpu_utilization: Some(busy),
+            runnable_tasks: self.seen,
         };
-        let results = self.decider.wake(self.now, gauges);
+        let results = self.controller.tick(self.now, gauges);
         self.apply(results);
     }
 
@@ -314,13 +314,17 @@
             .collect()
     }
 
-    fn apply(&mut self, results: Results) {
-        self.most_passes = self.most_passes.max(results.passes);
+    fn apply(&mut self, results: Actions) {
+        self.most_passes = self.most_passes.max(results.rules_fired);
         self.results.push(results.clone());
         let mut ended = Vec::new();
-        for id in results.stop {
+        for id in results.cancel {
             let noted = self.reqs.get_mut(&id).unwrap();
-            assert_ne!(self.set.halting, Halting::Never, "a stop where none may be");
+            assert_ne!(
+                self.set.halting,
+                Cancellation::Never,
+                "a stop where none may be"
+            );
             assert_eq!(
                 noted.kind,
                 Idempotency::Idempotent,
@@ -345,7 +349,7 @@
                 _ => {}
             }
         }
-        for shed in results.shed {
+        for shed in results.reject {
             let noted = self.reqs.get_mut(&shed.id).unwrap();
             assert!(!noted.answered, "lost: {shed:?} answered twice");
             assert!(
@@ -355,10 +359,10 @@
             (noted.answered, noted.state) = (true, State::Over);
             self.shed.push(shed);
         }
-        for (id, span) in results.keep {
+        for (id, span) in results.retain_key {
             self.keys.insert(id, self.now + span);
         }
-        for id in results.release {
+        for id in results.release_key {
             assert!(
                 self.keys.remove(&id).is_some(),
                 "released what was not kept"
@@ -384,7 +388,7 @@
             let noted = self.reqs.get_mut(&id).unwrap();
             (noted.state, noted.ran) = (State::OnCore, true);
         }
-        for id in results.join {
+        for id in results.coalesce {
             let noted = self.reqs.get_mut(&id).unwrap();
             assert_eq!(noted.state, State::Held, "joined what is not held");
             noted.state = State::Joined;
@@ -398,7 +402,7 @@
             assert!(safe, "effect twice: a call made again that may have run");
             noted.state = State::Calling;
         }
-        for id in results.skip {
+        for id in results.skip_call {
             let noted = self.reqs.get_mut(&id).unwrap();
             assert!(
                 self.set.skip > 0.0 && noted.state == State::Wanting,
@@ -407,11 +411,12 @@
             noted.state = State::OnCore;
         }
         self.advice = results.advice.unwrap_or(self.advice);
-        self.trim = results.trim.unwrap_or(self.trim);
-        self.wakes.extend(results.wake.map(|span| self.now + span));
+        self.trim = results.idle_timeout.unwrap_or(self.trim);
+        self.wakes
+            .extend(results.next_tick.map(|span| self.now + span));
         self.check();
         for id in ended {
-            self.end(id, RunEnd::Stopped);
+            self.end(id, RunOutcome::Cancelled);
         }
     }
 
--- a/crates/server/src/client.rs
+++ b/crates/server/src/client.rs
@@ -3,7 +3,7 @@
 //! nothing behind it; one that has been forgotten or written to meanwhile is found out before it is used.
 use crate::wire::http::{self, Decoder};
 use async_io::Async;
-use cottondyke_admission::types::CallEnd;
+use cottondyke_admission::types::CallOutcome;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,11 +26,11 @@
 }
 
 impl CallError {
-    pub fn end(self) -> CallEnd {
+    pub fn end(self) -> CallOutcome {
         match self {
-            CallError::NotBegun(_) => CallEnd::NeverRan,
-            CallError::MaybeBegun(_) => CallEnd::Unknown,
-            CallError::Ended(_) => CallEnd::Spoilt,
+            CallError::NotBegun(_) => CallOutcome::NotExecuted,
+            CallError::MaybeBegun(_) => CallOutcome::Indeterminate,
+            CallError::Ended(_) => CallOutcome::Failed,
         }
     }
 }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,8 +1,8 @@
 //! What the program is told at its start.
 use crate::time::span_of_ms;
-use cottondyke_admission::policy::Decider;
+use cottondyke_admission::policy::AdmissionController;
 use cottondyke_operator_config::{Effect, Known, Operator, Place};
-use cottondyke_settings::{self as settings, Places, Wrong};
+use cottondyke_settings::{self as settings, WireNames, Wrong};
 use cottondyke_types::{Idempotency, Time};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
     pub windows: Vec<Time>,
     /// How long the answer of a read may be handed to others.
     pub fresh: Time,
-    pub places: Places,
+    pub places: WireNames,
     /// Whether credit is spread over the callers heard on connections (the shape of many sidecars, each seldom
     /// here), or over `family_info.upstreams` as told at start (the first shape, and the default).
     pub callers_heard: bool,
@@ -168,7 +168,7 @@
         let times = classes()
             .map(|class| (ms(class, "aim_ms"), ms(class, "deadline_ms")))
             .collect::<Vec<_>>();
-        let places = settings::places(conf);
+        let places = settings::wire_names(conf);
         if places.handlers.is_empty() || places.handlers.iter().any(String::is_empty) {
             return Err("settings: classes is empty or lacks a name".to_string());
         }
@@ -204,8 +204,8 @@
             windows: classes()
                 .map(|class| span_of_ms(ms(class, "dedup_window_ms")))
                 .collect(),
-            kinds: settings::kinds(conf).map_err(|wrong| format!("settings: {wrong}"))?,
-            fresh: settings::fresh(conf).map_err(|wrong| format!("settings: {wrong}"))?,
+            kinds: settings::idempotencies(conf).map_err(|wrong| format!("settings: {wrong}"))?,
+            fresh: settings::read_cache_ttl(conf).map_err(|wrong| format!("settings: {wrong}"))?,
             places,
             callers_heard: callers_heard(&all, conf)?,
             settings: conf.clone(),
@@ -221,7 +221,7 @@
         config
             .plausible()
             .map_err(|wrong| format!("settings: {wrong}"))?;
-        config.decider(Time(0)).map(|_| config)
+        config.admission(Time(0)).map(|_| config)
     }
 
     /// The handlers, as the operator's file is checked against them.
@@ -418,8 +418,8 @@
     }
 
     /// The decider of a server whose engine started at `born`.
-    pub fn decider(&self, born: Time) -> Result<Decider, Wrong> {
-        settings::decider(born, self.seed, &self.settings)
+    pub fn admission(&self, born: Time) -> Result<AdmissionController, Wrong> {
+        settings::admission_controller(born, self.seed, &self.settings)
             .map_err(|wrong| format!("settings: {wrong}"))
     }
 }
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/desk.rs
@@ -19,8 +19,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use cottondyke_admission::policy::Decider;
-use cottondyke_admission::types::{Arrival, Gauges, Results, RunEnd};
+use cottondyke_admission::policy::AdmissionController;
+use cottondyke_admission::types::{Actions, Arrival, LoadSample, RunOutcome};
 use cottondyke_types::{CallerId, HandlerId, Idempotency, RequestId, Time, SECOND};
 use futures_lite::FutureExt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -58,7 +58,11 @@
 impl Entry {
     /// By when it must be answered: as its caller tells, else by the client timeout.
     fn due(&self, timeout: Time) -> Time {
-        self.arrived + self.new.wait.map_or(timeout, |wait| wait + self.new.lay)
+        self.arrived
+            + self
+                .new
+                .client_wait
+                .map_or(timeout, |wait| wait + self.new.queueing_delay)
     }
 }
 
@@ -104,7 +108,7 @@
     config: Rc<Config>,
     clock: Clock,
     started: Time,
-    decider: Decider,
+    admission: AdmissionController,
     reqs: BTreeMap<RequestId, Entry>,
     /// The ids of all in `reqs`, as they stand on the wire.
     wires: BTreeSet<WireId>,
@@ -123,7 +127,7 @@
     /// Until when gauges that were asked for are waited for.
     asked: Option<Time>,
     /// Joined reqs whose answer is known, told to the decider once its results are carried out.
-    joined: VecDeque<(RequestId, RunEnd)>,
+    joined: VecDeque<(RequestId, RunOutcome)>,
     /// What kinds of work told while results were carried out, taken after them.
     events: VecDeque<Event>,
     cpu: cpu::Gauge,
@@ -138,7 +142,7 @@
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         config: Rc<Config>,
-        decider: Decider,
+        admission: AdmissionController,
         clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
         inputs: Sender<Input>,
@@ -153,7 +157,7 @@
             .iter()
             .map(|name| name.as_str().into())
             .collect();
-        let busy = config.places.busy;
+        let busy = config.places.cpu_utilization_column;
         let engine = config.engine.map(|_| {
             work::engine::Runs::new(now, config.records, busy, executor.clone(), inputs.clone())
         });
@@ -179,7 +183,7 @@
             config,
             clock,
             started: now,
-            decider,
+            admission,
             reqs: BTreeMap::new(),
             wires: BTreeSet::new(),
             next_id: 0,
@@ -209,7 +213,7 @@
     pub async fn run(mut self, inputs: Receiver<Input>) {
         // An engine's hello is what starts the decider; without one, nothing is waited for.
         if self.works.engine.is_none() {
-            self.wake(self.clock.now(), Gauges::default());
+            self.wake(self.clock.now(), LoadSample::default());
         }
         while !self.timers() {
             let mut timer = Timer::at(self.clock.instant(self.next_timer()));
@@ -255,7 +259,7 @@
             if let Some(engine) = &mut self.works.engine {
                 engine.no_gauges();
             }
-            self.wake(now, Gauges::default());
+            self.wake(now, LoadSample::default());
         }
         let waiting = self.wakes.len();
         self.wakes.retain(|at| *at > now);
@@ -267,14 +271,14 @@
                 .map(work::engine::Runs::ask_gauges);
             match asked {
                 Some(true) => self.asked = Some(now + GAUGES_WITHIN),
-                Some(false) => self.wake(now, Gauges::default()),
+                Some(false) => self.wake(now, LoadSample::default()),
                 None => {
                     let busy = self.cpu.read();
                     self.wake(
                         now,
-                        Gauges {
-                            busy,
-                            runnable: None,
+                        LoadSample {
+                            cpu_utilization: busy,
+                            runnable_tasks: None,
                         },
                     );
                 }
@@ -331,9 +335,9 @@
         }
     }
 
-    fn wake(&mut self, now: Time, gauges: Gauges) {
-        let results = self.decider.wake(now, gauges);
-        self.carry_all(now, results);
+    fn wake(&mut self, now: Time, gauges: LoadSample) {
+        let actions = self.admission.tick(now, gauges);
+        self.carry_all(now, actions);
     }
 
     fn take(&mut self, input: Input) {
@@ -426,8 +430,8 @@
             Input::Leave => {
                 tracing::info!(open = self.reqs.len(), "told to leave");
                 self.notice = Some(now);
-                let results = self.decider.leaving(now, self.left());
-                self.carry_all(now, results);
+                let actions = self.admission.drain(now, self.left());
+                self.carry_all(now, actions);
                 self.works
                     .leaving(now, now + self.left().scaled(PAGES_PART));
                 self.connections.no_more(now);
@@ -512,9 +516,9 @@
         }
         match self
             .config
-            .decider((now - span_of_ms(age_ms)).max(self.started))
+            .admission((now - span_of_ms(age_ms)).max(self.started))
         {
-            Ok(decider) => self.decider = decider,
+            Ok(admission) => self.admission = admission,
             Err(wrong) => tracing::error!(wrong, "the settings no longer give a decider"),
         }
         self.works.forget_all(now);
@@ -523,10 +527,10 @@
         self.reqs.retain(|_, r| !r.answered);
         self.wires = self.reqs.values().map(|r| r.wire).collect();
         self.wakes.clear();
-        self.wake(now, Gauges::default());
+        self.wake(now, LoadSample::default());
         if let Some(notice) = self.notice {
-            let results = self.decider.leaving(now, notice + self.left() - now);
-            self.carry_all(now, results);
+            let actions = self.admission.drain(now, notice + self.left() - now);
+            self.carry_all(now, actions);
         }
         let open: Vec<_> = self
             .reqs
@@ -623,15 +627,15 @@
         let new = Arrival {
             id,
             handler: req.handler,
-            customer: req.customer,
+            tenant: req.customer,
             caller: self.config.callers_heard.then_some(CallerId(conn.0)),
-            hint: req.hint.map(span_of_ms),
-            retry: req.retry,
-            repeats,
-            kb: req.kb,
-            lay,
-            unread,
-            wait: req.wait.map(|ms| (span_of_ms(ms) - lay).max(Time(0))),
+            cost_hint: req.hint.map(span_of_ms),
+            is_retry: req.retry,
+            duplicate_of: repeats,
+            memory_kb: req.kb,
+            queueing_delay: lay,
+            observed_delay: unread,
+            client_wait: req.wait.map(|ms| (span_of_ms(ms) - lay).max(Time(0))),
         };
         self.wires.insert(req.id);
         let entry = Entry {
@@ -639,7 +643,7 @@
             stream: req.stream,
             wire: req.id,
             new,
-            arrived: now - new.lay,
+            arrived: now - new.queueing_delay,
             key,
             body: req.body.into(),
             answered: false,
@@ -647,8 +651,8 @@
             joined: None,
         };
         self.reqs.insert(id, entry);
-        let results = self.decider.arrival(now, new);
-        self.carry_all(now, results);
+        let actions = self.admission.arrival(now, new);
+        self.carry_all(now, actions);
     }
 
     /// Which of two reqs with one id is the copy. Guards sidecars against a client that copies their reqs and is read
@@ -690,37 +694,37 @@
     }
 
     fn worked(&mut self, now: Time, event: Event) {
-        if let Some(results) = self.told(now, event) {
-            self.carry_all(now, results);
+        if let Some(actions) = self.told(now, event) {
+            self.carry_all(now, actions);
         }
     }
 
     /// What a kind of work tells, and what the decider makes of it.
-    fn told(&mut self, now: Time, event: Event) -> Option<Results> {
+    fn told(&mut self, now: Time, event: Event) -> Option<Actions> {
         match event {
             Event::Ended(id, end, output) => {
-                let waiting = if end == RunEnd::Void {
+                let waiting = if end == RunOutcome::NotStarted {
                     self.never_started(id)
                 } else {
                     Vec::new()
                 };
-                let results = self.run_over(now, id, end, output)?;
+                let actions = self.run_over(now, id, end, output)?;
                 if waiting.is_empty() {
-                    return Some(results);
+                    return Some(actions);
                 }
                 // What the end of the run brings goes before what the reqs that come anew bring.
-                self.carry_all(now, results);
+                self.carry_all(now, actions);
                 waiting.into_iter().for_each(|id| self.again(now, id));
             }
-            Event::CallWanted(id) => return Some(self.decider.call_wanted(now, id)),
-            Event::CallEnded(id, end) => return Some(self.decider.call_ended(now, id, end)),
-            Event::Gauges(busy) => {
+            Event::CallWanted(id) => return Some(self.admission.call_wanted(now, id)),
+            Event::CallEnded(id, end) => return Some(self.admission.call_ended(now, id, end)),
+            Event::LoadSample(busy) => {
                 self.asked = None;
-                return Some(self.decider.wake(
+                return Some(self.admission.tick(
                     now,
-                    Gauges {
-                        busy,
-                        runnable: None,
+                    LoadSample {
+                        cpu_utilization: busy,
+                        runnable_tasks: None,
                     },
                 ));
             }
@@ -749,8 +753,9 @@
         for id in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
             tracing::warn!("a run that never ended is given up");
             // It may have run, so its entry stays.
-            if let Some(results) = self.run_over(now, id, RunEnd::Void, Output::default()) {
-                self.carry_all(now, results);
+            if let Some(actions) = self.run_over(now, id, RunOutcome::NotStarted, Output::default())
+            {
+                self.carry_all(now, actions);
             }
         }
     }
@@ -784,17 +789,17 @@
         let lay = now - entry.arrived;
         let wait = entry
             .new
-            .wait
-            .map(|wait| (wait + entry.new.lay - lay).max(Time(0)));
+            .client_wait
+            .map(|wait| (wait + entry.new.queueing_delay - lay).max(Time(0)));
         entry.new = Arrival {
-            lay,
-            unread: Time(0),
-            wait,
-            repeats,
+            queueing_delay: lay,
+            observed_delay: Time(0),
+            client_wait: wait,
+            duplicate_of: repeats,
             ..entry.new
         };
-        let results = self.decider.arrival(now, entry.new);
-        self.carry_all(now, results);
+        let actions = self.admission.arrival(now, entry.new);
+        self.carry_all(now, actions);
     }
 
     /// A run has ended: what is still owed goes out first, then the decider hears of it.
@@ -802,18 +807,18 @@
         &mut self,
         now: Time,
         id: RequestId,
-        end: RunEnd,
+        end: RunOutcome,
         output: Output,
-    ) -> Option<Results> {
+    ) -> Option<Actions> {
         let entry = self.reqs.get_mut(&id).filter(|e| e.running)?;
         entry.running = false;
         self.works.forget(id);
-        if end == RunEnd::Done {
+        if end == RunOutcome::Completed {
             self.connections.prove(entry.conn);
         }
         let (stream, shared) = (entry.stream, entry.key.is_some());
-        let kept = (end == RunEnd::Done && shared).then(|| Rc::new(output.clone()));
-        let reply = if end == RunEnd::Done {
+        let kept = (end == RunOutcome::Completed && shared).then(|| Rc::new(output.clone()));
+        let reply = if end == RunOutcome::Completed {
             Reply::Done(stream, output)
         } else {
             Reply::Errored(stream)
@@ -829,7 +834,7 @@
             );
             self.settle_joined(now, id, kept);
         }
-        Some(self.decider.run_ended(now, id, end))
+        Some(self.admission.run_ended(now, id, end))
     }
 
     /// Reqs that wait for the answer of `of` get it.
@@ -841,8 +846,11 @@
         let waiting: Vec<_> = waiting.map(|(id, e)| (*id, e.stream)).collect();
         for (id, stream) in waiting {
             let (reply, end) = match &result {
-                Some(result) => (Reply::Done(stream, Output::clone(result)), RunEnd::Done),
-                None => (Reply::Errored(stream), RunEnd::Errored),
+                Some(result) => (
+                    Reply::Done(stream, Output::clone(result)),
+                    RunOutcome::Completed,
+                ),
+                None => (Reply::Errored(stream), RunOutcome::Failed),
             };
             self.answer(now, id, reply);
             self.joined.push_back((id, end));
@@ -875,8 +883,8 @@
             return;
         };
         self.answer(now, id, Reply::Errored(stream));
-        let results = self.decider.caller_gone(now, id);
-        self.carry_all(now, results);
+        let actions = self.admission.caller_gone(now, id);
+        self.carry_all(now, actions);
     }
 
     /// Nobody hears what a lost connection still owes: the decider is told of all that was open on it. A req with
@@ -888,20 +896,20 @@
             .filter(|(_, e)| e.conn == conn && !e.answered && e.key.is_none());
         for id in open.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.answer(now, id, Reply::Errored(Stream(0)));
-            let results = self.decider.caller_gone(now, id);
-            self.carry_all(now, results);
+            let actions = self.admission.caller_gone(now, id);
+            self.carry_all(now, actions);
         }
     }
 
-    fn carry_all(&mut self, now: Time, results: Results) {
-        self.carry(now, results);
+    fn carry_all(&mut self, now: Time, actions: Actions) {
+        self.carry(now, actions);
         loop {
             if let Some((id, end)) = self.joined.pop_front() {
-                let results = self.decider.run_ended(now, id, end);
-                self.carry(now, results);
+                let actions = self.admission.run_ended(now, id, end);
+                self.carry(now, actions);
             } else if let Some(event) = self.events.pop_front() {
-                if let Some(results) = self.told(now, event) {
-                    self.carry(now, results);
+                if let Some(actions) = self.told(now, event) {
+                    self.carry(now, actions);
                 }
             } else {
                 return;
@@ -910,14 +918,14 @@
     }
 
     /// Carries results out, in the order in which they stand.
-    fn carry(&mut self, now: Time, results: Results) {
-        for id in results.stop {
+    fn carry(&mut self, now: Time, actions: Actions) {
+        for id in actions.cancel {
             if self.reqs.get(&id).is_some_and(|e| e.running) {
                 let told = self.works.stop(now, id);
                 self.events.extend(told);
             }
         }
-        for id in results.fail {
+        for id in actions.fail {
             let Some(entry) = self.reqs.get(&id) else {
                 continue;
             };
@@ -928,25 +936,25 @@
                 self.never_ran(now, id);
             }
         }
-        for shed in results.shed {
+        for shed in actions.reject {
             let Some(entry) = self.reqs.get(&shed.id) else {
                 continue;
             };
             let reply = Reply::Shed {
                 stream: entry.stream,
-                after_ms: ms(shed.pause),
-                last: shed.last,
+                after_ms: ms(shed.retry_after),
+                last: shed.do_not_retry,
             };
             self.tally.shed += 1;
             self.answer(now, shed.id, reply);
             self.never_ran(now, shed.id);
         }
         // What the decider keeps it books; the entry itself stands since the req was read.
-        results
-            .release
+        actions
+            .release_key
             .into_iter()
             .for_each(|id| self.keys.release(id));
-        for id in results.start {
+        for id in actions.start {
             let Some(entry) = self.reqs.get_mut(&id) else {
                 continue;
             };
@@ -955,7 +963,7 @@
             let job = Job {
                 wire: entry.wire,
                 handler: entry.new.handler,
-                customer: entry.new.customer,
+                customer: entry.new.tenant,
                 body: entry.body.clone(),
                 target: entry.arrived + target,
                 due: entry.due(timeout),
@@ -963,26 +971,26 @@
             let told = self.works.start(now, id, &job);
             self.events.extend(told);
         }
-        for id in results.join {
+        for id in actions.coalesce {
             self.join(now, id);
         }
-        for (id, cap) in results.call {
+        for (id, cap) in actions.call {
             if let Some(engine) = &mut self.works.engine {
                 engine.call(id, cap);
             }
         }
-        for id in results.skip {
+        for id in actions.skip_call {
             if let Some(engine) = &mut self.works.engine {
                 engine.skip(now, id);
             }
         }
-        if let Some(good) = results.health.filter(|_| self.works.ready()) {
+        if let Some(good) = actions.health.filter(|_| self.works.ready()) {
             if self.health.set(good) {
                 let _ = self.news.try_send(News::Health(good));
             }
         }
-        self.connections.say = results.advice.or(self.connections.say);
-        if let Some(span) = results.wake {
+        self.connections.say = actions.advice.or(self.connections.say);
+        if let Some(span) = actions.next_tick {
             self.wakes.insert(now + span);
         }
     }
@@ -997,7 +1005,9 @@
         let Some(entry) = self.reqs.get_mut(&id) else {
             return;
         };
-        let Some(of) = entry.new.repeats else { return };
+        let Some(of) = entry.new.duplicate_of else {
+            return;
+        };
         entry.joined = Some(of);
         let known = match self.keys.outcome(of) {
             Some(Outcome::Open) => return,
--- a/crates/server/src/serve.rs
+++ b/crates/server/src/serve.rs
@@ -21,10 +21,10 @@
         .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
     let listen = listener.get_ref().local_addr().unwrap_or(config.listen);
     let clock = Clock::start();
-    let decider = config.decider(clock.now())?;
+    let admission = config.admission(clock.now())?;
     let names = Names {
         handlers: config.places.handlers.clone(),
-        customers: config.places.customers.clone(),
+        customers: config.places.tenants.clone(),
         longest_ms: config.longest,
     };
     let room = Room::new(config.connections, config.memory);
@@ -72,7 +72,7 @@
     };
     let desk = Desk::new(
         config,
-        decider,
+        admission,
         clock,
         executor.clone(),
         to_desk,
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/wire/engine.rs
@@ -1,6 +1,6 @@
 //! Lines between the server and its engine.
 use super::{Malformed, Pending, WireId};
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use std::rc::Rc;
 
 const MOST_LINE: usize = 65_536;
@@ -60,7 +60,7 @@
     Done {
         no: NoticeNo,
         id: WireId,
-        end: RunEnd,
+        end: RunOutcome,
         result: Vec<u8>,
     },
     Need {
@@ -155,10 +155,10 @@
         },
         ["DONE", no, id, end, _, _] => {
             let end = match end {
-                "fine" => RunEnd::Done,
-                "fault" => RunEnd::Errored,
-                "broken_off" => RunEnd::Stopped,
-                "late" => RunEnd::Void,
+                "fine" => RunOutcome::Completed,
+                "fault" => RunOutcome::Failed,
+                "broken_off" => RunOutcome::Cancelled,
+                "late" => RunOutcome::NotStarted,
                 _ => return None,
             };
             Notice::Done {
--- a/crates/server/src/work/engine.rs
+++ b/crates/server/src/work/engine.rs
@@ -9,7 +9,7 @@
 use crate::wire::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use cottondyke_types::{RequestId, Time, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -210,7 +210,7 @@
                     self.link.resume(again);
                 } else if self.asked.take_if(|asked| *asked == tag).is_some() {
                     let busy = self.busy.and_then(|place| gauges.get(place).copied());
-                    return vec![Event::Gauges(busy.filter(|b| b.is_finite()))];
+                    return vec![Event::LoadSample(busy.filter(|b| b.is_finite()))];
                 }
                 Vec::new()
             }
@@ -223,7 +223,8 @@
                 // Any other says that this command was one too many, not that there is no run.
                 let none = command == "RUN" && !run.begun || command == "HALT" && !run.wanted;
                 self.tally.refused += 1;
-                let over = none.then(|| Event::Ended(id, RunEnd::Void, Output::default()));
+                let over =
+                    none.then(|| Event::Ended(id, RunOutcome::NotStarted, Output::default()));
                 over.into_iter().collect()
             }
             Notice::Hello { .. } | Notice::Remark(_) | Notice::Unknown(_) => Vec::new(),
@@ -285,7 +286,7 @@
                 let feed = Command::Feed(run.wire, reply);
                 (run.need, run.told) = (None, Some((now, feed.clone())));
                 self.link.send(feed);
-                cottondyke_admission::types::CallEnd::Done
+                cottondyke_admission::types::CallOutcome::Completed
             }
             Err(error) => {
                 tracing::debug!(?error, id = ?run.wire, "a call failed");
--- a/crates/server/src/work/mod.rs
+++ b/crates/server/src/work/mod.rs
@@ -2,7 +2,7 @@
 //! `Event::Ended`; it knows nothing of connections, and the decider hears of it by the desk alone.
 pub mod engine;
 pub mod pages;
-use cottondyke_admission::types::{CallEnd, RunEnd};
+use cottondyke_admission::types::{CallOutcome, RunOutcome};
 use cottondyke_types::{Idempotency, RequestId, TenantId, Time};
 use std::rc::Rc;
 
@@ -45,12 +45,12 @@
 pub enum Event {
     /// The run shows that it goes on.
     Lives(RequestId),
-    Ended(RequestId, RunEnd, Output),
+    Ended(RequestId, RunOutcome, Output),
     /// The run needs a call that the decider lets out.
     CallWanted(RequestId),
-    CallEnded(RequestId, CallEnd),
+    CallEnded(RequestId, CallOutcome),
     /// The part of the cores in use, asked for by the desk.
-    Gauges(Option<f64>),
+    LoadSample(Option<f64>),
     /// A test that the desk asked for.
     Tested(crate::wire::engine::Tag, bool),
 }
@@ -100,7 +100,7 @@
             (Some(pages), _) if pages.has(place) && !ready => {}
             (Some(pages), _) if pages.has(place) => return pages.start(now, id, job, replayable),
             (_, Some(engine)) => engine.start(id, job, self.classes[place].clone(), replayable),
-            (_, None) => return vec![Event::Ended(id, RunEnd::Errored, Output::default())],
+            (_, None) => return vec![Event::Ended(id, RunOutcome::Failed, Output::default())],
         }
         Vec::new()
     }
--- a/crates/server/src/work/pages.rs
+++ b/crates/server/src/work/pages.rs
@@ -9,7 +9,7 @@
 use crate::wire::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use cottondyke_dependency::breaker::Stage;
 use cottondyke_dependency::gate::Sums;
 use cottondyke_dependency::{Action, Answer, CallId, Outcome, Pages, PartEnd, Plan, Start, State};
@@ -88,7 +88,7 @@
 
     pub fn start(&mut self, now: Time, id: RequestId, job: &Job, may_repeat: bool) -> Vec<Event> {
         let Some(page) = self.by_handler.get(job.handler.0).copied().flatten() else {
-            return vec![Event::Ended(id, RunEnd::Errored, Output::default())];
+            return vec![Event::Ended(id, RunOutcome::Failed, Output::default())];
         };
         self.wires.insert(id, job.wire);
         if let Some(fleet) = &self.fleet {
@@ -232,9 +232,9 @@
                 Action::Ended { run, answer } => {
                     self.wires.remove(&run);
                     let (end, output) = match answer {
-                        Answer::Parts(parts) => (RunEnd::Done, composed(&parts)),
-                        Answer::Errored => (RunEnd::Errored, Output::default()),
-                        Answer::Stopped => (RunEnd::Stopped, Output::default()),
+                        Answer::Parts(parts) => (RunOutcome::Completed, composed(&parts)),
+                        Answer::Errored => (RunOutcome::Failed, Output::default()),
+                        Answer::Stopped => (RunOutcome::Cancelled, Output::default()),
                     };
                     events.push(Event::Ended(run, end, output));
                 }
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -137,8 +137,11 @@
     let config = cottondyke::config::Config::parse(&conf.to_string()).unwrap();
     let places = &config.places;
     assert_eq!(places.handlers, ["greet", "order"]);
-    assert_eq!(places.customers, ["club"]);
-    assert_eq!((places.busy, places.runnable), (Some(0), Some(1)));
+    assert_eq!(places.tenants, ["club"]);
+    assert_eq!(
+        (places.cpu_utilization_column, places.runnable_tasks_column),
+        (Some(0), Some(1))
+    );
 }
 
 /// Where the operator's file is held against the configuration or the limits.
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -6,7 +6,7 @@
 use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
 use cottondyke::wire::{http, peers, Malformed, Pending, WireId};
 use cottondyke::work::Output;
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use std::rc::Rc;
 
 const ID: &str = "9b1f03aa5c7e2d41";
@@ -192,10 +192,10 @@
             result,
         } => {
             let end = match end {
-                RunEnd::Done => "finished",
-                RunEnd::Errored => "errored",
-                RunEnd::Stopped => "stopped",
-                RunEnd::Void => "void",
+                RunOutcome::Completed => "finished",
+                RunOutcome::Failed => "errored",
+                RunOutcome::Cancelled => "stopped",
+                RunOutcome::NotStarted => "void",
             };
             let (id, result) = (id.as_str(), result.escape_ascii());
             format!("done {} {id} {end} '{result}'", no.0)
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/leaving.rs
@@ -10,7 +10,7 @@
 use cottondyke::wire::engine::{Command, Notice, NoticeNo};
 use cottondyke::wire::sidecar::{Req, Stream};
 use cottondyke::wire::WireId;
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use cottondyke_types::HandlerId;
 use futures_lite::{future, FutureExt};
 use std::rc::Rc;
@@ -35,7 +35,7 @@
         conf["settings"]["classes"][0]["effect"] = "once".into();
         let config = Rc::new(Config::parse(&conf.to_string()).unwrap());
         let clock = Clock::start();
-        let decider = config.decider(clock.now()).unwrap();
+        let admission = config.admission(clock.now()).unwrap();
         let executor = Rc::new(LocalExecutor::new());
         let (inputs, desk_inputs) = async_channel::unbounded();
         let (engine, commands) = async_channel::unbounded();
@@ -50,7 +50,7 @@
         let room = Room::new(100, 1 << 20);
         let desk = Desk::new(
             config,
-            decider,
+            admission,
             clock,
             executor.clone(),
             inputs.clone(),
@@ -211,7 +211,7 @@
             for event in &order {
                 rig.tell(match event {
                     0 => {
-                        let (no, end) = (NoticeNo(1), RunEnd::Done);
+                        let (no, end) = (NoticeNo(1), RunOutcome::Completed);
                         Input::Notice(Notice::Done {
                             no,
                             id,
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -13,7 +13,7 @@
 use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
 use cottondyke::wire::WireId;
 use cottondyke::work::Output;
-use cottondyke_admission::types::RunEnd;
+use cottondyke_admission::types::RunOutcome;
 use cottondyke_test_support::peers::{frame, payload};
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use quickcheck::{quickcheck, TestResult};
@@ -218,7 +218,7 @@
     let done = Notice::Done {
         no: engine::NoticeNo(3),
         id,
-        end: RunEnd::Stopped,
+        end: RunOutcome::Cancelled,
         result: Vec::new(),
     };
     assert_eq!(out[3], done);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -55,14 +55,14 @@
 /// What decoding needs of the settings: the names of handlers and customers in their order, and where the
 /// gauges that the decider reads stand in each row.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct WireNames {
     pub handlers: Vec<String>,
-    pub customers: Vec<String>,
-    pub busy: Option<usize>,
-    pub runnable: Option<usize>,
+    pub tenants: Vec<String>,
+    pub cpu_utilization_column: Option<usize>,
+    pub runnable_tasks_column: Option<usize>,
 }
 
-pub fn places(conf: &Value) -> Places {
+pub fn wire_names(conf: &Value) -> WireNames {
     let names = conf
         .get("family_info")
         .map_or(&[][..], |info| list(info, "own_stats"));
@@ -76,16 +76,16 @@
         };
         list(conf, key).iter().map(name).collect()
     };
-    let (busy, runnable) = (place("cpu_busy"), place("runnable"));
-    Places {
+    let (cpu_utilization_column, runnable_tasks_column) = (place("cpu_busy"), place("runnable"));
+    WireNames {
         handlers: named("classes"),
-        customers: named("customers"),
-        busy,
-        runnable,
+        tenants: named("customers"),
+        cpu_utilization_column,
+        runnable_tasks_column,
     }
 }
 
-fn kind(class: &Value) -> Result<Idempotency, Wrong> {
+fn idempotency(class: &Value) -> Result<Idempotency, Wrong> {
     match text(class, "effect")? {
         "repeatable" => Ok(Idempotency::Idempotent),
         "by_key" => Ok(Idempotency::Keyed),
@@ -95,26 +95,26 @@
 }
 
 /// The kind of each handler.
-pub fn kinds(conf: &Value) -> Result<Vec<Idempotency>, Wrong> {
-    list(conf, "classes").iter().map(kind).collect()
+pub fn idempotencies(conf: &Value) -> Result<Vec<Idempotency>, Wrong> {
+    list(conf, "classes").iter().map(idempotency).collect()
 }
 
 /// How long a read's answer may be handed to others.
-pub fn fresh(conf: &Value) -> Result<Time, Wrong> {
+pub fn read_cache_ttl(conf: &Value) -> Result<Time, Wrong> {
     conf.get("family_info")
         .map_or(Ok(Time(0)), |info| span(info, "fresh_ms"))
 }
 
 fn handler(place: usize, class: &Value, info: &Value) -> Result<Handler, Wrong> {
     Ok(Handler {
-        kind: kind(class)?,
+        idempotency: idempotency(class)?,
         response_target: span(class, "aim_ms")?.max(Time(1)),
         target_stretch: maybe_number(class, "aim_stretch")?.unwrap_or(0.0),
         client_timeout: span(class, "deadline_ms")?.max(Time(1)),
         value: number(class, "credit")?,
         late_value: maybe_number(class, "late_value")?.unwrap_or(0.0),
-        window: span(class, "dedup_window_ms")?,
-        calls: list(info, "class_calls").get(place).map_or(Ok(true), |v| {
+        dedup_window: span(class, "dedup_window_ms")?,
+        makes_calls: list(info, "class_calls").get(place).map_or(Ok(true), |v| {
             v.as_bool()
                 .ok_or_else(|| format!("class_calls[{place}] is {v}: expected true or false"))
         })?,
@@ -125,7 +125,11 @@
     })
 }
 
-pub fn decider(now: Time, seed: u64, conf: &Value) -> Result<Decider, Wrong> {
+pub fn admission_controller(
+    now: Time,
+    seed: u64,
+    conf: &Value,
+) -> Result<AdmissionController, Wrong> {
     let part = |key: &str| {
         conf.get(key)
             .filter(|v| v.is_object())
@@ -158,16 +162,16 @@
         1.0
     };
     let halting = match text(info, "preemption")? {
-        "none" => Halting::Never,
-        "drop" => Halting::Drop,
-        "pause" => Halting::Pause,
+        "none" => Cancellation::Never,
+        "drop" => Cancellation::Drop,
+        "pause" => Cancellation::Pause,
         other => return Err(format!("unknown preemption {other}")),
     };
     let reading = match text(info, "advert")? {
-        "none" => Reading::Unused,
-        "bias" => Reading::Share,
-        "tokens" => Reading::Credit,
-        "min_rank" => Reading::Rank,
+        "none" => AdviceFormat::Unused,
+        "bias" => AdviceFormat::Share,
+        "tokens" => AdviceFormat::Credit,
+        "min_rank" => AdviceFormat::Rank,
         other => return Err(format!("unknown advert {other}")),
     };
     let longest_pause = if flag(policy, "retry_after") {
@@ -186,28 +190,28 @@
         _ => None,
     };
     let told = maybe_number(info, "upstreams")?.unwrap_or(1.0);
-    let callers = Callers::new(now, told, span(info, "heeded_ms")?, span(info, "idle_ms")?);
-    let pool = Pool::new(now, cores, factor, first, span(rules, "warm_within_ms")?);
-    let memory = Memory {
+    let callers = CallerTracker::new(now, told, span(info, "heeded_ms")?, span(info, "idle_ms")?);
+    let pool = ConcurrencyLimit::new(now, cores, factor, first, span(rules, "warm_within_ms")?);
+    let memory = MemoryLimits {
         limit: number(info, "mem_limit_kb")?,
-        blowup: maybe_number(info, "blowup")?.unwrap_or(1.0),
+        running_factor: maybe_number(info, "blowup")?.unwrap_or(1.0),
         per_key: maybe_number(info, "kb_per_key")?.unwrap_or(0.0),
     };
-    Ok(Decider::new(
+    Ok(AdmissionController::new(
         span(conf, "resolution_ms")?.max(Time(1)),
-        Hold::new(&handlers, &quotas, fleet, over_share, by_work, weights),
+        PriorityWeights::new(&handlers, &quotas, fleet, over_share, by_work, weights),
         pool,
-        Threshold::new(interval, halting, &handlers),
-        Costs::new(now, &handlers, first),
+        TerminationThreshold::new(interval, halting, &handlers),
+        CostEstimator::new(now, &handlers, first),
         memory,
-        Calls::new(
+        CallLimiter::new(
             share,
             span(info, "calls_over_ms")?,
             span(info, "linger_ms")?,
             cores,
         ),
         span(rules, "drain_grace_ms")?,
-        Advice::new(
+        LoadAdvisor::new(
             reading,
             callers,
             longest_pause,
