--- a/crates/chaos/src/world.rs
+++ b/crates/chaos/src/world.rs
@@ -1,12 +1,12 @@
 //! A simulated world for the cores of many instances: messages, clocks, disks and crashes from one seed. It plays
-//! what `cottondyke_cluster::Instance` decides, and counts units in use where they are used; after every step it holds
+//! what `cottondyke_cluster::ClusterNode` decides, and counts units in use where they are used; after every step it holds
 //! their sum against the whole. The same seed plays the same run.
 use crate::outcome::Outcome;
 use crate::Usage as Options;
-use cottondyke_cluster::{Change, Effect, Instance, Setup};
-use cottondyke_consensus::{KeeperId, Saved, Write};
-use cottondyke_membership::Standing;
-use cottondyke_quota::{Defences, Holder, Terms, Usage};
+use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
+use cottondyke_consensus::{PersistedState, ReplicaId, StorageOperation};
+use cottondyke_membership::MemberState;
+use cottondyke_quota::{Holder, LeaseConfig, Safeguards, Usage};
 use cottondyke_types::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -34,7 +34,7 @@
     /// Faults are drawn until then; from there to the end the world is quiet.
     pub trouble: i64,
     pub end: i64,
-    pub defences: Defences,
+    pub defences: Safeguards,
     /// Parts of messages that are lost, and that come twice, in times of trouble.
     pub loss: f64,
     /// Whether needs stay as they are.
@@ -51,7 +51,7 @@
             whole: random.u32(members as u32 / 2..=members as u32 * 6),
             trouble: 30 * S,
             end: 30 * S + LEASE + 3 * S + LINGER,
-            defences: Defences::default(),
+            defences: Safeguards::default(),
             loss: random.f64() * 0.3,
             still: false,
         }
@@ -111,12 +111,12 @@
     name: String,
     addr: SocketAddr,
     life: u64,
-    instance: Option<Instance>,
+    instance: Option<ClusterNode>,
     /// Its clock: where it stood when the world began, and how fast it runs.
     clock: (i64, f64),
     stopped: bool,
-    disk: Option<Saved>,
-    unstored: VecDeque<Write>,
+    disk: Option<PersistedState>,
+    unstored: VecDeque<StorageOperation>,
     held: BTreeSet<u64>,
     need: u32,
     /// Whether it was stopped between a look at its share that allowed a call and the sending of it.
@@ -185,7 +185,7 @@
                 instance: None,
                 clock,
                 stopped: false,
-                disk: keeps.then(|| Saved::new(KeeperId(place as u64 + 1))),
+                disk: keeps.then(|| PersistedState::new(ReplicaId(place as u64 + 1))),
                 unstored: VecDeque::new(),
                 held: BTreeSet::new(),
                 need: 0,
@@ -233,31 +233,31 @@
                 ([10, 0, (place / 250) as u8, (place % 250) as u8], 7_000).into(),
             );
         }
-        let terms = Terms {
-            lease: Time(LEASE),
-            slip: Time(SLIP),
-            defences: self.rules.defences,
+        let terms = LeaseConfig {
+            lease_duration: Time(LEASE),
+            max_process_pause: Time(SLIP),
+            safeguards: self.rules.defences,
         };
         let node = &self.nodes[place];
-        let setup = Setup {
-            me: Holder {
+        let setup = NodeConfig {
+            holder: Holder {
                 name: node.name.clone(),
-                life,
+                incarnation: life,
             },
-            former: node.former,
-            keepers,
+            previous_incarnation: node.former,
+            replicas: keepers,
             zone: format!("z{}", place % 3),
             addr: node.addr,
-            probe: Time(PROBE),
-            suspicion: true,
-            wholes: [BUDGET, BESIDE]
+            probe_interval: Time(PROBE),
+            suspicion_enabled: true,
+            budgets: [BUDGET, BESIDE]
                 .map(|name| (name.to_string(), self.rules.whole, Time(LINGER)))
                 .into(),
-            terms,
+            lease_config: terms,
             seed: self.random.u64(..),
         };
         let instance =
-            Instance::new(setup, node.disk.as_ref()).expect("what was written can be read");
+            ClusterNode::new(setup, node.disk.as_ref()).expect("what was written can be read");
         let node = &mut self.nodes[place];
         (node.life, node.instance, node.stopped) = (life, Some(instance), false);
         node.held.clear();
@@ -277,13 +277,13 @@
         Some(high as usize * 250 + low as usize).filter(|place| *place < self.nodes.len())
     }
 
-    fn carry(&mut self, place: usize, effects: Vec<Effect>) {
+    fn carry(&mut self, place: usize, effects: Vec<Output>) {
         let from = self.nodes[place].addr;
         for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => self.send(place, from, to, bytes, false),
-                Effect::Datagram { to, bytes } => self.send(place, from, to, bytes, true),
-                Effect::Store(write) => {
+                Output::Send { to, bytes } => self.send(place, from, to, bytes, false),
+                Output::Datagram { to, bytes } => self.send(place, from, to, bytes, true),
+                Output::Store(write) => {
                     let life = self.nodes[place].life;
                     self.nodes[place].unstored.push_back(write);
                     let slow = self.random.f64() < 0.01;
@@ -294,9 +294,9 @@
                     };
                     self.push(self.now + took, Event::Stored { node: place, life });
                 }
-                Effect::Tell(change) => {
+                Output::Notify(change) => {
                     let quiet = self.now > self.rules.trouble;
-                    if self.log && (quiet || !matches!(change, Change::Share { .. })) {
+                    if self.log && (quiet || !matches!(change, ClusterEvent::QuotaChanged { .. })) {
                         eprintln!(
                             "{:>9.1} ms {}: {change:?}",
                             self.now as f64 / 10.0,
@@ -306,7 +306,10 @@
                 }
             }
         }
-        let at = self.nodes[place].instance.as_ref().map(Instance::next);
+        let at = self.nodes[place]
+            .instance
+            .as_ref()
+            .map(ClusterNode::next_timer);
         if let Some(at) = at
             .map(|at| self.real(place, at))
             .filter(|at| *at < self.nodes[place].timer)
@@ -380,25 +383,25 @@
         let held = self.nodes[place].held.len() as u32;
         let need = self.nodes[place].need;
         let usage = Usage {
-            held,
-            need,
+            in_use: held,
+            needed: need,
             weight: 1.0 + (place % 3) as f64,
         };
         let Some(instance) = &mut self.nodes[place].instance else {
             return;
         };
-        instance.used(BUDGET, usage);
-        instance.used(
+        instance.record_usage(BUDGET, usage);
+        instance.record_usage(
             BESIDE,
             Usage {
-                held: 0,
-                need: usage.need,
+                in_use: 0,
+                needed: usage.needed,
                 weight: 1.0,
             },
         );
-        let effects = instance.timer(now);
+        let effects = instance.handle_timer(now);
         let room = instance
-            .ceiling(now, BUDGET)
+            .available_quota(now, BUDGET)
             .saturating_sub(held)
             .min(need.saturating_sub(held));
         self.carry(place, effects);
@@ -444,7 +447,10 @@
             4..=6 if self.nodes[place].instance.is_some() && !self.nodes[place].stopped => {
                 let now = self.local(place);
                 let node = &mut self.nodes[place];
-                let room = node.instance.as_ref().map_or(0, |i| i.ceiling(now, BUDGET))
+                let room = node
+                    .instance
+                    .as_ref()
+                    .map_or(0, |i| i.available_quota(now, BUDGET))
                     > node.held.len() as u32;
                 (node.stopped, node.slips) = (true, room && self.random.bool());
                 let until = (self.now + self.random.i64(100 * MS..20 * S)).min(self.rules.trouble);
@@ -475,7 +481,7 @@
         if self.random.f64() < 0.3 {
             self.nodes[place].former = None;
             if keeps && self.may_lose(place) {
-                self.nodes[place].disk = Some(Saved::new(KeeperId(self.random.u64(1..))));
+                self.nodes[place].disk = Some(PersistedState::new(ReplicaId(self.random.u64(1..))));
             }
         }
         let back = (self.now + self.random.i64(50 * MS..8 * S)).min(self.rules.trouble);
@@ -492,8 +498,8 @@
             .iter()
             .filter(|n| !n.stopped)
             .filter_map(|n| n.instance.as_ref())
-            .find(|i| i.leads());
-        let Some(voters) = leader.map(Instance::voters) else {
+            .find(|i| i.is_leader());
+        let Some(voters) = leader.map(ClusterNode::voters) else {
             return false;
         };
         let disk = |n: &Node| {
@@ -546,9 +552,9 @@
                     return;
                 };
                 let effects = if alone {
-                    instance.datagram(now, &bytes)
+                    instance.handle_datagram(now, &bytes)
                 } else {
-                    instance.heard(now, from, &bytes)
+                    instance.handle_message(now, from, &bytes)
                 };
                 self.carry(place, effects);
             }
@@ -558,7 +564,7 @@
                 let Some(instance) = &mut self.nodes[node].instance else {
                     return;
                 };
-                let effects = instance.timer(now);
+                let effects = instance.handle_timer(now);
                 self.carry(node, effects);
             }
             Event::Look { node, life }
@@ -586,7 +592,7 @@
                 let Some(instance) = &mut self.nodes[node].instance else {
                     return;
                 };
-                let effects = instance.stored(now, number);
+                let effects = instance.handle_stored(now, number);
                 self.carry(node, effects);
             }
             Event::Ended(number) => {
@@ -620,7 +626,7 @@
         let ceiling = node
             .instance
             .as_ref()
-            .map(|i| i.ceiling(self.local(place), BUDGET));
+            .map(|i| i.available_quota(self.local(place), BUDGET));
         ceiling.unwrap_or(0).max(node.held.len() as u32)
     }
 
@@ -645,19 +651,21 @@
             .nodes
             .iter()
             .filter_map(|n| n.instance.as_ref())
-            .find(|i| i.leads());
+            .find(|i| i.is_leader());
         let shares = leader
-            .and_then(Instance::table)
+            .and_then(ClusterNode::quota_table)
             .and_then(|t| t.budgets.get(BUDGET))
-            .map(|w| &w.shares);
+            .map(|w| &w.quotas);
         let mut text = format!("  {:?}\n", leader.map(|l| l.targets(BUDGET)));
         for (place, node) in self.nodes.iter().enumerate() {
             let used = self.calls.values().filter(|p| **p == place).count();
             let now = self.local(place);
-            let cap = node
-                .instance
-                .as_ref()
-                .map(|i| (i.ceiling(now, BUDGET), i.shares().epoch(BUDGET).0));
+            let cap = node.instance.as_ref().map(|i| {
+                (
+                    i.available_quota(now, BUDGET),
+                    i.lease_holder().epoch(BUDGET).0,
+                )
+            });
             let of = |h: &&Holder| h.name == node.name;
             let table: Vec<_> = shares
                 .into_iter()
@@ -716,19 +724,19 @@
         let leader = live
             .iter()
             .filter_map(|p| self.nodes[*p].instance.as_ref())
-            .find(|i| i.leads());
-        let Some(table) = leader.and_then(Instance::table) else {
+            .find(|i| i.is_leader());
+        let Some(table) = leader.and_then(ClusterNode::quota_table) else {
             return Err("no keeper leads at the end".to_string());
         };
         for place in &live {
             let list = self.nodes[*place]
                 .instance
                 .as_ref()
-                .map(Instance::list)
+                .map(ClusterNode::members)
                 .unwrap_or_default();
             let mut listed: Vec<&str> = list
                 .iter()
-                .filter(|l| l.standing != Standing::Dead)
+                .filter(|l| l.state != MemberState::Dead)
                 .map(|l| l.name.as_str())
                 .collect();
             listed.sort();
@@ -744,17 +752,17 @@
                 ));
             }
         }
-        let voters = leader.map(Instance::voters).unwrap_or_default();
+        let voters = leader.map(ClusterNode::voters).unwrap_or_default();
         let disks = self
             .nodes
             .iter()
             .filter_map(|n| n.disk.as_ref())
             .map(|disk| disk.id);
         if voters.len() != self.rules.keepers || !disks.clone().all(|id| voters.contains(&id)) {
-            let disks: Vec<KeeperId> = disks.collect();
+            let disks: Vec<ReplicaId> = disks.collect();
             return Err(format!("the voters are {voters:?}, the disks {disks:?}"));
         }
-        let shares = table.budgets.get(BUDGET).map(|whole| whole.shares.values());
+        let shares = table.budgets.get(BUDGET).map(|whole| whole.quotas.values());
         ran.kept_back = shares
             .into_iter()
             .flatten()
@@ -786,7 +794,7 @@
         end: 100_000 * S,
         still: true,
         loss: 0.0,
-        defences: Defences::default(),
+        defences: Safeguards::default(),
     };
     let mut world = World::new(seed, rules, false);
     let settled = 20 * S + members as i64 * S / 50;
@@ -802,10 +810,10 @@
             .nodes
             .iter()
             .filter_map(|n| n.instance.as_ref())
-            .map(Instance::list);
+            .map(ClusterNode::members);
         lists
             .flatten()
-            .any(|one| one.name == name && one.standing != Standing::Dead)
+            .any(|one| one.name == name && one.state != MemberState::Dead)
     };
     while listed(&world) && world.now < start + 60 * S {
         world.advance(world.now + 250 * MS)?;
@@ -858,11 +866,11 @@
 pub fn play(usage: &Options) -> std::io::Result<Outcome> {
     let off = usage.off(&["lease", "fence", "linger", "need"])?;
     let on = |name: &str| !off.contains(&name);
-    let defences = Defences {
+    let defences = Safeguards {
         lease: on("lease"),
         fence: on("fence"),
-        linger: on("linger"),
-        need: on("need"),
+        post_cancel_grace: on("linger"),
+        demand: on("need"),
     };
     let next = AtomicU64::new(usage.seed);
     let end = usage.seed + usage.count;
--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -1,8 +1,11 @@
 //! The bytes of what instances say to each other and propose to the registry, as the versions in use write them.
-use cottondyke_cluster::{Agreed, Word};
-use cottondyke_consensus::{KeeperId, Seek, State};
-use cottondyke_membership::{Effect, Listed, Member, Peers, Standing};
-use cottondyke_quota::{Ask, Command, Epoch, Holder, Nonce, Reply, Share, Table, Told, Want};
+use cottondyke_cluster::{Message, QuotaStateMachine};
+use cottondyke_consensus::{BootstrapProbe, ReplicaId, StateMachine};
+use cottondyke_membership::{Effect, Member, MemberState, MemberStatus, Membership};
+use cottondyke_quota::{
+    Command, Demand, Epoch, GrantedQuota, Holder, LeaseRequest, LeaseResponse, Nonce, Quota,
+    QuotaTable,
+};
 use cottondyke_types::Time;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
@@ -22,20 +25,23 @@
     assert!(postcard::from_bytes::<T>(&bytes(literal)).unwrap() == *value);
 }
 
-fn same_word(word: &Word, literal: &str) {
+fn same_word(word: &Message, literal: &str) {
     assert_eq!(hex(&word.encode()), literal);
-    assert!(Word::decode(&bytes(literal)).as_ref() == Some(word));
+    assert!(Message::decode(&bytes(literal)).as_ref() == Some(word));
 }
 
 fn holder(name: &str, life: u64) -> Holder {
     let name = name.to_string();
-    Holder { name, life }
+    Holder {
+        name,
+        incarnation: life,
+    }
 }
 
 fn commands() -> [Command; 6] {
     let (budget, whole) = ("db".to_string(), "db".to_string());
     let (a, b) = (holder("a", 300), holder("b", 7));
-    let raise = |holder: &Holder, to, was| Command::Raise {
+    let raise = |holder: &Holder, to, was| Command::RaiseQuota {
         budget: budget.clone(),
         holder: holder.clone(),
         to,
@@ -43,20 +49,20 @@
     };
     [
         Command::Open,
-        Command::Whole {
+        Command::SetBudget {
             budget: whole,
             units: 200,
-            linger: 5000,
+            post_cancel_grace: 5000,
         },
         raise(&a, 9, None),
         raise(&b, 130, None),
-        Command::Lower {
+        Command::LowerQuota {
             budget: budget.clone(),
             holder: a.clone(),
             to: 5,
             was: Epoch(1),
         },
-        Command::Fence {
+        Command::FenceHolder {
             budget: budget.clone(),
             holder: b.clone(),
             keep: 3,
@@ -78,7 +84,7 @@
     for (command, literal) in commands().iter().zip(literals) {
         same(command, literal);
     }
-    let again = Command::Raise {
+    let again = Command::RaiseQuota {
         budget: "db".into(),
         holder: holder("a", 300),
         to: 12,
@@ -89,20 +95,20 @@
 
 #[test]
 fn keeps_the_same_table_when_commands_are_applied() {
-    let mut agreed = Agreed::default();
+    let mut agreed = QuotaStateMachine::default();
     for command in commands() {
         agreed.apply(&postcard::to_allocvec(&command).unwrap());
     }
     let literal = "0101026462c801904e020161ac0205010001620703030103";
-    assert_eq!(hex(&agreed.save()), literal);
-    let mut restored = Agreed::default();
+    assert_eq!(hex(&agreed.snapshot()), literal);
+    let mut restored = QuotaStateMachine::default();
     assert!(restored.restore(&bytes(literal)));
     same(&restored.0, literal);
-    let table: &Table = &restored.0;
+    let table: &QuotaTable = &restored.0;
     assert!(table.open && table.budgets.len() == 1);
     let whole = &table.budgets["db"];
-    assert_eq!((whole.units, whole.linger), (200, 5000));
-    let share = |amount, epoch, fenced| Share {
+    assert_eq!((whole.units, whole.post_cancel_grace), (200, 5000));
+    let share = |amount, epoch, fenced| Quota {
         amount,
         epoch: Epoch(epoch),
         fenced,
@@ -111,100 +117,105 @@
         (holder("a", 300), share(5, 1, false)),
         (holder("b", 7), share(3, 3, true)),
     ];
-    assert!(whole.shares == BTreeMap::from(shares));
+    assert!(whole.quotas == BTreeMap::from(shares));
     // The last epoch is kept too: the next one counts on.
-    let next = Command::Raise {
+    let next = Command::RaiseQuota {
         budget: "db".into(),
         holder: holder("c", 1),
         to: 1,
         was: None,
     };
     restored.apply(&postcard::to_allocvec(&next).unwrap());
-    assert!(restored.0.budgets["db"].shares[&holder("c", 1)].epoch == Epoch(4));
+    assert!(restored.0.budgets["db"].quotas[&holder("c", 1)].epoch == Epoch(4));
 }
 
 #[test]
 fn encodes_the_same_words() {
-    let want = Want {
+    let want = Demand {
         budget: "db".into(),
-        need: 12,
+        needed: 12,
         weight: 2.5,
-        holds: 200,
+        retained: 200,
         epoch: Epoch(4),
     };
-    let ask = |former| Ask {
+    let ask = |former| LeaseRequest {
         holder: holder("a", 300),
         nonce: Nonce(6),
-        former,
-        wants: vec![want.clone()],
+        previous_incarnation: former,
+        demands: vec![want.clone()],
     };
-    let told = Told {
+    let told = GrantedQuota {
         budget: "db".into(),
         epoch: Epoch(5),
         amount: 11,
     };
-    let reply = Reply {
+    let reply = LeaseResponse {
         holder: holder("b", 7),
         nonce: Nonce(8),
-        told: vec![told.clone()],
+        granted: vec![told.clone()],
     };
-    let seek = Seek {
+    let seek = BootstrapProbe {
         name: "k".into(),
-        id: KeeperId(513),
+        id: ReplicaId(513),
     };
-    let keepers = [(KeeperId(1), "a".to_string()), (KeeperId(2), "b".into())];
+    let keepers = [(ReplicaId(1), "a".to_string()), (ReplicaId(2), "b".into())];
     same(&want, "0264620c0000000000000440c80104");
     same(&told, "026462050b");
     same_word(
-        &Word::Ask(ask(None)),
+        &Message::LeaseRequest(ask(None)),
         "01000161ac020600010264620c0000000000000440c80104",
     );
     same_word(
-        &Word::Ask(ask(Some(299))),
+        &Message::LeaseRequest(ask(Some(299))),
         "01000161ac020601ab02010264620c0000000000000440c80104",
     );
-    same_word(&Word::Reply(reply), "01010162070801026462050b");
-    same_word(&Word::Elsewhere(None), "010200");
-    same_word(&Word::Elsewhere(Some("k".into())), "010201016b");
+    same_word(&Message::LeaseResponse(reply), "01010162070801026462050b");
+    same_word(&Message::NotLeader(None), "010200");
+    same_word(&Message::NotLeader(Some("k".into())), "010201016b");
     same_word(
-        &Word::Raft(KeeperId(300), vec![1, 2, 255]),
+        &Message::Raft(ReplicaId(300), vec![1, 2, 255]),
         "0103ac02030102ff",
     );
-    same_word(&Word::Seek(seek), "0104016b8104");
-    same_word(&Word::Found(BTreeMap::from(keepers)), "010502010161020162");
-    same_word(&Word::Look, "0106");
+    same_word(&Message::BootstrapProbe(seek), "0104016b8104");
+    same_word(
+        &Message::Bootstrapped(BTreeMap::from(keepers)),
+        "010502010161020162",
+    );
+    same_word(&Message::StatusRequest, "0106");
 }
 
 #[test]
 fn reads_the_same_view() {
     let literal = "01070161ac0201016b01040161027a61ac02000162027a6207010163027a6308020164027a64\
                    0903000901026462c801010264629003e80701036223378201020101037061790363233803b401";
-    let Some(Word::View(view)) = Word::decode(&bytes(literal)) else {
+    let Some(Message::Status(view)) = Message::decode(&bytes(literal)) else {
         panic!("no view");
     };
-    assert!(view.name == "a" && view.life == 300 && view.leader.as_deref() == Some("k"));
-    assert!(view.leads && !view.keeps && view.lease_ms == -5);
-    let listed = |name: &str, life, standing| Listed {
+    assert!(view.name == "a" && view.incarnation == 300 && view.leader.as_deref() == Some("k"));
+    assert!(view.is_leader && !view.is_replica && view.lease_ms == -5);
+    let listed = |name: &str, life, standing| MemberStatus {
         name: name.into(),
         zone: format!("z{name}"),
-        life,
-        standing,
+        incarnation: life,
+        state: standing,
     };
     let members = [
-        listed("a", 300, Standing::Alive),
-        listed("b", 7, Standing::Suspect),
-        listed("c", 8, Standing::Leaving),
-        listed("d", 9, Standing::Dead),
+        listed("a", 300, MemberState::Alive),
+        listed("b", 7, MemberState::Suspect),
+        listed("c", 8, MemberState::Leaving),
+        listed("d", 9, MemberState::Dead),
     ];
     assert!(view.members == members);
-    assert!(view.shares == [("db".to_string(), 200)]);
-    let (budget, held) = (&view.budgets[0], &view.held_back[0]);
-    assert!(view.budgets.len() == 1 && view.held_back.len() == 1 && budget.shares.len() == 1);
-    assert!(budget.name == "db" && budget.whole == 400 && budget.linger_ms == 500);
-    let share = &budget.shares[0];
+    assert!(view.quotas == [("db".to_string(), 200)]);
+    let (budget, held) = (&view.budgets[0], &view.quarantined[0]);
+    assert!(view.budgets.len() == 1 && view.quarantined.len() == 1 && budget.quotas.len() == 1);
+    assert!(budget.name == "db" && budget.units == 400 && budget.post_cancel_grace_ms == 500);
+    let share = &budget.quotas[0];
     assert!(share.holder == "b#7" && share.amount == 130 && share.epoch == 2 && share.fenced);
-    assert!(held.budget == "pay" && held.holder == "c#8" && held.units == 3 && held.for_ms == 90);
-    assert_eq!(hex(&Word::View(view.clone()).encode()), literal);
+    assert!(
+        held.budget == "pay" && held.holder == "c#8" && held.units == 3 && held.remaining_ms == 90
+    );
+    assert_eq!(hex(&Message::Status(view.clone()).encode()), literal);
 }
 
 fn member(name: &str, host: u8) -> Member {
@@ -212,8 +223,8 @@
         name: name.into(),
         zone: "z".into(),
         addr: ([10, 0, 0, host], 7000).into(),
-        life: 300,
-        turn: 2,
+        incarnation: 300,
+        version: 2,
         leaving: false,
     }
 }
@@ -227,9 +238,9 @@
     };
     same(&leaving, "0161017a000a000001d836ac020201");
     let seeds = vec![("b".to_string(), ([10, 0, 0, 2], 7000).into())];
-    let mut peers = Peers::new(member("a", 1), seeds, Time(5000), true, 1);
+    let mut peers = Membership::new(member("a", 1), seeds, Time(5000), true, 1);
     let announce = "0161017a000a000001d836ac02020000016200000a000002d83600000006";
-    let effects = peers.timer(Time(0));
+    let effects = peers.handle_timer(Time(0));
     assert!(effects.len() == 1);
     let Effect::Send { to, bytes: sent } = &effects[0] else {
         panic!("nothing sent");
@@ -237,14 +248,14 @@
     assert_eq!(*to, ([10, 0, 0, 2], 7000).into());
     assert_eq!(hex(sent), announce);
     // Who hears it takes the speaker into its list.
-    let mut hears = Peers::new(member("b", 2), Vec::new(), Time(5000), true, 1);
-    let (effects, read) = hears.heard(Time(0), &bytes(announce));
-    assert!(read && effects.contains(&Effect::Up(member("a", 1))));
-    let listed = Listed {
+    let mut hears = Membership::new(member("b", 2), Vec::new(), Time(5000), true, 1);
+    let (effects, read) = hears.handle_datagram(Time(0), &bytes(announce));
+    assert!(read && effects.contains(&Effect::MemberUp(member("a", 1))));
+    let listed = MemberStatus {
         name: "a".into(),
         zone: "z".into(),
-        life: 300,
-        standing: Standing::Alive,
+        incarnation: 300,
+        state: MemberState::Alive,
     };
-    assert!(hears.list()[1] == listed);
+    assert!(hears.members()[1] == listed);
 }
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,7 +1,7 @@
 //! How a registry begins, and how a keeper without a state comes to one. Nobody begins a registry alone: the first
 //! keeper in the file's order founds it, only once all others said that they have none either, and writes the set
 //! down before it tells anyone.
-use crate::KeeperId;
+use crate::ReplicaId;
 use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -13,22 +13,22 @@
 
 /// "I have no state": the name and number of who says so.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seek {
+pub struct BootstrapProbe {
     pub name: String,
-    pub id: KeeperId,
+    pub id: ReplicaId,
 }
 
 #[derive(Debug)]
-pub struct Founding {
-    me: Seek,
-    heard: BTreeMap<String, (KeeperId, Time)>,
+pub struct Bootstrap {
+    me: BootstrapProbe,
+    heard: BTreeMap<String, (ReplicaId, Time)>,
     next: Time,
 }
 
-impl Founding {
-    pub fn new(name: &str, id: KeeperId) -> Self {
-        Founding {
-            me: Seek {
+impl Bootstrap {
+    pub fn new(name: &str, id: ReplicaId) -> Self {
+        Bootstrap {
+            me: BootstrapProbe {
                 name: name.to_string(),
                 id,
             },
@@ -38,7 +38,7 @@
     }
 
     /// What to say to all other keepers now, if it is time.
-    pub fn seek(&mut self, now: Time) -> Option<Seek> {
+    pub fn next_probe(&mut self, now: Time) -> Option<BootstrapProbe> {
         if now < self.next {
             return None;
         }
@@ -47,21 +47,25 @@
     }
 
     /// Another keeper has no state either. The founding set, where this one founds: `names` are the file's keepers.
-    pub fn heard(
+    pub fn handle_probe(
         &mut self,
         now: Time,
-        seek: &Seek,
+        seek: &BootstrapProbe,
         names: &[String],
-    ) -> Option<BTreeMap<KeeperId, String>> {
+    ) -> Option<BTreeMap<ReplicaId, String>> {
         if !names.contains(&seek.name) || seek.name == self.me.name {
             return None;
         }
         self.heard.insert(seek.name.clone(), (seek.id, now));
-        self.founds(now, names)
+        self.initial_members(now, names)
     }
 
     /// The set, where this keeper is the first in order and all others were heard lately.
-    pub fn founds(&self, now: Time, names: &[String]) -> Option<BTreeMap<KeeperId, String>> {
+    pub fn initial_members(
+        &self,
+        now: Time,
+        names: &[String],
+    ) -> Option<BTreeMap<ReplicaId, String>> {
         if names.iter().min() != Some(&self.me.name) {
             return None;
         }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! The log in memory, as raft reads it. What raft was told to be stored stands here at once; whether it is on disk
 //! is the keeper's matter.
-use crate::write::Saved;
+use crate::storage::PersistedState;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
@@ -19,9 +19,9 @@
 }
 
 impl Log {
-    pub fn restored(saved: &Saved) -> Result<Self> {
+    pub fn restored(saved: &PersistedState) -> Result<Self> {
         let mut log = Log::default();
-        if let Some(hard) = &saved.hard {
+        if let Some(hard) = &saved.hard_state {
             log.hard = HardState::parse_from_bytes(hard).map_err(broken)?;
         }
         if let Some((_, bytes)) = &saved.snapshot {
--- a/crates/consensus/src/keeper.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,8 +1,8 @@
 //! One replica of the table. The leader proposes, all apply in one order; reads of the leader are confirmed by a
 //! majority before they count.
 use crate::log::Log;
-use crate::write::{Saved, Write};
-use crate::KeeperId;
+use crate::storage::{PersistedState, StorageOperation};
+use crate::ReplicaId;
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, Entry, EntryType,
@@ -27,9 +27,9 @@
 const CHANGE_TICKS: u64 = 10;
 
 /// What is agreed on: changed by `apply` alone.
-pub trait State {
+pub trait StateMachine {
     fn apply(&mut self, command: &[u8]);
-    fn save(&self) -> Vec<u8>;
+    fn snapshot(&self) -> Vec<u8>;
     /// False where it cannot be read: the keeper then stops.
     fn restore(&mut self, bytes: &[u8]) -> bool;
 }
@@ -37,22 +37,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Send {
-        to: KeeperId,
+        to: ReplicaId,
         bytes: Vec<u8>,
     },
     /// To be carried out in this order; then `stored` is called with its number.
-    Store(Write),
+    Store(StorageOperation),
     /// Leadership in which this keeper may act began or ended.
-    Leads(bool),
+    LeadershipChanged(bool),
     /// This keeper led after the reading was asked for, and all that was agreed by then is applied.
-    Confirmed(u64),
+    ReadIndexConfirmed(u64),
     /// Commands were applied.
     Applied,
 }
 
 /// Why a proposal was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum ProposalRejected {
     NotLeading,
     TooLarge,
     Full,
@@ -61,16 +61,16 @@
 /// What a snapshot holds beside raft's own.
 #[derive(Serialize, Deserialize)]
 struct Image {
-    names: BTreeMap<KeeperId, String>,
+    names: BTreeMap<ReplicaId, String>,
     state: Vec<u8>,
 }
 
-pub struct Keeper<S: State> {
+pub struct Replica<S: StateMachine> {
     raw: RawNode<Log>,
     pub state: S,
-    id: KeeperId,
-    names: BTreeMap<KeeperId, String>,
-    founders: BTreeMap<KeeperId, String>,
+    id: ReplicaId,
+    names: BTreeMap<ReplicaId, String>,
+    founders: BTreeMap<ReplicaId, String>,
     applied: u64,
     /// Writes that are not on disk yet, with the words that wait for each.
     unstored: VecDeque<(u64, Vec<Message>)>,
@@ -95,32 +95,32 @@
     message.write_to_bytes().unwrap_or_default()
 }
 
-impl<S: State> Keeper<S> {
+impl<S: StateMachine> Replica<S> {
     /// The first state of a registry that these keepers found; a write for the disk of each.
-    pub fn founded(set: &BTreeMap<KeeperId, String>, state: &S) -> Write {
+    pub fn bootstrap_operation(set: &BTreeMap<ReplicaId, String>, state: &S) -> StorageOperation {
         let mut snapshot = Snapshot::default();
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (1, 1);
         meta.mut_conf_state().voters = set.keys().map(|id| id.0).collect();
         let image = Image {
             names: set.clone(),
-            state: state.save(),
+            state: state.snapshot(),
         };
         snapshot.data = postcard::to_allocvec(&image).unwrap_or_default().into();
         let mut hard = raft::eraftpb::HardState::default();
         (hard.term, hard.commit) = (1, 1);
         let (hard, snapshot) = (Some(encoded(&hard)), Some((1, encoded(&snapshot))));
-        Write {
+        StorageOperation {
             number: 0,
-            hard,
+            hard_state: hard,
             snapshot,
             entries: Vec::new(),
-            founders: Some(set.clone()),
+            bootstrap_members: Some(set.clone()),
         }
     }
 
     /// From what is on disk; without a snapshot it stands outside, and joins by what the leader sends.
-    pub fn open(saved: &Saved, mut state: S, seed: u64) -> Result<Self, String> {
+    pub fn open(saved: &PersistedState, mut state: S, seed: u64) -> Result<Self, String> {
         let log =
             Log::restored(saved).map_err(|e| format!("the keeper's log cannot be read: {e}"))?;
         let base = log.snapshot.get_metadata().index;
@@ -152,12 +152,12 @@
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(&config, log, &logger)
             .map_err(|e| format!("the keeper cannot start: {e}"))?;
-        let mut keeper = Keeper {
+        let mut keeper = Replica {
             raw,
             state,
             id: saved.id,
             names,
-            founders: saved.founders.clone().unwrap_or_default(),
+            founders: saved.bootstrap_members.clone().unwrap_or_default(),
             applied: base,
             unstored: VecDeque::new(),
             writes: 0,
@@ -176,20 +176,20 @@
         Ok(keeper)
     }
 
-    pub fn id(&self) -> KeeperId {
+    pub fn id(&self) -> ReplicaId {
         self.id
     }
 
     /// Whether it has a state at all; one without seeks a registry to found or to join.
-    pub fn has_state(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.raw.store().snapshot.get_metadata().index > 0
     }
 
-    pub fn names(&self) -> &BTreeMap<KeeperId, String> {
+    pub fn member_names(&self) -> &BTreeMap<ReplicaId, String> {
         &self.names
     }
 
-    pub fn founders(&self) -> &BTreeMap<KeeperId, String> {
+    pub fn bootstrap_members(&self) -> &BTreeMap<ReplicaId, String> {
         &self.founders
     }
 
@@ -198,22 +198,22 @@
     }
 
     /// Who leads as far as this keeper knows.
-    pub fn leader(&self) -> Option<KeeperId> {
-        Some(KeeperId(self.raw.raft.leader_id)).filter(|id| id.0 != 0)
+    pub fn leader(&self) -> Option<ReplicaId> {
+        Some(ReplicaId(self.raw.raft.leader_id)).filter(|id| id.0 != 0)
     }
 
     /// Whether it leads, and has applied an entry of its own term: only then it knows all that was agreed.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leads
     }
 
-    pub fn voters(&self) -> Vec<KeeperId> {
+    pub fn voters(&self) -> Vec<ReplicaId> {
         let conf = self.raw.raft.prs().conf().to_conf_state();
-        conf.voters.iter().map(|id| KeeperId(*id)).collect()
+        conf.voters.iter().map(|id| ReplicaId(*id)).collect()
     }
 
     /// The log or the disk is broken: this keeper takes part in nothing any longer.
-    pub fn is_broken(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.broken
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// A word of another keeper; one that is no word of raft's is dropped.
-    pub fn heard(&mut self, bytes: &[u8]) -> Vec<Effect> {
+    pub fn handle_message(&mut self, bytes: &[u8]) -> Vec<Effect> {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return Vec::new();
         };
@@ -272,22 +272,22 @@
         ordered && known && message.from != self.id.0 && message.from != 0
     }
 
-    pub fn propose(&mut self, command: Vec<u8>) -> Result<Vec<Effect>, Rejected> {
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<Vec<Effect>, ProposalRejected> {
         if !self.leads || self.broken {
-            return Err(Rejected::NotLeading);
+            return Err(ProposalRejected::NotLeading);
         }
         if command.len() > MOST_PROPOSAL {
-            return Err(Rejected::TooLarge);
+            return Err(ProposalRejected::TooLarge);
         }
         self.raw
             .propose(Vec::new(), command)
-            .map_err(|_| Rejected::Full)?;
+            .map_err(|_| ProposalRejected::Full)?;
         Ok(self.settle())
     }
 
     /// Asks a majority whether this keeper still leads; the answer is `Effect::Confirmed` with the same number, or
     /// none.
-    pub fn confirm(&mut self, number: u64) -> Vec<Effect> {
+    pub fn read_index(&mut self, number: u64) -> Vec<Effect> {
         if self.leads && !self.broken {
             self.raw.read_index(number.to_be_bytes().to_vec());
         }
@@ -295,7 +295,7 @@
     }
 
     /// A write is on disk.
-    pub fn stored(&mut self, number: u64) -> Vec<Effect> {
+    pub fn handle_stored(&mut self, number: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         while let Some((_, words)) = self.unstored.pop_front_if(|(write, _)| *write <= number) {
             out.extend(words.iter().map(send));
@@ -315,19 +315,19 @@
     }
 
     /// The disk failed: what is not on it must never be counted on.
-    pub fn fail(&mut self) -> Vec<Effect> {
+    pub fn mark_failed(&mut self) -> Vec<Effect> {
         self.broken = true;
         self.settle()
     }
 
     /// A keeper without a state asks to be taken in; `names` are the file's keepers. It is a learner at first.
-    pub fn admit(&mut self, id: KeeperId, name: &str, names: &[String]) -> Vec<Effect> {
+    pub fn add_learner(&mut self, id: ReplicaId, name: &str, names: &[String]) -> Vec<Effect> {
         let known = self.raw.raft.prs().get(id.0).is_some();
         if known || !names.iter().any(|n| n == name) {
             return Vec::new();
         }
         // Learners that never caught up go: each try of a keeper that loses its disk again leaves one.
-        let of_name = |old: &u64| self.names.get(&KeeperId(*old)).is_none_or(|n| n == name);
+        let of_name = |old: &u64| self.names.get(&ReplicaId(*old)).is_none_or(|n| n == name);
         let learners = self.raw.raft.prs().conf().to_conf_state().learners;
         let mut list = vec![change(ConfChangeType::AddLearnerNode, id.0)];
         list.extend(
@@ -341,7 +341,7 @@
 
     /// What the leader has to see to, at each tick: a learner that has caught up takes the place of the former keeper
     /// of its name, and keepers that the file no longer names go. One change at a time.
-    pub fn tend(&mut self, names: &[String]) -> Vec<Effect> {
+    pub fn reconcile_members(&mut self, names: &[String]) -> Vec<Effect> {
         let conf = self.raw.raft.prs().conf().to_conf_state();
         let committed = self.raw.raft.raft_log.committed;
         let caught_up = |id: &&u64| {
@@ -354,17 +354,17 @@
             matched > 0 && matched + CAUGHT_UP >= committed
         };
         if let Some(id) = conf.learners.iter().find(caught_up).copied() {
-            let name = self.names.get(&KeeperId(id)).cloned().unwrap_or_default();
+            let name = self.names.get(&ReplicaId(id)).cloned().unwrap_or_default();
             let former = conf
                 .voters
                 .iter()
-                .filter(|old| self.names.get(&KeeperId(**old)) == Some(&name));
+                .filter(|old| self.names.get(&ReplicaId(**old)) == Some(&name));
             let mut list = vec![change(ConfChangeType::AddNode, id)];
             list.extend(former.map(|old| change(ConfChangeType::RemoveNode, *old)));
-            return self.change(list, Some((KeeperId(id), name)));
+            return self.change(list, Some((ReplicaId(id), name)));
         }
         let gone = |id: &&u64| {
-            let name = self.names.get(&KeeperId(**id));
+            let name = self.names.get(&ReplicaId(**id));
             **id != self.id.0 && name.is_some_and(|name| !names.contains(name))
         };
         let gone = conf.voters.iter().chain(&conf.learners).find(gone).copied();
@@ -376,7 +376,7 @@
     fn change(
         &mut self,
         list: Vec<ConfChangeSingle>,
-        whom: Option<(KeeperId, String)>,
+        whom: Option<(ReplicaId, String)>,
     ) -> Vec<Effect> {
         if !self.leads || self.broken || self.ticks < self.changed + CHANGE_TICKS {
             return Vec::new();
@@ -407,9 +407,9 @@
         while self.installing.is_none() && !self.broken && self.raw.has_ready() {
             let mut ready = self.raw.ready();
             let snapshot = ready.snapshot().clone();
-            let mut write = Write {
+            let mut write = StorageOperation {
                 number: self.writes + 1,
-                ..Write::default()
+                ..StorageOperation::default()
             };
             if snapshot.get_metadata().index > 0 {
                 if !self.install(&snapshot) {
@@ -426,7 +426,7 @@
                 .map(|e| (e.index, encoded(e)))
                 .collect();
             if let Some(hard) = ready.hs() {
-                write.hard = Some(encoded(hard));
+                write.hard_state = Some(encoded(hard));
                 self.raw.mut_store().hard = hard.clone();
             }
             self.raw.mut_store().append(ready.entries());
@@ -470,11 +470,11 @@
         if leads != self.leads {
             self.leads = leads;
             self.readings.clear();
-            out.push(Effect::Leads(leads));
+            out.push(Effect::LeadershipChanged(leads));
         }
         while let Some((_, number)) = self.readings.pop_front_if(|(index, _)| *index <= applied) {
             if self.leads {
-                out.push(Effect::Confirmed(number));
+                out.push(Effect::ReadIndexConfirmed(number));
             }
         }
         out
@@ -500,12 +500,12 @@
                 let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) else {
                     return;
                 };
-                if let Ok((id, name)) = postcard::from_bytes::<(KeeperId, String)>(&change.context)
+                if let Ok((id, name)) = postcard::from_bytes::<(ReplicaId, String)>(&change.context)
                 {
                     self.names.insert(id, name);
                 }
                 if let Ok(conf) = self.raw.apply_conf_change(&change) {
-                    let stays = |id: &KeeperId| {
+                    let stays = |id: &ReplicaId| {
                         let lists = [
                             &conf.voters,
                             &conf.learners,
@@ -537,7 +537,7 @@
         };
         let image = Image {
             names: self.names.clone(),
-            state: self.state.save(),
+            state: self.state.snapshot(),
         };
         let data = postcard::to_allocvec(&image).unwrap_or_default().into();
         let mut snapshot = Snapshot {
@@ -550,17 +550,17 @@
         meta.set_conf_state(conf);
         self.writes += 1;
         let (number, bytes) = (self.writes, encoded(&snapshot));
-        out.push(Effect::Store(Write {
+        out.push(Effect::Store(StorageOperation {
             number,
             snapshot: Some((self.applied, bytes)),
-            ..Write::default()
+            ..StorageOperation::default()
         }));
         self.unstored.push_back((number, Vec::new()));
         self.raw.mut_store().install(snapshot);
     }
 
     /// A snapshot that was sent did not arrive, or did: raft waits for the word before it sends anything else.
-    pub fn snapshot_sent(&mut self, to: KeeperId, arrived: bool) {
+    pub fn report_snapshot(&mut self, to: ReplicaId, arrived: bool) {
         let status = if arrived {
             SnapshotStatus::Finish
         } else {
@@ -570,12 +570,12 @@
     }
 
     /// Whether a snapshot is under way to a keeper.
-    pub fn sending_snapshot(&self) -> Vec<KeeperId> {
+    pub fn pending_snapshots(&self) -> Vec<ReplicaId> {
         let prs = self.raw.raft.prs();
         let waits = prs
             .iter()
             .filter(|(_, p)| p.state == raft::ProgressState::Snapshot);
-        waits.map(|(id, _)| KeeperId(*id)).collect()
+        waits.map(|(id, _)| ReplicaId(*id)).collect()
     }
 }
 
@@ -588,7 +588,7 @@
 
 fn send(message: &Message) -> Effect {
     Effect::Send {
-        to: KeeperId(message.to),
+        to: ReplicaId(message.to),
         bytes: encoded(message),
     }
 }
--- a/crates/consensus/src/sqlite.rs
+++ b/crates/consensus/src/sqlite.rs
@@ -1,7 +1,7 @@
 //! A keeper's disk: one SQLite file, each write one transaction on disk before it returns (WAL, `synchronous = FULL`).
 //! It belongs on a thread of its own.
-use crate::write::{Saved, Write};
-use crate::KeeperId;
+use crate::storage::{PersistedState, StorageOperation};
+use crate::ReplicaId;
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,21 +12,21 @@
 const BUSY: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-pub struct Disk(Connection);
+pub struct SqliteStorage(Connection);
 
 fn text(error: rusqlite::Error) -> String {
     error.to_string()
 }
 
-impl Disk {
+impl SqliteStorage {
     /// Opens a file, or makes it with `id` as the number of its keeper. An error says in one line what is wrong.
-    pub fn open(path: &Path, id: KeeperId) -> Result<(Self, Saved), String> {
+    pub fn open(path: &Path, id: ReplicaId) -> Result<(Self, PersistedState), String> {
         let at = |what: String| format!("{}: {what}", path.display());
         let db = Connection::open(path).map_err(text).map_err(at)?;
         Self::prepared(db, id).map_err(at)
     }
 
-    fn prepared(db: Connection, id: KeeperId) -> Result<(Self, Saved), String> {
+    fn prepared(db: Connection, id: ReplicaId) -> Result<(Self, PersistedState), String> {
         db.busy_timeout(BUSY).map_err(text)?;
         let version: i64 = db
             .query_row("PRAGMA user_version", [], |row| row.get(0))
@@ -51,7 +51,7 @@
             [id.0 as i64],
         )
         .map_err(text)?;
-        let disk = Disk(db);
+        let disk = SqliteStorage(db);
         let saved = disk.load().map_err(text)?;
         Ok((disk, saved))
     }
@@ -68,15 +68,15 @@
             .optional()
     }
 
-    fn load(&self) -> rusqlite::Result<Saved> {
+    fn load(&self) -> rusqlite::Result<PersistedState> {
         let id = self.one("id")?.map_or(0, |(number, _)| number as u64);
-        let mut saved = Saved::new(KeeperId(id));
-        saved.hard = self.one("hard")?.and_then(|(_, bytes)| bytes);
+        let mut saved = PersistedState::new(ReplicaId(id));
+        saved.hard_state = self.one("hard")?.and_then(|(_, bytes)| bytes);
         saved.snapshot = self
             .one("snapshot")?
             .and_then(|(index, bytes)| Some((index as u64, bytes?)));
         let founders = self.one("founders")?.and_then(|(_, bytes)| bytes);
-        saved.founders = founders.and_then(|bytes| postcard::from_bytes(&bytes).ok());
+        saved.bootstrap_members = founders.and_then(|bytes| postcard::from_bytes(&bytes).ok());
         let mut rows = self
             .0
             .prepare("SELECT place, bytes FROM entry ORDER BY place")?;
@@ -87,11 +87,11 @@
 
     /// All of them, in their order, are on disk when it returns; after an error nothing is known, and the keeper must
     /// not go on.
-    pub fn write(&mut self, writes: &[Write]) -> Result<(), String> {
+    pub fn apply(&mut self, writes: &[StorageOperation]) -> Result<(), String> {
         self.carry_out(writes).map_err(text)
     }
 
-    fn carry_out(&mut self, writes: &[Write]) -> rusqlite::Result<()> {
+    fn carry_out(&mut self, writes: &[StorageOperation]) -> rusqlite::Result<()> {
         let step = self
             .0
             .transaction_with_behavior(rusqlite::TransactionBehavior::Immediate)?;
@@ -101,16 +101,16 @@
         step.commit()
     }
 
-    fn put(step: &rusqlite::Transaction<'_>, write: &Write) -> rusqlite::Result<()> {
+    fn put(step: &rusqlite::Transaction<'_>, write: &StorageOperation) -> rusqlite::Result<()> {
         let put = "INSERT OR REPLACE INTO one VALUES (?1, ?2, ?3)";
-        if let Some(hard) = &write.hard {
+        if let Some(hard) = &write.hard_state {
             step.execute(put, params!["hard", 0, hard])?;
         }
         if let Some((index, bytes)) = &write.snapshot {
             step.execute(put, params!["snapshot", *index as i64, bytes])?;
             step.execute("DELETE FROM entry WHERE place <= ?1", [*index as i64])?;
         }
-        if let Some(founders) = &write.founders {
+        if let Some(founders) = &write.bootstrap_members {
             let bytes = postcard::to_allocvec(founders).unwrap_or_default();
             step.execute(put, params!["founders", 0, bytes])?;
         }
--- a/crates/consensus/tests/golden_storage.rs
+++ b/crates/consensus/tests/golden_storage.rs
@@ -1,6 +1,8 @@
 //! A registry's file as the versions in use wrote it, opened, read whole, written on and opened again.
-use cottondyke_consensus::sqlite::Disk;
-use cottondyke_consensus::{Effect, Keeper, KeeperId, Saved, State, Write};
+use cottondyke_consensus::sqlite::SqliteStorage;
+use cottondyke_consensus::{
+    Effect, PersistedState, Replica, ReplicaId, StateMachine, StorageOperation,
+};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
 use std::collections::BTreeMap;
@@ -11,12 +13,12 @@
 /// Commands in their order.
 struct Log(Vec<u8>);
 
-impl State for Log {
+impl StateMachine for Log {
     fn apply(&mut self, command: &[u8]) {
         self.0.extend_from_slice(command);
     }
 
-    fn save(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         self.0.clone()
     }
 
@@ -43,8 +45,8 @@
     }
 
     /// The number given is not taken where the file has one.
-    fn open(&self) -> (Disk, Saved) {
-        Disk::open(&self.file(), KeeperId(99)).unwrap()
+    fn open(&self) -> (SqliteStorage, PersistedState) {
+        SqliteStorage::open(&self.file(), ReplicaId(99)).unwrap()
     }
 }
 
@@ -54,28 +56,28 @@
     }
 }
 
-fn founders() -> BTreeMap<KeeperId, String> {
-    BTreeMap::from([(KeeperId(u64::MAX - 1), "alone".to_string())])
+fn founders() -> BTreeMap<ReplicaId, String> {
+    BTreeMap::from([(ReplicaId(u64::MAX - 1), "alone".to_string())])
 }
 
 /// Writes at once what is to be stored.
-fn carry(keeper: &mut Keeper<Log>, disk: &mut Disk, effects: Vec<Effect>) {
+fn carry(keeper: &mut Replica<Log>, disk: &mut SqliteStorage, effects: Vec<Effect>) {
     for effect in effects {
         if let Effect::Store(write) = effect {
-            disk.write(std::slice::from_ref(&write)).unwrap();
-            let more = keeper.stored(write.number);
+            disk.apply(std::slice::from_ref(&write)).unwrap();
+            let more = keeper.handle_stored(write.number);
             carry(keeper, disk, more);
         }
     }
 }
 
-fn leading(saved: &Saved, disk: &mut Disk) -> Keeper<Log> {
-    let mut keeper = Keeper::open(saved, Log(Vec::new()), 7).unwrap();
+fn leading(saved: &PersistedState, disk: &mut SqliteStorage) -> Replica<Log> {
+    let mut keeper = Replica::open(saved, Log(Vec::new()), 7).unwrap();
     for _ in 0..100 {
         let effects = keeper.tick();
         carry(&mut keeper, disk, effects);
     }
-    assert!(keeper.leads());
+    assert!(keeper.is_leader());
     keeper
 }
 
@@ -83,9 +85,9 @@
 fn loads_every_field_when_an_older_build_wrote_the_file() {
     let copy = Copy::new("fields");
     let (_disk, saved) = copy.open();
-    assert!(saved.id == KeeperId(u64::MAX - 1));
-    assert!(saved.founders == Some(founders()));
-    let hard = HardState::parse_from_bytes(&saved.hard.unwrap()).unwrap();
+    assert!(saved.id == ReplicaId(u64::MAX - 1));
+    assert!(saved.bootstrap_members == Some(founders()));
+    let hard = HardState::parse_from_bytes(&saved.hard_state.unwrap()).unwrap();
     assert_eq!((hard.term, hard.vote, hard.commit), (2, u64::MAX - 1, 4));
     let (index, snapshot) = saved.snapshot.unwrap();
     let snapshot = Snapshot::parse_from_bytes(&snapshot).unwrap();
@@ -115,8 +117,8 @@
     let copy = Copy::new("keeper");
     let (mut disk, saved) = copy.open();
     let mut keeper = leading(&saved, &mut disk);
-    assert!(keeper.names() == &founders() && keeper.founders() == &founders());
-    assert!(keeper.id() == KeeperId(u64::MAX - 1) && keeper.voters() == [keeper.id()]);
+    assert!(keeper.member_names() == &founders() && keeper.bootstrap_members() == &founders());
+    assert!(keeper.id() == ReplicaId(u64::MAX - 1) && keeper.voters() == [keeper.id()]);
     assert_eq!(keeper.state.0, b"seed-one-two");
     let effects = keeper.propose(b"-three".to_vec()).unwrap();
     carry(&mut keeper, &mut disk, effects);
@@ -130,19 +132,22 @@
 fn keeps_what_is_written_when_the_file_is_opened_again() {
     let copy = Copy::new("again");
     let (mut disk, mut saved) = copy.open();
-    let write = Write {
+    let write = StorageOperation {
         number: 1,
-        hard: Some(vec![8, 9]),
+        hard_state: Some(vec![8, 9]),
         snapshot: Some((2, vec![1, 2, 3])),
         entries: vec![(4, vec![4]), (5, vec![5])],
-        founders: Some(BTreeMap::from([(KeeperId(3), "c".to_string())])),
+        bootstrap_members: Some(BTreeMap::from([(ReplicaId(3), "c".to_string())])),
     };
-    disk.write(std::slice::from_ref(&write)).unwrap();
+    disk.apply(std::slice::from_ref(&write)).unwrap();
     drop(disk);
     let third = saved.entries[&3].clone();
     let (_disk, again) = copy.open();
-    assert!(again.id == saved.id && again.hard == Some(vec![8, 9]));
-    assert!(again.snapshot == Some((2, vec![1, 2, 3])) && again.founders == write.founders);
+    assert!(again.id == saved.id && again.hard_state == Some(vec![8, 9]));
+    assert!(
+        again.snapshot == Some((2, vec![1, 2, 3]))
+            && again.bootstrap_members == write.bootstrap_members
+    );
     let entries = [(3, third), (4, vec![4]), (5, vec![5])];
     assert!(again.entries == BTreeMap::from(entries));
     saved.apply(write);
@@ -153,7 +158,7 @@
 fn makes_the_same_tables_when_the_file_is_new() {
     let copy = Copy::new("tables");
     let new = copy.0.join("new.db");
-    drop(Disk::open(&new, KeeperId(5)).unwrap());
+    drop(SqliteStorage::open(&new, ReplicaId(5)).unwrap());
     drop(copy.open());
     let all = vec!["founders", "hard", "id", "snapshot"];
     for (file, rows) in [(new, vec!["id"]), (copy.file(), all)] {
--- a/crates/consensus/tests/keepers.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -1,17 +1,17 @@
 //! Keepers that speak in memory, each with a disk that is written at once unless a test holds it back.
-use cottondyke_consensus::{Effect, Keeper, KeeperId, Saved, State};
+use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, StateMachine};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Commands in their order.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Log(Vec<u8>);
 
-impl State for Log {
+impl StateMachine for Log {
     fn apply(&mut self, command: &[u8]) {
         self.0.extend_from_slice(command);
     }
 
-    fn save(&self) -> Vec<u8> {
+    fn snapshot(&self) -> Vec<u8> {
         self.0.clone()
     }
 
@@ -23,10 +23,10 @@
 
 #[derive(Default)]
 struct Few {
-    keepers: BTreeMap<KeeperId, Keeper<Log>>,
-    disks: BTreeMap<KeeperId, Saved>,
-    words: VecDeque<(KeeperId, Vec<u8>)>,
-    confirmed: Vec<(KeeperId, u64)>,
+    keepers: BTreeMap<ReplicaId, Replica<Log>>,
+    disks: BTreeMap<ReplicaId, PersistedState>,
+    words: VecDeque<(ReplicaId, Vec<u8>)>,
+    confirmed: Vec<(ReplicaId, u64)>,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -37,35 +37,35 @@
 
 impl Few {
     fn founded() -> Self {
-        let set: BTreeMap<KeeperId, String> = (1..).map(KeeperId).zip(names()).collect();
+        let set: BTreeMap<ReplicaId, String> = (1..).map(ReplicaId).zip(names()).collect();
         let mut few = Few::default();
         for id in set.keys() {
-            let mut saved = Saved::new(*id);
-            saved.apply(Keeper::founded(&set, &Log::default()));
+            let mut saved = PersistedState::new(*id);
+            saved.apply(Replica::bootstrap_operation(&set, &Log::default()));
             few.disks.insert(*id, saved);
             few.open(*id);
         }
         few
     }
 
-    fn open(&mut self, id: KeeperId) {
-        let saved = self.disks.entry(id).or_insert(Saved::new(id));
+    fn open(&mut self, id: ReplicaId) {
+        let saved = self.disks.entry(id).or_insert(PersistedState::new(id));
         self.keepers
-            .insert(id, Keeper::open(saved, Log::default(), 7).unwrap());
+            .insert(id, Replica::open(saved, Log::default(), 7).unwrap());
     }
 
-    fn carry(&mut self, id: KeeperId, effects: Vec<Effect>) {
+    fn carry(&mut self, id: ReplicaId, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => self.words.push_back((to, bytes)),
                 Effect::Store(write) => {
                     let number = write.number;
                     self.disks.get_mut(&id).unwrap().apply(write);
-                    let more = self.keepers.get_mut(&id).unwrap().stored(number);
+                    let more = self.keepers.get_mut(&id).unwrap().handle_stored(number);
                     self.carry(id, more);
                 }
-                Effect::Confirmed(number) => self.confirmed.push((id, number)),
-                Effect::Leads(_) | Effect::Applied => {}
+                Effect::ReadIndexConfirmed(number) => self.confirmed.push((id, number)),
+                Effect::LeadershipChanged(_) | Effect::Applied => {}
             }
         }
     }
@@ -75,26 +75,26 @@
             for id in self.keepers.keys().copied().collect::<Vec<_>>() {
                 let keeper = self.keepers.get_mut(&id).unwrap();
                 let mut effects = keeper.tick();
-                effects.extend(keeper.tend(&names()));
-                for to in keeper.sending_snapshot() {
-                    keeper.snapshot_sent(to, true);
+                effects.extend(keeper.reconcile_members(&names()));
+                for to in keeper.pending_snapshots() {
+                    keeper.report_snapshot(to, true);
                 }
                 self.carry(id, effects);
             }
             while let Some((to, bytes)) = self.words.pop_front() {
                 if let Some(keeper) = self.keepers.get_mut(&to) {
-                    let effects = keeper.heard(&bytes);
+                    let effects = keeper.handle_message(&bytes);
                     self.carry(to, effects);
                 }
             }
         }
     }
 
-    fn leader(&self) -> KeeperId {
+    fn leader(&self) -> ReplicaId {
         *self
             .keepers
             .iter()
-            .find(|(_, keeper)| keeper.leads())
+            .find(|(_, keeper)| keeper.is_leader())
             .expect("one leads")
             .0
     }
@@ -120,7 +120,7 @@
     few.propose(b"1");
     few.ticks(4);
     for (old, new) in [(1, 11), (2, 12), (3, 13)] {
-        let (old, new) = (KeeperId(old), KeeperId(new));
+        let (old, new) = (ReplicaId(old), ReplicaId(new));
         few.keepers.remove(&old);
         few.ticks(60);
         few.open(new);
@@ -131,7 +131,7 @@
                 .keepers
                 .get_mut(&leader)
                 .unwrap()
-                .admit(new, name, &names());
+                .add_learner(new, name, &names());
             few.carry(leader, effects);
             few.ticks(12);
         }
@@ -145,7 +145,7 @@
         );
         assert_eq!(keeper.voters().len(), 3);
     }
-    assert_eq!(few.keepers[&KeeperId(13)].state.0, b"1xxx");
+    assert_eq!(few.keepers[&ReplicaId(13)].state.0, b"1xxx");
 }
 
 /// Guards what was agreed: a keeper started again knows it, from a snapshot and the entries after it.
@@ -166,7 +166,7 @@
         "{}",
         few.disks[&leader].entries.len()
     );
-    for id in [1, 2, 3].map(KeeperId) {
+    for id in [1, 2, 3].map(ReplicaId) {
         few.open(id);
     }
     few.ticks(60);
@@ -179,11 +179,11 @@
     let mut few = Few::founded();
     few.ticks(60);
     let leader = few.leader();
-    let effects = few.keepers.get_mut(&leader).unwrap().confirm(5);
+    let effects = few.keepers.get_mut(&leader).unwrap().read_index(5);
     few.carry(leader, effects);
     few.ticks(2);
     assert_eq!(few.confirmed, [(leader, 5)]);
-    let others: Vec<KeeperId> = few
+    let others: Vec<ReplicaId> = few
         .keepers
         .keys()
         .copied()
@@ -192,51 +192,51 @@
     for other in others {
         few.keepers.remove(&other);
     }
-    let effects = few.keepers.get_mut(&leader).unwrap().confirm(6);
+    let effects = few.keepers.get_mut(&leader).unwrap().read_index(6);
     few.carry(leader, effects);
     few.ticks(60);
     assert_eq!(few.confirmed, [(leader, 5)]);
-    assert!(!few.keepers[&leader].leads());
+    assert!(!few.keepers[&leader].is_leader());
 }
 
 /// Guards what a keeper said: all that was written is read again, in order, and a newer layout is refused in words.
 #[test]
 fn the_disk_holds_what_was_written() {
-    use cottondyke_consensus::{sqlite::Disk, Write};
+    use cottondyke_consensus::{sqlite::SqliteStorage, StorageOperation};
     let folder = std::env::temp_dir().join(format!("cottondyke-registry-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("registry.db");
-    let id = KeeperId(u64::MAX - 5);
+    let id = ReplicaId(u64::MAX - 5);
     let entry = |index: u64| (index, vec![index as u8; 3]);
     let writes = [
-        Write {
+        StorageOperation {
             number: 1,
-            hard: Some(vec![1]),
+            hard_state: Some(vec![1]),
             entries: (2..10).map(entry).collect(),
-            ..Write::default()
+            ..StorageOperation::default()
         },
-        Write {
+        StorageOperation {
             number: 2,
-            hard: Some(vec![2]),
+            hard_state: Some(vec![2]),
             entries: (6..8).map(entry).collect(),
-            ..Write::default()
+            ..StorageOperation::default()
         },
-        Write {
+        StorageOperation {
             number: 3,
             snapshot: Some((4, vec![9; 9])),
-            founders: Some([(id, "a".into())].into()),
-            ..Write::default()
+            bootstrap_members: Some([(id, "a".into())].into()),
+            ..StorageOperation::default()
         },
     ];
-    let (mut disk, empty) = Disk::open(&path, id).unwrap();
-    assert_eq!(empty, Saved::new(id));
-    let mut expected = Saved::new(id);
-    disk.write(&writes[..2]).unwrap();
-    disk.write(&writes[2..]).unwrap();
+    let (mut disk, empty) = SqliteStorage::open(&path, id).unwrap();
+    assert_eq!(empty, PersistedState::new(id));
+    let mut expected = PersistedState::new(id);
+    disk.apply(&writes[..2]).unwrap();
+    disk.apply(&writes[2..]).unwrap();
     writes.into_iter().for_each(|write| expected.apply(write));
     drop(disk);
     // Another number is offered: the one of the store stays.
-    let (disk, saved) = Disk::open(&path, KeeperId(1)).unwrap();
+    let (disk, saved) = SqliteStorage::open(&path, ReplicaId(1)).unwrap();
     assert_eq!(saved, expected);
     assert_eq!(saved.entries.keys().copied().collect::<Vec<_>>(), [5, 6, 7]);
     drop(disk);
@@ -244,12 +244,12 @@
         .unwrap()
         .execute_batch("PRAGMA user_version = 9")
         .unwrap();
-    let wrong = Disk::open(&path, id).unwrap_err();
+    let wrong = SqliteStorage::open(&path, id).unwrap_err();
     assert!(
         wrong.contains("layout 9 is newer") && wrong.contains("registry.db"),
         "{wrong}"
     );
     std::fs::write(&path, [7; 9_000]).unwrap();
-    assert!(Disk::open(&path, id).is_err());
+    assert!(SqliteStorage::open(&path, id).is_err());
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -25,9 +25,9 @@
 /// How often one change is passed on.
 const PASSED_ON: u8 = 30;
 /// Bytes of one datagram.
-pub const MOST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Members that are known, dead ones among them: past that nothing more is heard.
-const MOST_MEMBERS: usize = 4_096;
+const MAX_MEMBERS: usize = 4_096;
 /// Probe periods between two tries to reach a seed that is not in the list.
 const SEEK: i64 = 4;
 
@@ -37,9 +37,9 @@
     pub name: String,
     pub zone: String,
     pub addr: SocketAddr,
-    pub life: u64,
+    pub incarnation: u64,
     /// Grows where the same life comes back after it was taken for dead, and when it begins to leave.
-    pub turn: u32,
+    pub version: u32,
     pub leaving: bool,
 }
 
@@ -48,7 +48,7 @@
 
     fn renew(&self) -> Option<Self> {
         Some(Member {
-            turn: self.turn.checked_add(1)?,
+            version: self.version.checked_add(1)?,
             ..self.clone()
         })
     }
@@ -58,12 +58,12 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.life, self.turn) > (other.life, other.turn)
+        (self.incarnation, self.version) > (other.incarnation, other.version)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     Alive,
     Suspect,
     Leaving,
@@ -72,11 +72,13 @@
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct MemberStatus {
     pub name: String,
     pub zone: String,
-    pub life: u64,
-    pub standing: Standing,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    #[serde(rename = "standing")]
+    pub state: MemberState,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -86,12 +88,12 @@
         bytes: Vec<u8>,
     },
     /// A member came into the list, or went out of it.
-    Up(Member),
-    Down(Member),
+    MemberUp(Member),
+    MemberDown(Member),
     /// It was taken for dead by others, and says otherwise.
-    Refuted,
+    SuspicionRefuted,
     /// Another process has the same name, and lives later.
-    Doubled(Member),
+    DuplicateName(Member),
 }
 
 #[derive(Default)]
@@ -106,16 +108,18 @@
 impl Runtime<Member> for &mut Out {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         match notification {
-            Notification::MemberUp(member) => self.effects.push(Effect::Up(member.clone())),
-            Notification::MemberDown(member) => self.effects.push(Effect::Down(member.clone())),
+            Notification::MemberUp(member) => self.effects.push(Effect::MemberUp(member.clone())),
+            Notification::MemberDown(member) => {
+                self.effects.push(Effect::MemberDown(member.clone()))
+            }
             Notification::Active => self.active = Some(true),
             Notification::Idle | Notification::Defunct => self.active = Some(false),
             Notification::Rejoin(_) => {
                 self.active = Some(false);
-                self.effects.push(Effect::Refuted);
+                self.effects.push(Effect::SuspicionRefuted);
             }
             Notification::Rename(_, member) if member.name == self.own => {
-                self.effects.push(Effect::Doubled(member.clone()));
+                self.effects.push(Effect::DuplicateName(member.clone()));
             }
             _ => {}
         }
@@ -133,7 +137,7 @@
     }
 }
 
-pub struct Peers {
+pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>,
     timers: BTreeMap<(Time, u64), Timer<Member>>,
     number: u64,
@@ -150,7 +154,7 @@
     Duration::from_micros(time.0.max(1) as u64 * 100)
 }
 
-impl Peers {
+impl Membership {
     /// `seeds`: names and addresses that are asked who is there. `suspicion` off is for trials alone.
     pub fn new(
         me: Member,
@@ -177,7 +181,7 @@
                 span(Time(1))
             },
             remove_down_after: Some(span(Time(probe.0 * 120))),
-            max_packet_size: some(MOST_DATAGRAM),
+            max_packet_size: some(MAX_DATAGRAM_BYTES),
             notify_down_members: true,
             periodic_announce: often(4.0, 1),
             periodic_announce_to_down_members: often(10.0, 1),
@@ -185,7 +189,7 @@
         };
         let foca = Foca::new(me, config, StdRng::seed_from_u64(seed), PostcardCodec);
         let (timers, number, seek, sought) = (BTreeMap::new(), 0, Time(i64::MIN / 4), 0);
-        Peers {
+        Membership {
             foca,
             timers,
             number,
@@ -198,11 +202,11 @@
         }
     }
 
-    pub fn me(&self) -> &Member {
+    pub fn identity(&self) -> &Member {
         self.foca.identity()
     }
 
-    pub fn seeds(&mut self, seeds: Vec<(String, SocketAddr)>) {
+    pub fn set_seeds(&mut self, seeds: Vec<(String, SocketAddr)>) {
         self.seeds = seeds;
     }
 
@@ -212,7 +216,7 @@
         input: impl FnOnce(&mut Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>, &mut Out),
     ) -> Vec<Effect> {
         let mut out = Out {
-            own: self.me().name.clone(),
+            own: self.identity().name.clone(),
             ..Out::default()
         };
         input(&mut self.foca, &mut out);
@@ -229,7 +233,7 @@
     }
 
     /// When `timer` is to be called.
-    pub fn next(&self) -> Time {
+    pub fn next_timer(&self) -> Time {
         if self.left {
             return Time::MAX;
         }
@@ -238,7 +242,7 @@
             .map_or(self.seek, |((at, _), _)| (*at).min(self.seek))
     }
 
-    pub fn timer(&mut self, now: Time) -> Vec<Effect> {
+    pub fn handle_timer(&mut self, now: Time) -> Vec<Effect> {
         let mut out = Vec::new();
         if self.left {
             return out;
@@ -269,7 +273,7 @@
             } else {
                 self.probe.scaled(0.5)
             };
-        let own = self.me().name.clone();
+        let own = self.identity().name.clone();
         let mut known: Vec<Member> = self
             .foca
             .iter_members()
@@ -280,8 +284,8 @@
             name: name.clone(),
             zone: String::new(),
             addr: *addr,
-            life: 0,
-            turn: 0,
+            incarnation: 0,
+            version: 0,
             leaving: false,
         };
         let mut whom: Vec<Member> = self
@@ -306,10 +310,10 @@
     }
 
     /// A datagram came. What cannot be read is dropped, and told by false.
-    pub fn heard(&mut self, now: Time, bytes: &[u8]) -> (Vec<Effect>, bool) {
+    pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) -> (Vec<Effect>, bool) {
         if self.left
-            || bytes.len() > MOST_DATAGRAM
-            || self.foca.iter_membership_state().len() > MOST_MEMBERS
+            || bytes.len() > MAX_DATAGRAM_BYTES
+            || self.foca.iter_membership_state().len() > MAX_MEMBERS
         {
             return (Vec::new(), false);
         }
@@ -321,11 +325,11 @@
     }
 
     /// It begins to leave: others hear of it, and still count it.
-    pub fn leaving(&mut self, now: Time) -> Vec<Effect> {
+    pub fn announce_leaving(&mut self, now: Time) -> Vec<Effect> {
         let me = Member {
             leaving: true,
-            turn: self.me().turn.saturating_add(1),
-            ..self.me().clone()
+            version: self.identity().version.saturating_add(1),
+            ..self.identity().clone()
         };
         self.with(now, |foca, mut out| {
             let _ = foca.change_identity(me, &mut out);
@@ -342,38 +346,38 @@
     }
 
     /// All that is known, this member first.
-    pub fn list(&self) -> Vec<Listed> {
-        let listed = |member: &Member, standing| Listed {
+    pub fn members(&self) -> Vec<MemberStatus> {
+        let listed = |member: &Member, standing| MemberStatus {
             name: member.name.clone(),
             zone: member.zone.clone(),
-            life: member.life,
-            standing,
+            incarnation: member.incarnation,
+            state: standing,
         };
         let own = listed(
-            self.me(),
-            if self.me().leaving {
-                Standing::Leaving
+            self.identity(),
+            if self.identity().leaving {
+                MemberState::Leaving
             } else {
-                Standing::Alive
+                MemberState::Alive
             },
         );
         let others = self.foca.iter_membership_state().map(|member| {
             let standing = match member.state() {
-                State::Down => Standing::Dead,
-                _ if member.id().leaving => Standing::Leaving,
-                State::Alive => Standing::Alive,
-                State::Suspect => Standing::Suspect,
+                State::Down => MemberState::Dead,
+                _ if member.id().leaving => MemberState::Leaving,
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
             };
             listed(member.id(), standing)
         });
-        let mut list: Vec<Listed> = others.collect();
+        let mut list: Vec<MemberStatus> = others.collect();
         list.sort_by(|a, b| a.name.cmp(&b.name));
         list.insert(0, own);
         list
     }
 
     /// How many others are in the list.
-    pub fn others(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.foca.num_members()
     }
 }
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -1,5 +1,5 @@
 //! Members in a simulated world: datagrams that are late and lost, clocks of one world, lists looked at from outside.
-use cottondyke_membership::{Effect, Listed, Member, Peers, Standing, DEAD_WITHIN};
+use cottondyke_membership::{Effect, Member, MemberState, MemberStatus, Membership, DEAD_WITHIN};
 use cottondyke_types::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 struct World {
     now: i64,
     random: fastrand::Rng,
-    peers: Vec<Option<Peers>>,
+    peers: Vec<Option<Membership>>,
     words: BTreeMap<(i64, u64), (SocketAddr, Vec<u8>)>,
     number: u64,
     loss: f64,
@@ -34,8 +34,8 @@
         name: format!("n{place}"),
         zone: "z".into(),
         addr: addr(place),
-        life,
-        turn: 0,
+        incarnation: life,
+        version: 0,
         leaving: false,
     }
 }
@@ -48,7 +48,7 @@
                 .collect()
         };
         let peers = |place| {
-            Some(Peers::new(
+            Some(Membership::new(
                 member(place, 1),
                 seeds(),
                 Time(PROBE),
@@ -83,8 +83,8 @@
                         self.words.insert((at, self.number), (to, bytes));
                     }
                 }
-                Effect::Down(_) => self.downs += 1,
-                Effect::Up(_) | Effect::Refuted | Effect::Doubled(_) => {}
+                Effect::MemberDown(_) => self.downs += 1,
+                Effect::MemberUp(_) | Effect::SuspicionRefuted | Effect::DuplicateName(_) => {}
             }
         }
     }
@@ -101,15 +101,15 @@
             {
                 let (to, bytes) = entry.remove();
                 if let Some(peers) = &mut self.peers[place(to)] {
-                    let (effects, _) = peers.heard(now, &bytes);
+                    let (effects, _) = peers.handle_datagram(now, &bytes);
                     self.carry(effects);
                 }
             }
             for place in 0..self.peers.len() {
                 let due = self.peers[place]
                     .as_mut()
-                    .filter(|peers| peers.next() <= now);
-                let effects = due.map_or(Vec::new(), |peers| peers.timer(now));
+                    .filter(|peers| peers.next_timer() <= now);
+                let effects = due.map_or(Vec::new(), |peers| peers.handle_timer(now));
                 self.carry(effects);
             }
         }
@@ -117,11 +117,11 @@
 
     /// In how many lists a member stands as there.
     fn listed(&self, name: &str) -> usize {
-        let there = |one: &Listed| one.name == name && one.standing != Standing::Dead;
+        let there = |one: &MemberStatus| one.name == name && one.state != MemberState::Dead;
         self.peers
             .iter()
             .flatten()
-            .filter(|peers| peers.list()[1..].iter().any(there))
+            .filter(|peers| peers.members()[1..].iter().any(there))
             .count()
     }
 
@@ -130,7 +130,7 @@
         self.peers
             .iter()
             .flatten()
-            .all(|peers| peers.others() == there - 1)
+            .all(|peers| peers.peer_count() == there - 1)
     }
 }
 
@@ -173,14 +173,14 @@
     let mut world = World::new(7, 6, 0.0, 20, true);
     world.run(PROBE * 20);
     let now = Time(world.now);
-    let effects = world.peers[5].as_mut().unwrap().leaving(now);
+    let effects = world.peers[5].as_mut().unwrap().announce_leaving(now);
     world.carry(effects);
     world.run(PROBE * 2);
-    let leaving = |peers: &Peers| {
+    let leaving = |peers: &Membership| {
         peers
-            .list()
+            .members()
             .iter()
-            .any(|l| l.name == "n5" && l.standing == Standing::Leaving)
+            .any(|l| l.name == "n5" && l.state == MemberState::Leaving)
     };
     assert!(world.peers[..5].iter().flatten().all(leaving));
     let effects = world.peers[5].as_mut().unwrap().leave(Time(world.now));
@@ -191,7 +191,7 @@
     let seeds = (0..3)
         .map(|place| (format!("n{place}"), addr(place)))
         .collect();
-    world.peers[5] = Some(Peers::new(member(5, 2), seeds, Time(PROBE), true, 9));
+    world.peers[5] = Some(Membership::new(member(5, 2), seeds, Time(PROBE), true, 9));
     world.run(PROBE * 4);
     assert!(world.whole());
 }
@@ -201,14 +201,14 @@
 fn garbage_changes_no_list() {
     let mut world = World::new(3, 5, 0.0, 20, true);
     world.run(PROBE * 20);
-    let before = world.peers[0].as_ref().unwrap().list();
+    let before = world.peers[0].as_ref().unwrap().members();
     let mut random = fastrand::Rng::with_seed(5);
     for size in 0..3_000 {
         let bytes: Vec<u8> = (0..size % 1_600).map(|_| random.u8(..)).collect();
         world.peers[0]
             .as_mut()
             .unwrap()
-            .heard(Time(world.now), &bytes);
+            .handle_datagram(Time(world.now), &bytes);
     }
-    assert_eq!(world.peers[0].as_ref().unwrap().list(), before);
+    assert_eq!(world.peers[0].as_ref().unwrap().members(), before);
 }
--- a/crates/quota/src/divide.rs
+++ b/crates/quota/src/allocate.rs
@@ -14,7 +14,7 @@
 
 /// Parts of `whole` in the order of the claims; their sum is the whole where there is any claim. First each gets
 /// its floor, then what is left rises in all that need more, by their weights, then evenly what nobody needs.
-pub fn divide(whole: u32, claims: &[Claim]) -> Vec<u32> {
+pub fn allocate(whole: u32, claims: &[Claim]) -> Vec<u32> {
     let count = claims.len();
     if count == 0 {
         return Vec::new();
@@ -79,7 +79,7 @@
     use super::*;
 
     fn of(whole: u32, claims: &[(u32, f64)]) -> Vec<u32> {
-        divide(
+        allocate(
             whole,
             &claims
                 .iter()
@@ -115,7 +115,7 @@
                     weight: random.f64() * 10.0 - 1.0,
                 })
                 .collect();
-            let parts = divide(whole, &claims);
+            let parts = allocate(whole, &claims);
             assert_eq!(parts.iter().sum::<u32>(), whole, "{whole} by {claims:?}");
         }
     }
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,6 +1,6 @@
 //! A member's own part: what it may use of each budget now, and what it asks for. It trusts a share until its lease
 //! is over by its own clock, counted from before it asked, and not one moment longer.
-use crate::{Ask, Epoch, Holder, Nonce, Reply, Terms, Want, MOST_BUDGETS};
+use crate::{Demand, Epoch, Holder, LeaseConfig, LeaseRequest, LeaseResponse, Nonce, MAX_BUDGETS};
 use cottondyke_types::Time;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,14 +10,14 @@
 /// A changed need or a share given back is told no sooner than this part of a lease after the last asking.
 const SOON: f64 = 0.01;
 /// Askings that may be unanswered; the oldest are forgotten.
-const MOST_ASKED: usize = 64;
+const MAX_ASKED: usize = 64;
 
 /// What a member sees of its own use of one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Units in use, those that linger among them.
-    pub held: u32,
-    pub need: u32,
+    pub in_use: u32,
+    pub needed: u32,
     pub weight: f64,
 }
 
@@ -50,10 +50,10 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct LeaseHolder {
     me: Holder,
     former: Option<u64>,
-    terms: Terms,
+    terms: LeaseConfig,
     mine: BTreeMap<String, Mine>,
     nonce: Nonce,
     /// When each asking that is not answered yet was made.
@@ -65,10 +65,10 @@
     hurried: bool,
 }
 
-impl Shares {
+impl LeaseHolder {
     /// `former`: an earlier life of this name that is known to be over.
-    pub fn new(me: Holder, former: Option<u64>, terms: Terms) -> Self {
-        Shares {
+    pub fn new(me: Holder, former: Option<u64>, terms: LeaseConfig) -> Self {
+        LeaseHolder {
             me,
             former,
             terms,
@@ -82,13 +82,13 @@
         }
     }
 
-    pub fn me(&self) -> &Holder {
+    pub fn holder(&self) -> &Holder {
         &self.me
     }
 
     /// The budgets that are used here; others are given up.
-    pub fn name(&mut self, budgets: impl Iterator<Item = String>) {
-        let names: Vec<String> = budgets.take(MOST_BUDGETS).collect();
+    pub fn set_budgets(&mut self, budgets: impl Iterator<Item = String>) {
+        let names: Vec<String> = budgets.take(MAX_BUDGETS).collect();
         self.mine.retain(|name, _| names.contains(name));
         for name in names {
             self.mine.entry(name).or_default();
@@ -96,28 +96,28 @@
     }
 
     /// What is in use at this moment.
-    pub fn used(&mut self, budget: &str, usage: Usage) {
+    pub fn record_usage(&mut self, budget: &str, usage: Usage) {
         if let Some(mine) = self.mine.get_mut(budget) {
             (mine.usage, mine.allowed) = (usage, mine.cap);
         }
     }
 
     /// It needs nothing more, and gives back what falls free.
-    pub fn leave(&mut self) {
+    pub fn release_all(&mut self) {
         self.leaving = true;
     }
 
     /// Units that may be in use now, lingering ones among them.
-    pub fn ceiling(&self, now: Time, budget: &str) -> u32 {
+    pub fn available(&self, now: Time, budget: &str) -> u32 {
         self.mine
             .get(budget)
-            .filter(|_| now < self.until(budget))
+            .filter(|_| now < self.valid_until(budget))
             .map_or(0, |mine| mine.cap)
     }
 
     /// When what `ceiling` says ends by itself.
-    pub fn until(&self, budget: &str) -> Time {
-        if self.terms.defences.lease {
+    pub fn valid_until(&self, budget: &str) -> Time {
+        if self.terms.safeguards.lease {
             self.mine
                 .get(budget)
                 .map_or(Time(i64::MIN / 4), |mine| mine.until)
@@ -127,10 +127,10 @@
     }
 
     /// When the last of its leases ends.
-    pub fn last(&self) -> Time {
+    pub fn lease_end(&self) -> Time {
         self.mine
             .keys()
-            .map(|budget| self.until(budget))
+            .map(|budget| self.valid_until(budget))
             .max()
             .unwrap_or(Time(i64::MIN / 4))
     }
@@ -145,30 +145,30 @@
     pub fn empty(&self) -> bool {
         self.mine
             .values()
-            .all(|mine| mine.cap == 0 && mine.usage.held == 0)
+            .all(|mine| mine.cap == 0 && mine.usage.in_use == 0)
     }
 
-    fn want(&self, name: &str, mine: &Mine) -> Want {
-        Want {
+    fn want(&self, name: &str, mine: &Mine) -> Demand {
+        Demand {
             budget: name.to_string(),
-            need: if self.leaving {
+            needed: if self.leaving {
                 0
             } else {
-                mine.usage.need.max(mine.usage.held)
+                mine.usage.needed.max(mine.usage.in_use)
             },
             weight: mine.usage.weight,
-            holds: mine.cap.max(mine.usage.held).max(mine.allowed),
+            retained: mine.cap.max(mine.usage.in_use).max(mine.allowed),
             epoch: mine.epoch,
         }
     }
 
     /// The next asking is due soon: the last went to one who could not answer it.
-    pub fn hurry(&mut self) {
+    pub fn renew_soon(&mut self) {
         self.hurried = true;
     }
 
     /// When the next asking is due; it may be earlier where use changes.
-    pub fn next(&self) -> Time {
+    pub fn next_timer(&self) -> Time {
         let Some(last) = self.last else {
             return Time(i64::MIN / 4);
         };
@@ -177,15 +177,15 @@
             true => RENEW,
             false => AGAIN,
         };
-        last + self.terms.lease.scaled(part)
+        last + self.terms.lease_duration.scaled(part)
     }
 
     /// An asking, where one is due: the time that its lease counts from is now, before it is sent.
-    pub fn ask(&mut self, now: Time) -> Option<Ask> {
+    pub fn next_request(&mut self, now: Time) -> Option<LeaseRequest> {
         if self.mine.is_empty() {
             return None;
         }
-        let wants: Vec<Want> = self
+        let wants: Vec<Demand> = self
             .mine
             .iter()
             .map(|(name, mine)| self.want(name, mine))
@@ -194,37 +194,37 @@
             let (need, holds, epoch) = mine.said;
             // Under a new epoch nothing that was given back before counts.
             want.epoch != epoch
-                || want.holds < holds
-                || want.need > need.max(mine.cap)
-                || (want.need == 0) != (need == 0)
+                || want.retained < holds
+                || want.needed > need.max(mine.cap)
+                || (want.needed == 0) != (need == 0)
         });
         let soon = self
             .last
-            .is_none_or(|last| now >= last + self.terms.lease.scaled(SOON));
-        if now < self.next() && !(changed && soon) {
+            .is_none_or(|last| now >= last + self.terms.lease_duration.scaled(SOON));
+        if now < self.next_timer() && !(changed && soon) {
             return None;
         }
         for (mine, want) in self.mine.values_mut().zip(&wants) {
-            mine.said = (want.need, want.holds, want.epoch);
+            mine.said = (want.needed, want.retained, want.epoch);
         }
         self.nonce.0 += 1;
         self.last = Some(now);
         self.hurried = false;
         self.asked.push_back((self.nonce, now));
-        if self.asked.len() > MOST_ASKED {
+        if self.asked.len() > MAX_ASKED {
             self.asked.pop_front();
         }
-        Some(Ask {
+        Some(LeaseRequest {
             holder: self.me.clone(),
             nonce: self.nonce,
-            former: self.former,
-            wants,
+            previous_incarnation: self.former,
+            demands: wants,
         })
     }
 
     /// What the leader told. A late, repeated or foreign word changes nothing for the worse: an answer counts once and
     /// from its own asking, and under the epoch that is known a share only falls.
-    pub fn told(&mut self, reply: &Reply) {
+    pub fn handle_response(&mut self, reply: &LeaseResponse) {
         if reply.holder != self.me {
             return;
         }
@@ -238,8 +238,8 @@
             self.answered = asked;
             self.asked.retain(|(n, _)| *n > reply.nonce);
         }
-        let until = self.answered.1 + self.terms.lease;
-        for told in &reply.told {
+        let until = self.answered.1 + self.terms.lease_duration;
+        for told in &reply.granted {
             let Some(mine) = self.mine.get_mut(&told.budget) else {
                 continue;
             };
@@ -259,33 +259,33 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Defences, Told};
+    use crate::{GrantedQuota, Safeguards};
 
-    fn shares() -> Shares {
+    fn shares() -> LeaseHolder {
         let me = Holder {
             name: "a".into(),
-            life: 1,
+            incarnation: 1,
         };
-        let terms = Terms {
-            lease: Time(30_000),
-            slip: Time(0),
-            defences: Defences::default(),
+        let terms = LeaseConfig {
+            lease_duration: Time(30_000),
+            max_process_pause: Time(0),
+            safeguards: Safeguards::default(),
         };
-        let mut shares = Shares::new(me, None, terms);
-        shares.name(["calls".to_string()].into_iter());
+        let mut shares = LeaseHolder::new(me, None, terms);
+        shares.set_budgets(["calls".to_string()].into_iter());
         shares
     }
 
-    fn told(shares: &mut Shares, nonce: Nonce, epoch: u64, amount: u32) {
-        let told = vec![Told {
+    fn told(shares: &mut LeaseHolder, nonce: Nonce, epoch: u64, amount: u32) {
+        let told = vec![GrantedQuota {
             budget: "calls".into(),
             epoch: Epoch(epoch),
             amount,
         }];
-        shares.told(&Reply {
-            holder: shares.me().clone(),
+        shares.handle_response(&LeaseResponse {
+            holder: shares.holder().clone(),
             nonce,
-            told,
+            granted: told,
         });
     }
 
@@ -293,45 +293,51 @@
     #[test]
     fn what_may_have_begun_since_use_was_told_is_not_given_back() {
         let mut shares = shares();
-        let first = shares.ask(Time(0)).unwrap().nonce;
+        let first = shares.next_request(Time(0)).unwrap().nonce;
         told(&mut shares, first, 1, 8);
-        shares.used(
+        shares.record_usage(
             "calls",
             Usage {
-                held: 2,
-                need: 8,
+                in_use: 2,
+                needed: 8,
                 weight: 1.0,
             },
         );
         // Six more begin here, and before they are told of the share shrinks.
         told(&mut shares, first, 1, 2);
-        assert_eq!(shares.ceiling(Time(1), "calls"), 2);
-        assert_eq!(shares.ask(Time(29_000)).unwrap().wants[0].holds, 8);
-        shares.used(
+        assert_eq!(shares.available(Time(1), "calls"), 2);
+        assert_eq!(
+            shares.next_request(Time(29_000)).unwrap().demands[0].retained,
+            8
+        );
+        shares.record_usage(
             "calls",
             Usage {
-                held: 5,
-                need: 8,
+                in_use: 5,
+                needed: 8,
                 weight: 1.0,
             },
         );
-        assert_eq!(shares.ask(Time(59_000)).unwrap().wants[0].holds, 5);
+        assert_eq!(
+            shares.next_request(Time(59_000)).unwrap().demands[0].retained,
+            5
+        );
     }
 
     /// Guards the ceiling: a lease counts from its asking, an old answer is worth nothing, an epoch only falls.
     #[test]
     fn answers_count_once_and_from_their_asking() {
         let mut shares = shares();
-        let first = shares.ask(Time(0)).unwrap().nonce;
-        let second = shares.ask(Time(10_000)).unwrap().nonce;
+        let first = shares.next_request(Time(0)).unwrap().nonce;
+        let second = shares.next_request(Time(10_000)).unwrap().nonce;
         told(&mut shares, second, 2, 4);
         told(&mut shares, first, 1, 9);
         told(&mut shares, second, 2, 9);
-        assert_eq!(shares.ceiling(Time(39_999), "calls"), 4);
-        assert_eq!(shares.ceiling(Time(40_000), "calls"), 0);
+        assert_eq!(shares.available(Time(39_999), "calls"), 4);
+        assert_eq!(shares.available(Time(40_000), "calls"), 0);
         // No asking bears this number.
         told(&mut shares, Nonce(99), 3, 9);
-        assert_eq!(shares.ceiling(Time(39_999), "calls"), 4);
+        assert_eq!(shares.available(Time(39_999), "calls"), 4);
     }
 
     /// Guards the ceiling: a holder comes back, the answer to its asking is lost, and a word about another budget comes
@@ -339,28 +345,28 @@
     #[test]
     fn a_word_about_one_budget_does_not_lengthen_the_lease_of_another() {
         let mut shares = shares();
-        shares.name(["beside", "calls"].map(String::from).into_iter());
-        let first = shares.ask(Time(0)).unwrap().nonce;
+        shares.set_budgets(["beside", "calls"].map(String::from).into_iter());
+        let first = shares.next_request(Time(0)).unwrap().nonce;
         told(&mut shares, first, 1, 8);
-        let second = shares.ask(Time(60_000)).unwrap().nonce;
-        let beside = Told {
+        let second = shares.next_request(Time(60_000)).unwrap().nonce;
+        let beside = GrantedQuota {
             budget: "beside".into(),
             epoch: Epoch(2),
             amount: 3,
         };
-        shares.told(&Reply {
-            holder: shares.me().clone(),
+        shares.handle_response(&LeaseResponse {
+            holder: shares.holder().clone(),
             nonce: second,
-            told: vec![beside],
+            granted: vec![beside],
         });
         assert_eq!(
             (
-                shares.ceiling(Time(60_001), "beside"),
-                shares.ceiling(Time(60_001), "calls")
+                shares.available(Time(60_001), "beside"),
+                shares.available(Time(60_001), "calls")
             ),
             (3, 0)
         );
         told(&mut shares, second, 4, 5);
-        assert_eq!(shares.ceiling(Time(60_001), "calls"), 5);
+        assert_eq!(shares.available(Time(60_001), "calls"), 5);
     }
 }
--- a/crates/quota/src/granter.rs
+++ b/crates/quota/src/lease_manager.rs
@@ -5,16 +5,16 @@
 //! answers an asking only once a majority confirmed, after it came, that it still leads; so a later leader began
 //! after that, and it waits a whole lease from there before it takes a share whose holder it has not heard itself.
 use crate::{
-    divide, Ask, Claim, Command, Epoch, Holder, Nonce, Reply, Share, Table, Terms, Told, Want,
-    Whole, DRIFT,
+    allocate, Budget, Claim, Command, Demand, Epoch, GrantedQuota, Holder, LeaseConfig,
+    LeaseRequest, LeaseResponse, Nonce, Quota, QuotaTable, MAX_CLOCK_DRIFT,
 };
 use cottondyke_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Members that are remembered, askings that wait for a confirmation, and commands made at one time.
-const MOST_MEMBERS: usize = 4_096;
-const MOST_WAITING: usize = 8_192;
-const MOST_COMMANDS: usize = 256;
+const MAX_MEMBERS: usize = 4_096;
+const MAX_WAITING: usize = 8_192;
+const MAX_COMMANDS: usize = 256;
 /// Part of a lease after which commands that were not applied are made again.
 const AGAIN: f64 = 0.1;
 /// A share is not lowered for less than this part of it: division would wander with every need.
@@ -25,16 +25,16 @@
 const IDLE: f64 = 0.02;
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct HolderState {
     at: Time,
-    want: Want,
+    want: Demand,
     /// What the holder was told last under this epoch.
     told: Option<(Epoch, u32)>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Member {
-    budgets: BTreeMap<String, Heard>,
+    budgets: BTreeMap<String, HolderState>,
     /// The last asking that was answered.
     answered: Option<Nonce>,
     /// Since when its process is known to be over.
@@ -43,7 +43,7 @@
 
 /// A share that is kept back, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holdback {
+pub struct QuarantinedQuota {
     pub budget: String,
     pub holder: Holder,
     pub units: u32,
@@ -51,12 +51,12 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Granter {
-    terms: Terms,
+pub struct LeaseManager {
+    terms: LeaseConfig,
     since: Option<Time>,
     members: BTreeMap<Holder, Member>,
     /// Askings that wait for a confirmation, with the one that they wait for.
-    waiting: Vec<(u64, Ask)>,
+    waiting: Vec<(u64, LeaseRequest)>,
     /// Confirmations that were asked for.
     round: u64,
     asking: bool,
@@ -71,9 +71,9 @@
     stirred: bool,
 }
 
-impl Granter {
-    pub fn new(terms: Terms) -> Self {
-        Granter {
+impl LeaseManager {
+    pub fn new(terms: LeaseConfig) -> Self {
+        LeaseManager {
             terms,
             since: None,
             members: BTreeMap::new(),
@@ -89,34 +89,37 @@
         }
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.since.is_some()
     }
 
     /// Leadership began or ended: nothing that an earlier one knew counts.
-    pub fn lead(&mut self, since: Option<Time>) {
+    pub fn set_leadership(&mut self, since: Option<Time>) {
         let round = self.round + 1;
-        *self = Granter {
+        *self = LeaseManager {
             since,
             round,
-            ..Granter::new(self.terms)
+            ..LeaseManager::new(self.terms)
         };
     }
 
     /// An asking came. It is answered by `confirmed`.
-    pub fn ask(&mut self, now: Time, ask: Ask) {
-        if self.since.is_none() || self.waiting.len() >= MOST_WAITING {
+    pub fn handle_request(&mut self, now: Time, ask: LeaseRequest) {
+        if self.since.is_none() || self.waiting.len() >= MAX_WAITING {
             return;
         }
-        if !self.members.contains_key(&ask.holder) && self.members.len() >= MOST_MEMBERS {
+        if !self.members.contains_key(&ask.holder) && self.members.len() >= MAX_MEMBERS {
             return;
         }
-        if let Some(former) = ask.former.filter(|life| *life != ask.holder.life) {
+        if let Some(former) = ask
+            .previous_incarnation
+            .filter(|life| *life != ask.holder.incarnation)
+        {
             let former = Holder {
                 name: ask.holder.name.clone(),
-                life: former,
+                incarnation: former,
             };
-            if self.members.contains_key(&former) || self.members.len() < MOST_MEMBERS {
+            if self.members.contains_key(&former) || self.members.len() < MAX_MEMBERS {
                 self.members
                     .entry(former)
                     .or_default()
@@ -126,15 +129,15 @@
         }
         self.stirred = true;
         let member = self.members.entry(ask.holder.clone()).or_default();
-        for want in &ask.wants {
+        for want in &ask.demands {
             let told = member
                 .budgets
                 .get(&want.budget)
                 .and_then(|heard| heard.told);
             // What it holds by its own word, it was told to hold at least.
             let told = told.filter(|(epoch, _)| *epoch == want.epoch);
-            let told = told.map_or(want.holds, |(_, amount)| amount.min(want.holds));
-            let heard = Heard {
+            let told = told.map_or(want.retained, |(_, amount)| amount.min(want.retained));
+            let heard = HolderState {
                 at: now,
                 want: want.clone(),
                 told: Some((want.epoch, told)),
@@ -147,7 +150,7 @@
     }
 
     /// Asks for a confirmation of leadership, where any asking waits and none is under way.
-    pub fn confirm(&mut self) -> Option<u64> {
+    pub fn start_read_index(&mut self) -> Option<u64> {
         if self.asking || self.waiting.is_empty() {
             return None;
         }
@@ -157,14 +160,14 @@
 
     /// No word came of the confirmation: another is asked for, and the word of this one, should it still come, is
     /// older than some that wait by then.
-    pub fn unconfirmed(&mut self) {
+    pub fn abort_read_index(&mut self) {
         if std::mem::take(&mut self.asking) {
             self.round += 1;
         }
     }
 
     /// This leader still led after the confirmation was asked for: askings from before it are answered.
-    pub fn confirmed(&mut self, round: u64, table: &Table) -> Vec<Reply> {
+    pub fn handle_read_index(&mut self, round: u64, table: &QuotaTable) -> Vec<LeaseResponse> {
         if round != self.round + 1 {
             return Vec::new();
         }
@@ -173,26 +176,26 @@
             .into_iter()
             .partition(|(at, _)| *at <= round);
         self.waiting = waits;
-        let ready: Vec<(u64, Ask)> = ready;
+        let ready: Vec<(u64, LeaseRequest)> = ready;
         ready
             .into_iter()
             .map(|(_, ask)| self.answer(&ask, table))
             .collect()
     }
 
-    fn answer(&mut self, ask: &Ask, table: &Table) -> Reply {
+    fn answer(&mut self, ask: &LeaseRequest, table: &QuotaTable) -> LeaseResponse {
         // A share that is gone is told as nothing: the lease that this answer brings must not revive what its holder
         // had before, when it was silent for so long that nothing is kept back of it any more.
-        let gone = |want: &Want| Told {
+        let gone = |want: &Demand| GrantedQuota {
             budget: want.budget.clone(),
             epoch: want.epoch,
             amount: 0,
         };
-        let amount = |want: &Want| {
+        let amount = |want: &Demand| {
             self.amount(&want.budget, &ask.holder, table)
                 .unwrap_or_else(|| gone(want))
         };
-        let amounts: Vec<Told> = ask.wants.iter().map(amount).collect();
+        let amounts: Vec<GrantedQuota> = ask.demands.iter().map(amount).collect();
         if let Some(member) = self.members.get_mut(&ask.holder) {
             member.answered = member.answered.max(Some(ask.nonce));
             for told in &amounts {
@@ -201,20 +204,20 @@
                 }
             }
         }
-        Reply {
+        LeaseResponse {
             holder: ask.holder.clone(),
             nonce: ask.nonce,
-            told: amounts,
+            granted: amounts,
         }
     }
 
     /// What a holder may use: its share, or less where it is to shrink.
-    fn amount(&self, budget: &str, holder: &Holder, table: &Table) -> Option<Told> {
-        let Share {
+    fn amount(&self, budget: &str, holder: &Holder, table: &QuotaTable) -> Option<GrantedQuota> {
+        let Quota {
             amount,
             epoch,
             fenced,
-        } = *table.budgets.get(budget)?.shares.get(holder)?;
+        } = *table.budgets.get(budget)?.quotas.get(holder)?;
         let lost = fenced
             || self
                 .condemned
@@ -226,7 +229,7 @@
             .copied()
             .unwrap_or(amount);
         let amount = if lost { 0 } else { amount.min(target) };
-        Some(Told {
+        Some(GrantedQuota {
             budget: budget.to_string(),
             epoch,
             amount,
@@ -234,7 +237,7 @@
     }
 
     /// Words to holders that were answered and whose share differs now from what they know.
-    pub fn news(&mut self, table: &Table) -> Vec<Reply> {
+    pub fn pending_notifications(&mut self, table: &QuotaTable) -> Vec<LeaseResponse> {
         let mut out = Vec::new();
         let holders: Vec<Holder> = self.members.keys().cloned().collect();
         for holder in holders {
@@ -242,7 +245,7 @@
             let Some(nonce) = member.answered else {
                 continue;
             };
-            let differs = |heard: &Heard, told: &Told| match heard.told {
+            let differs = |heard: &HolderState, told: &GrantedQuota| match heard.told {
                 Some((epoch, amount)) => {
                     told.epoch > epoch || (told.epoch == epoch && told.amount < amount)
                 }
@@ -252,7 +255,7 @@
                 self.amount(budget, &holder, table)
                     .filter(|told| differs(heard, told))
             });
-            let told: Vec<Told> = now.collect();
+            let told: Vec<GrantedQuota> = now.collect();
             if told.is_empty() {
                 continue;
             }
@@ -264,23 +267,23 @@
                         .for_each(|heard| heard.told = Some((told.epoch, told.amount)));
                 }
             }
-            out.push(Reply {
+            out.push(LeaseResponse {
                 holder,
                 nonce,
-                told,
+                granted: told,
             });
         }
         out
     }
 
     /// Commands were applied: what was proposed may be settled.
-    pub fn applied(&mut self, table: &Table) {
+    pub fn handle_applied(&mut self, table: &QuotaTable) {
         (self.busy, self.stirred) = (None, true);
         self.condemned.retain(|(budget, holder), was| {
             let share = table
                 .budgets
                 .get(budget)
-                .and_then(|whole| whole.shares.get(holder));
+                .and_then(|whole| whole.quotas.get(holder));
             // A raise may have come in between: then the taking is void.
             share.is_some_and(|share| share.epoch == *was)
         });
@@ -289,7 +292,7 @@
             let share = table
                 .budgets
                 .get(&of.0)
-                .and_then(|whole| whole.shares.get(&of.1));
+                .and_then(|whole| whole.quotas.get(&of.1));
             // Commands proposed with the fence may be applied before it.
             condemned.contains_key(of) || share.is_some_and(|share| share.fenced)
         });
@@ -297,7 +300,7 @@
 
     /// A holder's lease on this clock, at the longest.
     fn lease_here(&self) -> Time {
-        self.terms.lease.scaled(1.0 + DRIFT) + Time(1)
+        self.terms.lease_duration.scaled(1.0 + MAX_CLOCK_DRIFT) + Time(1)
     }
 
     /// When a holder's share is free again, and how much of it stays back then.
@@ -305,12 +308,12 @@
         &self,
         since: Time,
         budget: &str,
-        whole: &Whole,
+        whole: &Budget,
         holder: &Holder,
-        share: &Share,
+        share: &Quota,
     ) -> (Time, u32) {
-        let linger = if self.terms.defences.linger {
-            whole.linger()
+        let linger = if self.terms.safeguards.post_cancel_grace {
+            whole.post_cancel_grace()
         } else {
             Time(0)
         };
@@ -328,26 +331,26 @@
                     .get(&(budget.to_string(), holder.clone()))
                     .copied()
                     .unwrap_or(since);
-                (from + self.terms.slip, 0)
+                (from + self.terms.max_process_pause, 0)
             }
             None => (lease, 1),
         }
     }
 
     /// What is kept back of all budgets, and until when by this leader's clock.
-    pub fn held_back(&self, now: Time, table: &Table) -> Vec<Holdback> {
+    pub fn quarantined(&self, now: Time, table: &QuotaTable) -> Vec<QuarantinedQuota> {
         let Some(since) = self.since else {
             return Vec::new();
         };
         let all = table
             .budgets
             .iter()
-            .flat_map(|(budget, whole)| whole.shares.iter().map(move |s| (budget, whole, s)));
+            .flat_map(|(budget, whole)| whole.quotas.iter().map(move |s| (budget, whole, s)));
         let silent = all.filter(|(budget, _, (holder, share))| {
             share.fenced || !self.live(now, since, budget, holder)
         });
         silent
-            .map(|(budget, whole, (holder, share))| Holdback {
+            .map(|(budget, whole, (holder, share))| QuarantinedQuota {
                 budget: budget.clone(),
                 holder: holder.clone(),
                 units: share.amount,
@@ -372,20 +375,20 @@
             .get(holder)
             .filter(|m| m.over.is_none())
             .and_then(|m| m.budgets.get(budget));
-        heard.is_some_and(|heard| heard.at >= since && now < heard.at + self.terms.lease)
+        heard.is_some_and(|heard| heard.at >= since && now < heard.at + self.terms.lease_duration)
     }
 
     /// When `commands` and `news` are due next.
-    pub fn due(&self) -> Time {
+    pub fn next_run(&self) -> Time {
         let part = if self.stirred { ROUND } else { IDLE };
-        self.divided + self.terms.lease.scaled(part)
+        self.divided + self.terms.lease_duration.scaled(part)
     }
 
     /// What to propose now; `wholes` are the leader's file: name, units, linger.
-    pub fn commands(
+    pub fn plan_commands(
         &mut self,
         now: Time,
-        table: &Table,
+        table: &QuotaTable,
         wholes: &[(String, u32, Time)],
     ) -> Vec<Command> {
         let Some(since) = self.since else {
@@ -394,22 +397,23 @@
         (self.divided, self.stirred) = (now, false);
         if self
             .busy
-            .is_some_and(|at| now < at + self.terms.lease.scaled(AGAIN))
+            .is_some_and(|at| now < at + self.terms.lease_duration.scaled(AGAIN))
         {
             return Vec::new();
         }
         let mut out = Vec::new();
         for (budget, units, linger) in wholes {
             let stands = table.budgets.get(budget);
-            let same = |w: &Whole| {
+            let same = |w: &Budget| {
                 w.units == *units
-                    && (w.linger() == *linger || w.linger() > *linger && !w.shares.is_empty())
+                    && (w.post_cancel_grace() == *linger
+                        || w.post_cancel_grace() > *linger && !w.quotas.is_empty())
             };
             if !stands.is_some_and(same) {
-                out.push(Command::Whole {
+                out.push(Command::SetBudget {
                     budget: budget.clone(),
                     units: *units,
-                    linger: linger.0,
+                    post_cancel_grace: linger.0,
                 });
             }
         }
@@ -427,9 +431,9 @@
             self.take_back(now, since, budget, whole, &mut out);
             self.raise(now, since, budget, whole, &mut out);
         }
-        out.truncate(MOST_COMMANDS);
+        out.truncate(MAX_COMMANDS);
         for command in &out {
-            if let Command::Fence {
+            if let Command::FenceHolder {
                 budget,
                 holder,
                 keep,
@@ -454,10 +458,10 @@
         now: Time,
         since: Time,
         budget: &str,
-        whole: &Whole,
+        whole: &Budget,
         out: &mut Vec<Command>,
     ) {
-        for (holder, share) in &whole.shares {
+        for (holder, share) in &whole.quotas {
             let (at, keep) = self.ends(since, budget, whole, holder, share);
             let heard = self.members.get(holder).and_then(|m| m.budgets.get(budget));
             // One that was condemned is told of nothing until that is settled, though it may have asked meanwhile.
@@ -465,20 +469,20 @@
                 self.condemned.get(&(budget.to_string(), holder.clone())) == Some(&share.epoch);
             if now >= at || condemned {
                 let (budget, holder) = (budget.to_string(), holder.clone());
-                out.push(Command::Fence {
+                out.push(Command::FenceHolder {
                     budget,
                     holder,
                     keep,
                     was: share.epoch,
                 });
             } else if let Some(want) = heard.map(|heard| &heard.want).filter(|_| !share.fenced) {
-                let fits = want.epoch == share.epoch || !self.terms.defences.fence;
-                if fits && want.holds < share.amount {
+                let fits = want.epoch == share.epoch || !self.terms.safeguards.fence;
+                if fits && want.retained < share.amount {
                     let (budget, holder) = (budget.to_string(), holder.clone());
-                    out.push(Command::Lower {
+                    out.push(Command::LowerQuota {
                         budget,
                         holder,
-                        to: want.holds,
+                        to: want.retained,
                         was: share.epoch,
                     });
                 }
@@ -492,7 +496,7 @@
         now: Time,
         since: Time,
         budget: &str,
-        whole: &Whole,
+        whole: &Budget,
         out: &mut Vec<Command>,
     ) {
         let mut live: Vec<(Holder, Claim)> = Vec::new();
@@ -502,12 +506,12 @@
                 .get(budget)
                 .filter(|_| self.live(now, since, budget, holder))
             {
-                let need = if self.terms.defences.need {
-                    heard.want.need
+                let need = if self.terms.safeguards.demand {
+                    heard.want.needed
                 } else {
                     1
                 };
-                let weight = if self.terms.defences.need {
+                let weight = if self.terms.safeguards.demand {
                     heard.want.weight
                 } else {
                     1.0
@@ -518,17 +522,17 @@
         let there: BTreeSet<&Holder> = live.iter().map(|(holder, _)| holder).collect();
         let silent = |holder: &Holder| !there.contains(holder);
         let kept: u32 = whole
-            .shares
+            .quotas
             .iter()
             .filter(|(h, _)| silent(h))
             .map(|(_, s)| s.amount)
             .sum();
         let claims: Vec<Claim> = live.iter().map(|(_, claim)| *claim).collect();
-        let parts = divide(whole.units.saturating_sub(kept), &claims);
+        let parts = allocate(whole.units.saturating_sub(kept), &claims);
         let before = self.targets.remove(budget).unwrap_or_default();
         let amount = |holder: &Holder| {
             whole
-                .shares
+                .quotas
                 .get(holder)
                 .filter(|s| !s.fenced)
                 .map_or(0, |s| s.amount)
@@ -563,7 +567,7 @@
             targets.iter().map(|(h, target)| (h, *target)).collect();
         wanting.sort_by_key(|(h, target)| std::cmp::Reverse(target.saturating_sub(amount(h))));
         for (holder, target) in wanting {
-            let share = whole.shares.get(holder).copied();
+            let share = whole.quotas.get(holder).copied();
             let told = self
                 .members
                 .get(holder)
@@ -585,7 +589,7 @@
             {
                 free -= to.saturating_sub(had);
                 let was = share.map(|s| s.epoch);
-                out.push(Command::Raise {
+                out.push(Command::RaiseQuota {
                     budget: budget.to_string(),
                     holder: holder.clone(),
                     to,
@@ -597,13 +601,13 @@
     }
 
     /// Members of whom nothing is left are forgotten.
-    fn forget(&mut self, now: Time, since: Time, table: &Table) {
-        let span = self.terms.lease.scaled(2.0);
+    fn forget(&mut self, now: Time, since: Time, table: &QuotaTable) {
+        let span = self.terms.lease_duration.scaled(2.0);
         let holds = |h: &Holder| {
             table
                 .budgets
                 .values()
-                .any(|whole| whole.shares.contains_key(h))
+                .any(|whole| whole.quotas.contains_key(h))
         };
         self.members.retain(|holder, member| {
             let last = member
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -20,14 +20,14 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Word {
-    Ask(Ask),
-    Reply(Reply),
+    LeaseRequest(LeaseRequest),
+    LeaseResponse(LeaseResponse),
 }
 
 #[derive(Clone, Debug)]
 struct Member {
     life: u64,
-    shares: Shares,
+    shares: LeaseHolder,
     /// When its calls began.
     calls: Vec<Time>,
     /// It looked, was allowed a call, and was stopped before it was sent.
@@ -38,8 +38,8 @@
 #[derive(Clone, Debug)]
 struct World {
     now: Time,
-    table: Table,
-    granter: Granter,
+    table: QuotaTable,
+    granter: LeaseManager,
     /// Proposed and not yet agreed.
     proposed: Vec<Command>,
     words: Vec<Word>,
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Clock,
-    Ask(usize),
+    LeaseRequest(usize),
     Call(usize),
     Stop(usize),
     Wake(usize),
@@ -80,22 +80,29 @@
 }
 
 struct Lease {
-    defences: Defences,
+    defences: Safeguards,
 }
 
 impl Lease {
-    fn terms(&self) -> Terms {
-        Terms {
-            lease: LEASE,
-            slip: SLIP,
-            defences: self.defences,
+    fn terms(&self) -> LeaseConfig {
+        LeaseConfig {
+            lease_duration: LEASE,
+            max_process_pause: SLIP,
+            safeguards: self.defences,
         }
     }
 
     fn member(&self, place: usize, life: u64, former: Option<u64>) -> Member {
         let name = ["a", "b"][place].to_string();
-        let mut shares = Shares::new(Holder { name, life }, former, self.terms());
-        shares.name([BUDGET.to_string()].into_iter());
+        let mut shares = LeaseHolder::new(
+            Holder {
+                name,
+                incarnation: life,
+            },
+            former,
+            self.terms(),
+        );
+        shares.set_budgets([BUDGET.to_string()].into_iter());
         Member {
             life,
             shares,
@@ -106,26 +113,28 @@
 
     fn lead(&self, world: &mut World, kept: usize) {
         let wholes = [(BUDGET.to_string(), WHOLE, LINGER)];
-        world
-            .proposed
-            .extend(world.granter.commands(world.now, &world.table, &wholes));
+        world.proposed.extend(
+            world
+                .granter
+                .plan_commands(world.now, &world.table, &wholes),
+        );
         let agreed = world.proposed.len().saturating_sub(kept);
         for command in world.proposed.drain(..agreed).collect::<Vec<_>>() {
             let _ = world.table.apply(&command);
-            world.granter.applied(&world.table);
+            world.granter.handle_applied(&world.table);
         }
         let mut replies = Vec::new();
-        if let Some(round) = world.granter.confirm() {
-            replies = world.granter.confirmed(round, &world.table);
+        if let Some(round) = world.granter.start_read_index() {
+            replies = world.granter.handle_read_index(round, &world.table);
         }
-        replies.extend(world.granter.news(&world.table));
+        replies.extend(world.granter.pending_notifications(&world.table));
         replies
             .into_iter()
-            .for_each(|reply| say(world, Word::Reply(reply)));
+            .for_each(|reply| say(world, Word::LeaseResponse(reply)));
     }
 }
 
-fn asks(member: &mut Member, place: usize, now: Time) -> Option<Ask> {
+fn asks(member: &mut Member, place: usize, now: Time) -> Option<LeaseRequest> {
     let held = member.calls.len() as u32;
     // The first needs much at first, the other later.
     let need = if (place == 0) == (now < Time(STEP)) {
@@ -133,15 +142,15 @@
     } else {
         0
     };
-    member.shares.used(
+    member.shares.record_usage(
         BUDGET,
         Usage {
-            held,
-            need,
+            in_use: held,
+            needed: need,
             weight: 1.0,
         },
     );
-    member.shares.ask(now)
+    member.shares.next_request(now)
 }
 
 fn say(world: &mut World, word: Word) {
@@ -152,13 +161,14 @@
 
 fn arrive(world: &mut World, word: Word) {
     match word {
-        Word::Ask(ask) => world.granter.ask(world.now, ask),
-        Word::Reply(reply) => {
+        Word::LeaseRequest(ask) => world.granter.handle_request(world.now, ask),
+        Word::LeaseResponse(reply) => {
             let to = world
                 .members
                 .iter_mut()
-                .find(|m| *m.shares.me() == reply.holder && m.stopped.is_none());
-            to.into_iter().for_each(|member| member.shares.told(&reply));
+                .find(|m| *m.shares.holder() == reply.holder && m.stopped.is_none());
+            to.into_iter()
+                .for_each(|member| member.shares.handle_response(&reply));
         }
     }
 }
@@ -168,7 +178,7 @@
     let of = |m: &Member| {
         let held = m.calls.len() as u32 + u32::from(m.stopped.is_some());
         held.max(if m.stopped.is_none() {
-            m.shares.ceiling(world.now, BUDGET)
+            m.shares.available(world.now, BUDGET)
         } else {
             0
         })
@@ -184,25 +194,25 @@
         // One member has the whole, and both were just heard.
         let mut world = World {
             now: Time(0),
-            table: Table::default(),
-            granter: Granter::new(self.terms()),
+            table: QuotaTable::default(),
+            granter: LeaseManager::new(self.terms()),
             proposed: Vec::new(),
             words: Vec::new(),
             members: vec![self.member(0, 1, None), self.member(1, 2, None)],
             ghosts: Vec::new(),
             left: [1, 1, 1, 1],
         };
-        world.granter.lead(Some(Time(-10 * STEP)));
+        world.granter.set_leadership(Some(Time(-10 * STEP)));
         let first = [
             Command::Open,
-            Command::Whole {
+            Command::SetBudget {
                 budget: BUDGET.into(),
                 units: WHOLE,
-                linger: LINGER.0,
+                post_cancel_grace: LINGER.0,
             },
-            Command::Raise {
+            Command::RaiseQuota {
                 budget: BUDGET.into(),
-                holder: world.members[0].shares.me().clone(),
+                holder: world.members[0].shares.holder().clone(),
                 to: WHOLE,
                 was: None,
             },
@@ -210,19 +220,19 @@
         first
             .iter()
             .for_each(|command| world.table.apply(command).expect("the first commands fit"));
-        world.members[0].shares.used(
+        world.members[0].shares.record_usage(
             BUDGET,
             Usage {
-                held: 0,
-                need: WHOLE,
+                in_use: 0,
+                needed: WHOLE,
                 weight: 1.0,
             },
         );
         let ask = world.members[0]
             .shares
-            .ask(world.now)
+            .next_request(world.now)
             .expect("the first asking is due");
-        world.granter.ask(world.now, ask);
+        world.granter.handle_request(world.now, ask);
         self.lead(&mut world, 0);
         while let Some(word) = world.words.pop() {
             arrive(&mut world, word);
@@ -245,8 +255,10 @@
                 out.extend((world.now <= at + SLIP).then_some(Step::Wake(place)));
                 continue;
             }
-            out.extend(asks(&mut member.clone(), place, world.now).map(|_| Step::Ask(place)));
-            if (member.calls.len() as u32) < member.shares.ceiling(world.now, BUDGET) {
+            out.extend(
+                asks(&mut member.clone(), place, world.now).map(|_| Step::LeaseRequest(place)),
+            );
+            if (member.calls.len() as u32) < member.shares.available(world.now, BUDGET) {
                 out.extend([Step::Call(place), Step::Stop(place)]);
             }
             if world.left[1] > 0 {
@@ -274,9 +286,9 @@
                     .for_each(|m| m.calls.retain(goes_on));
                 next.ghosts.retain(goes_on);
             }
-            Step::Ask(place) => {
+            Step::LeaseRequest(place) => {
                 let ask = asks(&mut next.members[place], place, now)?;
-                say(&mut next, Word::Ask(ask));
+                say(&mut next, Word::LeaseRequest(ask));
             }
             Step::Call(place) => next.members[place].calls.push(now),
             Step::Stop(place) => next.members[place].stopped = Some(now),
@@ -298,7 +310,7 @@
             Step::Lead(kept) => self.lead(&mut next, kept),
             Step::NewLeader => {
                 next.left[2] -= 1;
-                next.granter.lead(Some(now));
+                next.granter.set_leadership(Some(now));
             }
             Step::Crash(place, known) => {
                 next.left[1] -= 1;
@@ -308,8 +320,8 @@
             }
             Step::Anew => {
                 next.left[3] -= 1;
-                (next.table, next.proposed) = (Table::default(), Vec::new());
-                next.granter.lead(Some(now));
+                (next.table, next.proposed) = (QuotaTable::default(), Vec::new());
+                next.granter.set_leadership(Some(now));
             }
         }
         Some(next)
@@ -326,7 +338,7 @@
 /// States that are looked at; a counterexample ends a search before.
 const STATES: usize = 200_000;
 
-fn searched(defences: Defences, seed: Option<u64>) -> Option<Vec<Step>> {
+fn searched(defences: Safeguards, seed: Option<u64>) -> Option<Vec<Step>> {
     let model = Lease { defences }
         .checker()
         .threads(4)
@@ -344,33 +356,33 @@
 /// Guards the ceiling in every order of events that the search comes to: all short ones, and long ones by chance.
 #[test]
 fn the_whole_is_never_passed() {
-    assert_eq!(searched(Defences::default(), None), None);
-    assert_eq!(searched(Defences::default(), Some(1)), None);
+    assert_eq!(searched(Safeguards::default(), None), None);
+    assert_eq!(searched(Safeguards::default(), Some(1)), None);
 }
 
 /// Guards the model: without any one of the protocol's defences it finds how the ceiling breaks.
 #[test]
 fn the_search_finds_planted_faults() {
-    let all = Defences::default();
+    let all = Safeguards::default();
     for (name, planted) in [
         (
             "lease",
-            Defences {
+            Safeguards {
                 lease: false,
                 ..all
             },
         ),
         (
             "fence",
-            Defences {
+            Safeguards {
                 fence: false,
                 ..all
             },
         ),
         (
             "linger",
-            Defences {
-                linger: false,
+            Safeguards {
+                post_cancel_grace: false,
                 ..all
             },
         ),
--- a/crates/server/src/fleet/disk.rs
+++ b/crates/server/src/fleet/disk.rs
@@ -1,8 +1,8 @@
 //! The folder of an instance: its lock, the number of its life, and the registry's file with the thread that
 //! writes it.
 use async_channel::{Receiver, Sender};
-use cottondyke_consensus::sqlite::Disk;
-use cottondyke_consensus::{KeeperId, Saved, Write};
+use cottondyke_consensus::sqlite::SqliteStorage;
+use cottondyke_consensus::{PersistedState, ReplicaId, StorageOperation};
 use std::fs::{File, TryLockError};
 use std::hash::{BuildHasher, Hasher};
 use std::io::{self, Write as _};
@@ -68,8 +68,8 @@
     }
 
     /// The registry's file, and what it holds.
-    pub fn registry(&self) -> Result<(Disk, Saved), String> {
-        Disk::open(&self.folder.join("registry.db"), KeeperId(draw() | 1))
+    pub fn registry(&self) -> Result<(SqliteStorage, PersistedState), String> {
+        SqliteStorage::open(&self.folder.join("registry.db"), ReplicaId(draw() | 1))
     }
 }
 
@@ -84,20 +84,20 @@
 }
 
 /// The thread that writes. What waits is written in one step.
-pub struct Writer(Sender<Write>);
+pub struct Writer(Sender<StorageOperation>);
 
 impl Writer {
-    pub fn start(mut disk: Disk) -> io::Result<(Self, Receiver<Result<u64, String>>)> {
-        let (to_disk, writes) = async_channel::unbounded::<Write>();
+    pub fn start(mut disk: SqliteStorage) -> io::Result<(Self, Receiver<Result<u64, String>>)> {
+        let (to_disk, writes) = async_channel::unbounded::<StorageOperation>();
         let (told, stored) = async_channel::unbounded();
         std::thread::Builder::new()
             .name("registry".into())
             .spawn(move || {
                 while let Ok(first) = writes.recv_blocking() {
                     let rest = std::iter::from_fn(|| writes.try_recv().ok()).take(AT_ONCE - 1);
-                    let batch: Vec<Write> = std::iter::once(first).chain(rest).collect();
+                    let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
                     let number = batch.last().map_or(0, |write| write.number);
-                    let result = disk.write(&batch).map(|()| number);
+                    let result = disk.apply(&batch).map(|()| number);
                     let failed = result.is_err();
                     if told.send_blocking(result).is_err() || failed {
                         return;
@@ -108,7 +108,7 @@
     }
 
     /// Bounded by raft itself, which proposes no more than a megabyte that is not agreed.
-    pub fn write(&self, write: Write) {
+    pub fn write(&self, write: StorageOperation) {
         let _ = self.0.try_send(write);
     }
 }
--- a/crates/server/src/fleet/links.rs
+++ b/crates/server/src/fleet/links.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 /// Words that may wait for a link; past that the newest are lost.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 /// Links that are open at one time, and that are taken from others.
-const MOST_LINKS: usize = 4_096;
+const MAX_LINKS: usize = 4_096;
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
@@ -53,10 +53,10 @@
         if !open.contains_key(&to) {
             let dials = fleet.own.keepers.iter().any(|(_, addr)| *addr == to)
                 || self.known.borrow().contains(&to);
-            let Some(fleet) = fleet.this().filter(|_| dials && open.len() < MOST_LINKS) else {
+            let Some(fleet) = fleet.this().filter(|_| dials && open.len() < MAX_LINKS) else {
                 return;
             };
-            let (out, words) = async_channel::bounded(MOST_WAITING);
+            let (out, words) = async_channel::bounded(MAX_WAITING);
             let dialling = fleet.executor.clone().spawn(dial(fleet, to, words));
             open.insert(
                 to,
@@ -151,11 +151,11 @@
             Timer::after(LONGEST_PAUSE).await;
             continue;
         };
-        if fleet.links.open.borrow().len() >= MOST_LINKS {
+        if fleet.links.open.borrow().len() >= MAX_LINKS {
             continue;
         }
         let _ = stream.get_ref().set_nodelay(true);
-        let (out, words) = async_channel::bounded(MOST_WAITING);
+        let (out, words) = async_channel::bounded(MAX_WAITING);
         fleet.links.open.borrow_mut().insert(
             peer,
             Link {
--- a/crates/server/src/fleet/look.rs
+++ b/crates/server/src/fleet/look.rs
@@ -1,6 +1,6 @@
 //! `cottondyke peers ADDR`: asks a running instance what it knows.
 use crate::wire::peers::{encode, Decoder};
-use cottondyke_cluster::{View, Word};
+use cottondyke_cluster::{Message, NodeStatus};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,13 +8,13 @@
 
 const LIMIT: Duration = Duration::from_secs(3);
 
-pub fn look(addr: SocketAddr) -> Result<View, String> {
+pub fn look(addr: SocketAddr) -> Result<NodeStatus, String> {
     let wrong = |e: std::io::Error| format!("{addr}: {e}");
     let mut stream = TcpStream::connect_timeout(&addr, LIMIT).map_err(wrong)?;
     stream.set_read_timeout(Some(LIMIT)).map_err(wrong)?;
     stream.set_write_timeout(Some(LIMIT)).map_err(wrong)?;
     stream
-        .write_all(&encode(&Word::Look.encode()))
+        .write_all(&encode(&Message::StatusRequest.encode()))
         .map_err(wrong)?;
     let (mut decoder, mut bytes) = (Decoder::default(), [0; 4_096]);
     let until = Instant::now() + LIMIT;
@@ -30,7 +30,7 @@
             .word()
             .map_err(|wrong| format!("{addr}: {}", wrong.0))?
         {
-            if let Some(Word::View(view)) = Word::decode(&word) {
+            if let Some(Message::Status(view)) = Message::decode(&word) {
                 return Ok(*view);
             }
         }
@@ -39,9 +39,9 @@
 }
 
 /// For people.
-pub fn shown(view: &View) -> String {
+pub fn shown(view: &NodeStatus) -> String {
     let mut text = String::new();
-    let part = match (view.leads, view.keeps) {
+    let part = match (view.is_leader, view.is_replica) {
         (true, _) => "leads the registry",
         (_, true) => "keeps the registry",
         _ => "member",
@@ -50,27 +50,27 @@
     let _ = writeln!(
         text,
         "{} (life {}): {part}; leader {leader}; lease for {} ms",
-        view.name, view.life, view.lease_ms
+        view.name, view.incarnation, view.lease_ms
     );
     for member in &view.members {
-        let standing = format!("{:?}", member.standing).to_lowercase();
+        let standing = format!("{:?}", member.state).to_lowercase();
         let _ = writeln!(
             text,
             "  {} (life {}) in zone {}: {standing}",
-            member.name, member.life, member.zone
+            member.name, member.incarnation, member.zone
         );
     }
-    for (budget, units) in &view.shares {
+    for (budget, units) in &view.quotas {
         let _ = writeln!(text, "  may use {units} of {budget}");
     }
     for budget in &view.budgets {
-        let used: u32 = budget.shares.iter().map(|s| s.amount).sum();
-        let (name, whole, linger) = (&budget.name, budget.whole, budget.linger_ms);
+        let used: u32 = budget.quotas.iter().map(|s| s.amount).sum();
+        let (name, whole, linger) = (&budget.name, budget.units, budget.post_cancel_grace_ms);
         let _ = writeln!(
             text,
             "budget {name}: {used} of {whole} lent, a unit lingers up to {linger} ms"
         );
-        for share in &budget.shares {
+        for share in &budget.quotas {
             let back = if share.fenced {
                 ", kept back: its lease ran out"
             } else {
@@ -83,8 +83,9 @@
             );
         }
     }
-    for back in &view.held_back {
-        let (units, budget, holder, ms) = (back.units, &back.budget, &back.holder, back.for_ms);
+    for back in &view.quarantined {
+        let (units, budget, holder, ms) =
+            (back.units, &back.budget, &back.holder, back.remaining_ms);
         let _ = writeln!(
             text,
             "held back: {units} of {budget} for {holder}, {ms} ms more at the most"
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -7,11 +7,11 @@
 use crate::time::Clock;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use cottondyke_cluster::{Change, Effect, Instance, Setup};
+use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
 use cottondyke_dependency::{Lent, Plan, Use};
-use cottondyke_membership::MOST_DATAGRAM;
+use cottondyke_membership::MAX_DATAGRAM_BYTES;
 use cottondyke_operator_config::{budget_of, rate_of, Operator, Peers};
-use cottondyke_quota::{Defences, Holder, Terms, Usage};
+use cottondyke_quota::{Holder, LeaseConfig, Safeguards, Usage};
 use cottondyke_types::Time;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 }
 
 pub struct Fleet {
-    instance: RefCell<Instance>,
+    instance: RefCell<ClusterNode>,
     lent: RefCell<BTreeMap<String, Rc<Lent>>>,
     learnt: RefCell<BTreeMap<String, Learnt>>,
     clock: Clock,
@@ -111,33 +111,33 @@
     let (life, former) = home
         .as_ref()
         .map_or_else(|| (disk::fresh(), None), |home| (home.life, home.former));
-    let terms = Terms {
-        lease: Time(peers.lease),
-        slip: Time(peers.longest_stop),
-        defences: Defences {
+    let terms = LeaseConfig {
+        lease_duration: Time(peers.lease),
+        max_process_pause: Time(peers.longest_stop),
+        safeguards: Safeguards {
             lease: operator.keeps("lease"),
             fence: operator.keeps("fence"),
-            linger: operator.keeps("linger"),
-            need: operator.keeps("need"),
+            post_cancel_grace: operator.keeps("linger"),
+            demand: operator.keeps("need"),
         },
     };
     let bound = listener.get_ref().local_addr().unwrap_or(peers.listen);
-    let setup = Setup {
+    let setup = NodeConfig {
         zone: peers.zone.clone(),
         addr: peers.advertise.unwrap_or(bound),
-        probe: Time(peers.probe),
-        suspicion: operator.keeps("suspicion"),
-        me: Holder {
+        probe_interval: Time(peers.probe),
+        suspicion_enabled: operator.keeps("suspicion"),
+        holder: Holder {
             name: peers.name.clone(),
-            life,
+            incarnation: life,
         },
-        former,
-        keepers: peers.keepers.iter().cloned().collect(),
-        wholes: wholes(operator),
-        terms,
+        previous_incarnation: former,
+        replicas: peers.keepers.iter().cloned().collect(),
+        budgets: wholes(operator),
+        lease_config: terms,
         seed: seed ^ life,
     };
-    let instance = Instance::new(setup, saved.as_ref()).map_err(at)?;
+    let instance = ClusterNode::new(setup, saved.as_ref()).map_err(at)?;
     let fleet = Rc::new_cyclic(|this| Fleet {
         this: this.clone(),
         instance: RefCell::new(instance),
@@ -173,11 +173,11 @@
         let storing = stored.map(|stored| fleet.executor.spawn(fleet.clone().store(stored)));
         loop {
             let now = fleet.clock.now();
-            fleet.with(|instance| instance.timer(now));
+            fleet.with(|instance| instance.handle_timer(now));
             let next = fleet
                 .instance
                 .borrow()
-                .next()
+                .next_timer()
                 .min(now + LOOK)
                 .max(now + Time(1));
             Timer::at(fleet.clock.instant(next)).await;
@@ -203,7 +203,12 @@
     /// The share of each dependency goes into the plan.
     pub fn lend(&self, plan: &mut Plan) {
         let now = self.clock.now();
-        let shared = |budget: &String| self.instance.borrow().names().any(|name| name == budget);
+        let shared = |budget: &String| {
+            self.instance
+                .borrow()
+                .budget_names()
+                .any(|name| name == budget)
+        };
         let lent = |budget: String| {
             shared(&budget).then(|| self.lent.borrow_mut().entry(budget).or_default().clone())
         };
@@ -242,25 +247,25 @@
                 let known = learnt.entry(name.clone()).or_default();
                 known.need = (known.need * FADES).max(one.need as f64);
                 let usage = Usage {
-                    held: one.held as u32,
-                    need: known.need.round() as u32,
+                    in_use: one.held as u32,
+                    needed: known.need.round() as u32,
                     weight: known.worth.max(f64::MIN_POSITIVE),
                 };
-                instance.used(&name, usage);
+                instance.record_usage(&name, usage);
             }
         }
-        self.with(|instance| instance.timer(now));
+        self.with(|instance| instance.handle_timer(now));
     }
 
     pub fn leave(&self, now: Time) {
-        self.with(|instance| instance.leave(now));
+        self.with(|instance| instance.start_draining(now));
     }
 
     pub fn renew(&self, now: Time, operator: &Operator) {
         let Some(peers) = &operator.peers else { return };
         let keepers = peers.keepers.iter().cloned().collect();
         self.links.keep(peers.keepers.iter().map(|(_, addr)| *addr));
-        self.with(|instance| instance.renew(now, keepers, wholes(operator)));
+        self.with(|instance| instance.reconfigure(now, keepers, wholes(operator)));
     }
 
     /// What of the file's `peers` cannot change while the program runs.
@@ -286,16 +291,16 @@
 
     fn heard(&self, from: SocketAddr, word: &[u8]) {
         let now = self.clock.now();
-        self.with(|instance| instance.heard(now, from, word));
+        self.with(|instance| instance.handle_message(now, from, word));
     }
 
     async fn datagrams(self: Rc<Self>) {
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.datagrams.recv_from(&mut bytes).await {
                 Ok((count, _)) => {
                     let now = self.clock.now();
-                    self.with(|instance| instance.datagram(now, &bytes[..count]));
+                    self.with(|instance| instance.handle_datagram(now, &bytes[..count]));
                 }
                 // What a peer that is not there sends back.
                 Err(error) => {
@@ -309,41 +314,41 @@
     /// The process ends.
     pub fn gone(&self) {
         let now = self.clock.now();
-        self.with(|instance| instance.gone(now));
+        self.with(|instance| instance.shut_down(now));
     }
 
     async fn store(self: Rc<Self>, stored: async_channel::Receiver<Result<u64, String>>) {
         while let Ok(result) = stored.recv().await {
             let now = self.clock.now();
             match result {
-                Ok(number) => self.with(|instance| instance.stored(now, number)),
+                Ok(number) => self.with(|instance| instance.handle_stored(now, number)),
                 Err(wrong) => {
                     tracing::error!(
                         wrong,
                         "the registry's disk failed; this keeper takes part no longer"
                     );
-                    self.with(|instance| instance.store_failed(now));
+                    self.with(|instance| instance.handle_storage_failure(now));
                 }
             }
         }
     }
 
     /// One input to the instance, its effects carried out in their order, and what it may use now.
-    fn with(&self, input: impl FnOnce(&mut Instance) -> Vec<Effect>) {
+    fn with(&self, input: impl FnOnce(&mut ClusterNode) -> Vec<Output>) {
         let effects = input(&mut self.instance.borrow_mut());
         for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => self.links.send(self, to, &bytes),
+                Output::Send { to, bytes } => self.links.send(self, to, &bytes),
                 // One that cannot go out at once is lost, as any may be on its way.
-                Effect::Datagram { to, bytes } => {
+                Output::Datagram { to, bytes } => {
                     drop(self.datagrams.get_ref().send_to(&bytes, to))
                 }
-                Effect::Store(write) => {
+                Output::Store(write) => {
                     if let Some(disk) = &self.disk {
                         disk.write(write);
                     }
                 }
-                Effect::Tell(change) => told(&change),
+                Output::Notify(change) => told(&change),
             }
         }
         self.refresh(self.clock.now());
@@ -354,17 +359,17 @@
         for (name, lent) in self.lent.borrow().iter() {
             lent.set(
                 now,
-                instance.ceiling(now, name) as usize,
-                instance.until(name),
+                instance.available_quota(now, name) as usize,
+                instance.quota_valid_until(name),
             );
         }
     }
 }
 
 /// One line in the log for each change.
-fn told(change: &Change) {
+fn told(change: &ClusterEvent) {
     match change {
-        Change::Share {
+        ClusterEvent::QuotaChanged {
             budget,
             before,
             now,
@@ -372,30 +377,38 @@
         } => {
             tracing::debug!(budget, before, now, epoch = epoch.0, "its share changed");
         }
-        Change::Lease(true) => tracing::info!("the lease of its shares is in force"),
-        Change::Lease(false) => {
+        ClusterEvent::LeaseChanged(true) => tracing::info!("the lease of its shares is in force"),
+        ClusterEvent::LeaseChanged(false) => {
             tracing::warn!(
                 "the lease of its shares is over: it uses nothing of the fleet's budgets"
             )
         }
-        Change::Leads(true) => tracing::info!("leads the registry"),
-        Change::Leads(false) => tracing::info!("leads the registry no longer"),
-        Change::Founded(keepers) => tracing::info!(keepers, "the registry is founded"),
-        Change::Up(member) => {
+        ClusterEvent::LeadershipChanged(true) => tracing::info!("leads the registry"),
+        ClusterEvent::LeadershipChanged(false) => tracing::info!("leads the registry no longer"),
+        ClusterEvent::Bootstrapped(keepers) => tracing::info!(keepers, "the registry is founded"),
+        ClusterEvent::MemberUp(member) => {
             tracing::info!(
                 name = member.name,
                 zone = member.zone,
-                life = member.life,
+                life = member.incarnation,
                 "a member is there"
             )
         }
-        Change::Down(member) => {
-            tracing::warn!(name = member.name, life = member.life, "a member is gone")
+        ClusterEvent::MemberDown(member) => {
+            tracing::warn!(
+                name = member.name,
+                life = member.incarnation,
+                "a member is gone"
+            )
+        }
+        ClusterEvent::SuspicionRefuted => {
+            tracing::warn!("others took this instance for dead; it says otherwise")
         }
-        Change::Refuted => tracing::warn!("others took this instance for dead; it says otherwise"),
-        Change::Doubled(member) => {
+        ClusterEvent::DuplicateName(member) => {
             tracing::error!(name = member.name, addr = %member.addr, "another process has this instance's name");
         }
-        Change::KeeperBroken => tracing::error!("its keeper is broken and takes part no longer"),
+        ClusterEvent::ReplicaFailed => {
+            tracing::error!("its keeper is broken and takes part no longer")
+        }
     }
 }
--- a/crates/server/src/wire/peers.rs
+++ b/crates/server/src/wire/peers.rs
@@ -1,6 +1,6 @@
 //! Frames between instances: the head that sidecars' frames have (length, kind, stream), then one word.
 use super::{Malformed, Pending};
-use cottondyke_cluster::MOST_WORD;
+use cottondyke_cluster::MAX_MESSAGE_BYTES;
 
 const WORD: u8 = 7;
 const HEAD: usize = 4;
@@ -30,7 +30,7 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
-        if !(TAG.len()..=MOST_WORD + TAG.len()).contains(&length) {
+        if !(TAG.len()..=MAX_MESSAGE_BYTES + TAG.len()).contains(&length) {
             return Err(Malformed("a frame of a length that no word has"));
         }
         let Some(frame) = rest.get(HEAD..HEAD + length) else {
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -3,7 +3,7 @@
 //! The evaluator `cottondyke-script` must lie beside the program: `cargo build -p cottondyke-script`.
 use cottondyke::fleet::look::shown;
 use cottondyke::wire::peers::encode;
-use cottondyke_cluster::{View, Word};
+use cottondyke_cluster::{Message, NodeStatus};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -221,7 +221,7 @@
 
 #[test]
 fn a_view_is_rendered_word_for_word_when_it_is_shown() {
-    let view: View = serde_json::from_str(VIEW).unwrap();
+    let view: NodeStatus = serde_json::from_str(VIEW).unwrap();
     assert_eq!(shown(&view), VIEW_SHOWN);
     assert_eq!(
         format!("{}\n", serde_json::json!(view)),
@@ -243,7 +243,7 @@
         set(&mut other, "leads", &leads.to_string());
         set(&mut other, "keeps", &keeps.to_string());
         set(&mut other, "leader", leader);
-        let view: View = serde_json::from_value(other).unwrap();
+        let view: NodeStatus = serde_json::from_value(other).unwrap();
         assert_eq!(shown(&view).lines().next(), Some(expected));
     }
 }
@@ -260,8 +260,8 @@
             stream.read_exact(&mut asked).unwrap();
             assert_eq!(asked, [0, 0, 0, 7, 7, 0, 0, 0, 0, 1, 6]);
             if answers {
-                let view: View = serde_json::from_str(VIEW).unwrap();
-                let word = Word::View(Box::new(view)).encode();
+                let view: NodeStatus = serde_json::from_str(VIEW).unwrap();
+                let word = Message::Status(Box::new(view)).encode();
                 stream.write_all(&encode(&word)).unwrap();
             }
         }
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -2,7 +2,7 @@
 use async_executor::LocalExecutor;
 use cottondyke::fleet::{self, look::look};
 use cottondyke::time::Clock;
-use cottondyke_cluster::View;
+use cottondyke_cluster::NodeStatus;
 use cottondyke_operator_config::{Operator, Peers};
 use std::path::Path;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 const LIFE: u64 = 9_000_000_000_000_000_000;
 
 /// Runs the only keeper of a fleet from this folder until it leads; what it then knows.
-fn leads(folder: &Path) -> View {
+fn leads(folder: &Path) -> NodeStatus {
     let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let listen = port.local_addr().unwrap();
     drop(port);
@@ -38,7 +38,7 @@
         let end = Instant::now() + Duration::from_secs(20);
         loop {
             let view = look(listen).unwrap();
-            if view.leads || Instant::now() > end {
+            if view.is_leader || Instant::now() > end {
                 return view;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -78,12 +78,12 @@
         let view = leads(&folder);
         assert_eq!(names(&folder), ["life", "lock", "registry.db"]);
         assert_eq!(life(), format!("{}\n", LIFE + next));
-        assert!(view.leads && view.keeps && view.life == LIFE + next);
+        assert!(view.is_leader && view.is_replica && view.incarnation == LIFE + next);
         assert!(view.name == "alone" && view.leader.as_deref() == Some("alone"));
         let budget = &view.budgets[0];
-        assert!(view.budgets.len() == 1 && budget.name == "db" && budget.shares.len() == 1);
-        assert!(budget.whole == 200 && budget.linger_ms == 3_600_000);
-        let share = &budget.shares[0];
+        assert!(view.budgets.len() == 1 && budget.name == "db" && budget.quotas.len() == 1);
+        assert!(budget.units == 200 && budget.post_cancel_grace_ms == 3_600_000);
+        let share = &budget.quotas[0];
         assert!(share.holder.starts_with('b') && share.amount == 9 && share.epoch == 1);
         assert!(!share.fenced);
     }
