--- a/crates/chaos/src/load.rs
+++ b/crates/chaos/src/load.rs
@@ -1,5 +1,5 @@
 //! Open-loop callers: reqs go out when they are due, whatever has come back, and each is timed from then.
-use cottondyke_test_support::peers::{frame, payload, unix_ms, Heard, Sidecar};
+use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, ReceivedFrame};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,7 @@
     pub due: Instant,
     pub size: usize,
     /// Its final answers, with the time of each.
-    pub heard: Vec<(Instant, Heard)>,
+    pub heard: Vec<(Instant, ReceivedFrame)>,
 }
 
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
     std::thread::spawn(move || {
         // A connection that carries nothing for long is closed: it opens when it is needed.
         std::thread::sleep(start.saturating_duration_since(Instant::now()));
-        let opened = Sidecar::connect(addr).and_then(|sidecar| {
+        let opened = FakeSidecar::connect(addr).and_then(|sidecar| {
             sidecar.0.set_read_timeout(Some(
                 end.saturating_duration_since(Instant::now()) + patience,
             ))?;
@@ -91,7 +91,7 @@
 }
 
 fn calling(
-    mut reader: Sidecar,
+    mut reader: FakeSidecar,
     mut writer: std::net::TcpStream,
     mix: Mix,
     seed: u64,
@@ -101,7 +101,7 @@
     let (start, end) = span;
     let listening = std::thread::spawn(move || {
         let mut heard = Vec::new();
-        while let Ok(one) = reader.hear() {
+        while let Ok(one) = reader.receive() {
             if one.kind == 2 && one.stream > 0 {
                 heard.push((Instant::now(), one));
             }
--- a/crates/chaos/src/trials/budgets.rs
+++ b/crates/chaos/src/trials/budgets.rs
@@ -5,8 +5,8 @@
 use crate::load::{Callers, Mix, Sent};
 use crate::outcome::{Cores, Outcome};
 use crate::Usage;
-use cottondyke_test_support::dependency::{Dependency, Fault, Shape};
-use cottondyke_test_support::link::{Link, Way};
+use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig, Fault};
+use cottondyke_test_support::faulty_link::{Direction, FaultyLink};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io;
@@ -108,11 +108,11 @@
     off: Vec<String>,
     nodes: Vec<Option<Node>>,
     /// By who dials and who is dialled.
-    links: BTreeMap<(usize, usize), Link>,
+    links: BTreeMap<(usize, usize), FaultyLink>,
     folders: Vec<PathBuf>,
-    shared: Dependency,
-    local: Dependency,
-    metered: Dependency,
+    shared: FakeDependency,
+    local: FakeDependency,
+    metered: FakeDependency,
     /// When each node was away, from and until.
     away: Vec<(usize, Instant, Instant)>,
     verbose: bool,
@@ -120,7 +120,7 @@
 
 impl Fleet {
     fn start(lent: bool, off: &[&str], usage: &Usage) -> io::Result<Self> {
-        let shape = |place: u64, knee| Shape {
+        let shape = |place: u64, knee| FakeDependencyConfig {
             time: Duration::from_millis(60),
             knee,
             linger: LINGER.mul_f64(0.5),
@@ -134,9 +134,9 @@
             nodes: Vec::new(),
             links: BTreeMap::new(),
             folders: NAMES.iter().map(|name| base.join(name)).collect(),
-            shared: Dependency::start(shape(0, CEILING))?,
-            local: Dependency::start(shape(1, 1_000))?,
-            metered: Dependency::start(shape(2, 1_000))?,
+            shared: FakeDependency::start(shape(0, CEILING))?,
+            local: FakeDependency::start(shape(1, 1_000))?,
+            metered: FakeDependency::start(shape(2, 1_000))?,
             away: Vec::new(),
             verbose: usage.verbose,
         };
@@ -144,7 +144,7 @@
             for (from, to) in
                 (0..NAMES.len()).flat_map(|from| (0..KEEPERS).map(move |to| (from, to)))
             {
-                fleet.links.insert((from, to), Link::start()?);
+                fleet.links.insert((from, to), FaultyLink::start()?);
             }
         }
         for place in 0..NODES {
@@ -207,7 +207,7 @@
             self.links
                 .iter()
                 .filter(|((_, to), _)| *to == place)
-                .for_each(|(_, link)| link.lead(node.peers));
+                .for_each(|(_, link)| link.set_target(node.peers));
         }
         self.nodes[place] = Some(node);
         Ok(())
@@ -220,7 +220,7 @@
     }
 
     /// The links of a node to others, with whether it is the one who dials.
-    fn around(&self, place: usize) -> impl Iterator<Item = (bool, &Link)> {
+    fn around(&self, place: usize) -> impl Iterator<Item = (bool, &FaultyLink)> {
         let of = self
             .links
             .iter()
@@ -233,26 +233,34 @@
         let now = Instant::now();
         match (trouble.kind, begins) {
             (Kind::Cut, begins) => {
-                let way = if begins { Way::Cut } else { Way::Open };
+                let way = if begins {
+                    Direction::Cut
+                } else {
+                    Direction::Open
+                };
                 self.around(place).for_each(|(_, link)| link.set(way, way));
             }
             (Kind::OneWay(out), begins) => {
                 // Words that it sends, or words that come to it.
                 for (dials, link) in self.around(place) {
                     let (forth, back) = if dials == out {
-                        (Way::Cut, Way::Open)
+                        (Direction::Cut, Direction::Open)
                     } else {
-                        (Way::Open, Way::Cut)
+                        (Direction::Open, Direction::Cut)
                     };
                     if begins {
                         link.set(forth, back)
                     } else {
-                        link.set(Way::Open, Way::Open)
+                        link.set(Direction::Open, Direction::Open)
                     }
                 }
             }
             (Kind::Stall, begins) => {
-                let way = if begins { Way::Stalled } else { Way::Open };
+                let way = if begins {
+                    Direction::Stalled
+                } else {
+                    Direction::Open
+                };
                 self.around(place).for_each(|(_, link)| link.set(way, way));
             }
             (Kind::Stop, begins) => {
@@ -460,7 +468,7 @@
                 .for_each(|fleet| fleet.shared.set(Fault::Slow(4)));
             for ((from, to), link) in &fleets[0].links {
                 if (from % ZONES == zone) != (to % ZONES == zone) {
-                    link.set(Way::Cut, Way::Cut);
+                    link.set(Direction::Cut, Direction::Cut);
                 }
             }
         }
@@ -476,7 +484,7 @@
             fleets[0]
                 .links
                 .values()
-                .for_each(|link| link.set(Way::Open, Way::Open));
+                .for_each(|link| link.set(Direction::Open, Direction::Open));
         }
         if last_from.is_none() && now >= at(LAST) {
             last_from = Some(fleets[0].held_s(|_| true));
@@ -535,7 +543,7 @@
     }
     let mut outcome = Outcome::default();
     outcome.figure("without an answer in time", late);
-    let most = fleets[0].shared.counts().most_held;
+    let most = fleets[0].shared.counts().max_in_flight;
     outcome.at_most(
         "calls held at the shared dependency",
         most as f64,
@@ -543,7 +551,7 @@
     );
     outcome.at_most("reqs answered twice", twice as f64, 0.0);
     // Whatever came late: with one window's calls no more than the next one's can come in a second.
-    let most_a_second = fleets[0].metered.counts().most_a_second;
+    let most_a_second = fleets[0].metered.counts().max_per_second;
     outcome.at_most(
         "calls of any second at the metered dependency, late ones among them",
         most_a_second as f64,
@@ -601,7 +609,7 @@
     outcome.figure("value of fixed parts", values[1]);
     outcome.figure(
         "most held under fixed parts",
-        fleets[1].shared.counts().most_held,
+        fleets[1].shared.counts().max_in_flight,
     );
     outcome.figure("most held", most);
     Ok(outcome)
--- a/crates/chaos/src/trials/dependencies.rs
+++ b/crates/chaos/src/trials/dependencies.rs
@@ -5,7 +5,7 @@
 use crate::load::{Callers, Mix, Sent};
 use crate::outcome::Outcome;
 use crate::Usage;
-use cottondyke_test_support::dependency::{Dependency, Fault};
+use cottondyke_test_support::fake_dependency::{FakeDependency, Fault};
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -39,7 +39,7 @@
         Fault::Slow(6),
         Fault::Reset,
         Fault::Late(late),
-        Fault::Spoil,
+        Fault::Corrupt,
         Fault::Fail,
     ];
     random.shuffle(&mut kinds);
@@ -87,7 +87,7 @@
 
 struct Fleet {
     nodes: Vec<Node>,
-    dependencies: Vec<Dependency>,
+    dependencies: Vec<FakeDependency>,
 }
 
 fn fleet(seed: u64, off: &[&str], verbose: bool) -> io::Result<Fleet> {
@@ -245,7 +245,7 @@
     let most = fleet
         .dependencies
         .iter()
-        .map(|d| d.counts().most_held)
+        .map(|d| d.counts().max_in_flight)
         .max()
         .unwrap_or_default();
     outcome.at_most("calls held at a dependency", most as f64, CEILING as f64);
@@ -271,7 +271,7 @@
         let counts = dependency.counts();
         outcome.figure(&format!("calls at {name}"), counts.calls);
         outcome.figure(&format!("extra calls at {name}"), counts.extra);
-        outcome.figure(&format!("most held at {name}"), counts.most_held);
+        outcome.figure(&format!("most held at {name}"), counts.max_in_flight);
     }
     let extra = fleet.dependencies.iter().map(|d| d.counts()).map(|c| {
         let first = c.calls - c.extra;
--- a/crates/chaos/src/trials/restarts.rs
+++ b/crates/chaos/src/trials/restarts.rs
@@ -5,7 +5,7 @@
 use crate::load::{Callers, Mix};
 use crate::outcome::Outcome;
 use crate::Usage;
-use cottondyke_test_support::dependency::Fault;
+use cottondyke_test_support::fake_dependency::Fault;
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -62,7 +62,7 @@
     let mut outcome = Outcome::default();
     let most = dependencies
         .iter()
-        .map(|d| d.counts().most_held)
+        .map(|d| d.counts().max_in_flight)
         .max()
         .unwrap_or_default();
     outcome.at_least("reqs answered", answered as f64, 200.0);
@@ -75,7 +75,7 @@
     for (name, dependency) in shop::NAMES.iter().zip(&dependencies) {
         outcome.figure(
             &format!("most held at {name}"),
-            dependency.counts().most_held,
+            dependency.counts().max_in_flight,
         );
     }
     Ok(outcome)
--- a/crates/chaos/src/trials/shop.rs
+++ b/crates/chaos/src/trials/shop.rs
@@ -1,6 +1,6 @@
 //! The shop that the trials of dependencies share: its script, its stand-ins, and what an answer of it is worth.
 use crate::load::Sent;
-use cottondyke_test_support::dependency::{Dependency, Shape};
+use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig};
 use std::fmt::Write;
 use std::io;
 use std::time::Duration;
@@ -26,19 +26,19 @@
 /// The dependencies of one fleet: catalogue, prices, stock, and what stands in for prices.
 pub const NAMES: [&str; 4] = ["catalogue", "prices", "stock", "backup"];
 
-pub fn dependencies(seed: u64) -> io::Result<Vec<Dependency>> {
-    let shape = |place: u64| Shape {
+pub fn dependencies(seed: u64) -> io::Result<Vec<FakeDependency>> {
+    let shape = |place: u64| FakeDependencyConfig {
         time: Duration::from_millis(if place == 3 { 30 } else { 60 }),
         knee: CEILING,
         linger: LINGER,
         seed: seed.wrapping_mul(31).wrapping_add(place),
     };
     (0..4)
-        .map(|place| Dependency::start(shape(place)))
+        .map(|place| FakeDependency::start(shape(place)))
         .collect()
 }
 
-pub fn script(dependencies: &[Dependency], instances: usize, off: &[&str]) -> String {
+pub fn script(dependencies: &[FakeDependency], instances: usize, off: &[&str]) -> String {
     let mut text = format!(
         "fleet(instances = {instances}, kept_mb = 1)\n\
          serve(listen = \"127.0.0.1:0\", at_once = 14, sockets = 512, stop = \"2s\")\n\
--- a/crates/dependency/src/pages.rs
+++ b/crates/dependency/src/aggregator.rs
@@ -1,9 +1,9 @@
 //! Composes pages: one run for each started req, with a step in hand for each of its parts. Every call that goes
 //! out ends once, by `ended` or by being given up without listening; every run ends once, by `Action::Ended`.
-use crate::breaker::Stage;
-use crate::gate::{Gate, Learnt, Verdict};
-use crate::kept::{Kept, Key};
-use crate::plan::{Dependency, Fallback, Part, Plan, Stamp, RESERVE};
+use crate::circuit_breaker::CircuitState;
+use crate::gate::{CallSignal, DependencyGate, Permit};
+use crate::plan::{Dependency, Fallback, PartSpec, Plan, SendTimestamp, RESERVE};
+use crate::stale_cache::{Key, StaleCache};
 use cottondyke_types::{RequestId, TenantId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,64 +18,64 @@
 
 /// A req that starts as a page.
 #[derive(Clone, Debug)]
-pub struct Start {
-    pub run: RequestId,
+pub struct AggregationRequest {
+    pub request: RequestId,
     /// The page's place in the plan.
-    pub page: usize,
+    pub aggregation: usize,
     pub body: Rc<[u8]>,
-    pub customer: Option<TenantId>,
+    pub tenant: Option<TenantId>,
     pub target: Time,
-    pub due: Time,
+    pub deadline: Time,
     /// Whether its calls may run again though they may have run.
     pub may_repeat: bool,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    Good(Rc<[u8]>),
+pub enum CallResult {
+    Success(Rc<[u8]>),
     /// Ended with an error or a reply of no use; it may have had its effect and goes on no longer.
-    Failed,
+    Failure,
     /// The dependency does not want this request: it says nothing of its state.
-    Unfit,
+    InvalidRequest,
     /// Known not to have run.
-    Refused,
+    Rejected,
     /// It may have run and may go on.
-    Lost,
+    TimedOut,
     /// A connection that was used before broke before any reply.
-    Stale,
+    StaleConnection,
     /// Known not to have run: the share that it was to use was over before it went out.
-    NoShare,
+    LeaseExpired,
 }
 
 /// What a part of an answer is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum State {
-    Whole,
+pub enum PartSource {
+    Primary,
     /// An earlier answer, and its age.
-    Kept(Time),
+    Cached(Time),
     /// From the dependency of this name.
-    Other(Rc<str>),
-    Fixed,
+    Secondary(Rc<str>),
+    Default,
     Missing,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct PartEnd {
+pub struct PartResult {
     pub name: Rc<str>,
-    pub state: State,
+    pub source: PartSource,
     pub body: Option<Rc<[u8]>>,
     /// Whether the body is JSON; else it is text.
     pub json: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum AggregationResult {
     /// Every part that is required is there.
-    Parts(Vec<PartEnd>),
+    Parts(Vec<PartResult>),
     /// A part that is required is missing.
-    Errored,
-    Stopped,
+    Failed,
+    Cancelled,
 }
 
 /// What to do after an input, in this order.
@@ -90,33 +90,30 @@
         within: Time,
         reuse: bool,
         /// To be told when its first byte goes out.
-        stamp: Rc<Stamp>,
+        stamp: Rc<SendTimestamp>,
     },
     /// Stop waiting for a call. Listen to it for so long, and tell its end; if that is no time, close its
     /// connection and tell nothing.
-    GiveUp {
-        call: CallId,
-        listen: Time,
-    },
-    Ended {
+    Abandon { call: CallId, listen: Time },
+    Completed {
         run: RequestId,
-        answer: Answer,
+        answer: AggregationResult,
     },
-    Changed {
+    GateChanged {
         dependency: Rc<str>,
-        stage: Stage,
+        stage: CircuitState,
         limit: usize,
     },
 }
 
 /// What is used of a dependency, and could be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Use {
+pub struct DependencyUsage {
     pub dependency: Rc<str>,
     /// Of its rate, or of the calls in hand.
     pub rate: bool,
-    pub held: usize,
-    pub need: usize,
+    pub in_flight: usize,
+    pub needed: usize,
 }
 
 type GateId = usize;
@@ -125,7 +122,7 @@
 enum Phase {
     Waiting,
     Calling,
-    Settled(State, Option<Rc<[u8]>>),
+    Settled(PartSource, Option<Rc<[u8]>>),
 }
 
 #[derive(Debug)]
@@ -141,8 +138,8 @@
 
 #[derive(Debug)]
 struct Run {
-    start: Start,
-    force: Rc<Force>,
+    start: AggregationRequest,
+    force: Rc<PlanInForce>,
     steps: Vec<Step>,
 }
 
@@ -154,7 +151,7 @@
     since: Time,
     within: Time,
     probe: bool,
-    stamp: Rc<Stamp>,
+    stamp: Rc<SendTimestamp>,
     /// Its part waits no longer, and what it can teach about being late was learned.
     left: bool,
 }
@@ -171,9 +168,13 @@
     Frees(GateId),
 }
 
-fn gate_changed(gate: &Gate) -> Action {
-    let (dependency, stage, limit) = (gate.spec.name.clone(), gate.stage(), gate.limit.calls());
-    Action::Changed {
+fn gate_changed(gate: &DependencyGate) -> Action {
+    let (dependency, stage, limit) = (
+        gate.spec.name.clone(),
+        gate.circuit_state(),
+        gate.limit.calls(),
+    );
+    Action::GateChanged {
         dependency,
         stage,
         limit,
@@ -182,31 +183,31 @@
 
 /// A plan, and the gates of its dependencies.
 #[derive(Debug)]
-struct Force {
+struct PlanInForce {
     plan: Plan,
     gates: Vec<GateId>,
 }
 
 #[derive(Debug)]
-pub struct Pages {
-    force: Rc<Force>,
-    gates: BTreeMap<GateId, Gate>,
+pub struct Aggregator {
+    force: Rc<PlanInForce>,
+    gates: BTreeMap<GateId, DependencyGate>,
     next_gate: GateId,
     runs: BTreeMap<RequestId, Run>,
     calls: BTreeMap<CallId, Call>,
     next_call: u64,
     timers: BTreeSet<(Time, Timer)>,
-    kept: Kept,
+    kept: StaleCache,
     /// After the notice to leave: when all must be answered.
     leave: Time,
     random: fastrand::Rng,
 }
 
-impl Pages {
+impl Aggregator {
     /// `restarted`: whether a former life of this instance may have left calls at the dependencies.
     pub fn new(now: Time, plan: Plan, seed: u64, restarted: bool) -> Self {
-        let mut pages = Pages {
-            force: Rc::new(Force {
+        let mut pages = Aggregator {
+            force: Rc::new(PlanInForce {
                 plan: Plan::default(),
                 gates: Vec::new(),
             }),
@@ -216,7 +217,7 @@
             calls: BTreeMap::new(),
             next_call: 0,
             timers: BTreeSet::new(),
-            kept: Kept::default(),
+            kept: StaleCache::default(),
             leave: Time::MAX,
             random: fastrand::Rng::with_seed(seed),
         };
@@ -242,43 +243,45 @@
                 .iter_mut()
                 .find(|(_, g)| g.spec.name == spec.name);
             if let Some((id, gate)) = known {
-                gate.renew(now, spec.clone(), plan.defences);
+                gate.renew(now, spec.clone(), plan.safeguards);
                 return *id;
             }
             let id = self.next_gate;
             self.next_gate += 1;
-            self.gates
-                .insert(id, Gate::new(now, spec.clone(), plan.defences, restarted));
+            self.gates.insert(
+                id,
+                DependencyGate::new(now, spec.clone(), plan.safeguards, restarted),
+            );
             if let Some(at) = self.gates[&id].frees(now) {
                 self.timers.insert((at, Timer::Frees(id)));
             }
             id
         });
         let gates = gates.collect();
-        self.kept.bound(if plan.defences.kept {
-            plan.kept_bytes
+        self.kept.bound(if plan.safeguards.stale_cache {
+            plan.stale_cache_bytes
         } else {
             0
         });
-        self.force = Rc::new(Force { plan, gates });
+        self.force = Rc::new(PlanInForce { plan, gates });
         let in_use = |id: &GateId| {
             self.force.gates.contains(id)
                 || self.runs.values().any(|run| run.force.gates.contains(id))
         };
         self.gates
-            .retain(|id, gate| in_use(id) || gate.held(now) > 0 || gate.sent_lately(now) > 0);
+            .retain(|id, gate| in_use(id) || gate.in_flight(now) > 0 || gate.sent_lately(now) > 0);
     }
 
-    pub fn start(&mut self, now: Time, start: Start) -> Vec<Action> {
+    pub fn start(&mut self, now: Time, start: AggregationRequest) -> Vec<Action> {
         let mut out = Vec::new();
-        let (id, force) = (start.run, self.force.clone());
-        let Some(page) = force.plan.pages.get(start.page) else {
-            return vec![Action::Ended {
+        let (id, force) = (start.request, self.force.clone());
+        let Some(page) = force.plan.aggregations.get(start.aggregation) else {
+            return vec![Action::Completed {
                 run: id,
-                answer: Answer::Errored,
+                answer: AggregationResult::Failed,
             }];
         };
-        let step = |part: &Part| Step {
+        let step = |part: &PartSpec| Step {
             number: 0,
             gate: force.gates[part.dependency],
             until: now,
@@ -305,16 +308,16 @@
     }
 
     /// Ends a run at once; its calls in hand are given up.
-    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Action> {
+    pub fn cancel(&mut self, now: Time, id: RequestId) -> Vec<Action> {
         let mut out = Vec::new();
         if self.runs.contains_key(&id) {
-            self.end(now, id, Answer::Stopped, &mut out);
+            self.end(now, id, AggregationResult::Cancelled, &mut out);
         }
         out
     }
 
     /// All is to be answered by `until`: steps in hand are cut to it.
-    pub fn leaving(&mut self, until: Time) {
+    pub fn start_draining(&mut self, until: Time) {
         self.leave = until;
         let cut = self.runs.iter_mut().flat_map(|(id, run)| {
             run.steps
@@ -332,11 +335,11 @@
     }
 
     /// When `timer` is to be called.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_timer(&self) -> Option<Time> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    pub fn timer(&mut self, now: Time) -> Vec<Action> {
+    pub fn handle_timer(&mut self, now: Time) -> Vec<Action> {
         let mut out = Vec::new();
         while let Some((_, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
@@ -355,18 +358,23 @@
     }
 
     /// A call has ended, or is listened to no longer.
-    pub fn ended(&mut self, now: Time, id: CallId, outcome: Outcome) -> Vec<Action> {
+    pub fn handle_call_result(
+        &mut self,
+        now: Time,
+        id: CallId,
+        outcome: CallResult,
+    ) -> Vec<Action> {
         let mut out = Vec::new();
         let Some(call) = self.calls.remove(&id) else {
             return out;
         };
-        call.stamp.over();
-        let goes_on = outcome == Outcome::Lost;
+        call.stamp.finish();
+        let goes_on = outcome == CallResult::TimedOut;
         let took = now - call.since;
         if let Some(gate) = self.gates.get_mut(&call.gate) {
             gate.hedging.retain(|call| *call != id);
             gate.over(now, goes_on);
-            if matches!(outcome, Outcome::Good(_)) {
+            if matches!(outcome, CallResult::Success(_)) {
                 gate.latency.learn(now, took, !call.left);
             }
         }
@@ -375,10 +383,12 @@
         }
         let learnt = match outcome {
             _ if call.left => None,
-            Outcome::Good(_) => Some(Learnt::Well),
-            Outcome::Failed => Some(Learnt::Ill),
-            Outcome::Refused | Outcome::Lost => Some(Learnt::Overload),
-            Outcome::Unfit | Outcome::Stale | Outcome::NoShare => Some(Learnt::Nothing),
+            CallResult::Success(_) => Some(CallSignal::Success),
+            CallResult::Failure => Some(CallSignal::Failure),
+            CallResult::Rejected | CallResult::TimedOut => Some(CallSignal::Overload),
+            CallResult::InvalidRequest | CallResult::StaleConnection | CallResult::LeaseExpired => {
+                Some(CallSignal::Ignored)
+            }
         };
         if let Some(learnt) = learnt {
             self.learn(now, call.gate, call.probe, learnt, &mut out);
@@ -394,7 +404,7 @@
         now: Time,
         gate: GateId,
         probe: bool,
-        learnt: Learnt,
+        learnt: CallSignal,
         out: &mut Vec<Action>,
     ) {
         let draw = self.random.f64();
@@ -412,7 +422,7 @@
         now: Time,
         id: CallId,
         call: &Call,
-        outcome: Outcome,
+        outcome: CallResult,
         out: &mut Vec<Action>,
     ) {
         let Some(run) = self.runs.get_mut(&call.run) else {
@@ -424,20 +434,16 @@
         };
         step.calls.retain(|other| *other != id);
         match outcome {
-            Outcome::Good(body) => {
+            CallResult::Success(body) => {
                 let spec = &self.gates[&call.gate].spec;
                 let state = if step.number == 0 {
-                    State::Whole
+                    PartSource::Primary
                 } else {
-                    State::Other(spec.name.clone())
+                    PartSource::Secondary(spec.name.clone())
                 };
                 if let Some(place) = force.gates.iter().position(|g| *g == call.gate) {
-                    if force.plan.keeps(place) {
-                        let key = (
-                            spec.name.clone(),
-                            run.start.customer,
-                            run.start.body.clone(),
-                        );
+                    if force.plan.uses_stale_cache(place) {
+                        let key = (spec.name.clone(), run.start.tenant, run.start.body.clone());
                         self.kept.keep(now, key, body.clone());
                     }
                 }
@@ -446,15 +452,15 @@
             // The second call of the step is still out.
             _ if !step.calls.is_empty() => {}
             outcome => {
-                let unsent = matches!(outcome, Outcome::Refused | Outcome::NoShare);
-                let safe = may_repeat && outcome != Outcome::Unfit || unsent;
+                let unsent = matches!(outcome, CallResult::Rejected | CallResult::LeaseExpired);
+                let safe = may_repeat && outcome != CallResult::InvalidRequest || unsent;
                 let usual = self.gates[&call.gate].latency.usual().unwrap_or(Time(1));
                 let (tries, until) = (step.tries, step.until);
                 let again = safe && tries < TRIES && until - now > usual;
                 if again && self.gates.get_mut(&call.gate).is_some_and(|g| g.again(now)) {
                     self.gates
                         .entry(call.gate)
-                        .and_modify(|g| g.sums.repeats += 1);
+                        .and_modify(|g| g.counters.retries += 1);
                     self.call(now, call.run, call.part, false, out);
                 } else {
                     self.fall_back(now, call.run, call.part, out);
@@ -466,18 +472,18 @@
     /// The end of a step on the dependency at `place` of the plan: its own budget, what is left to the response
     /// target (to the due time where that is past), whichever is less; where fall-backs on other dependencies
     /// follow, they get their share of what is left.
-    fn step_end(&self, now: Time, run: &Run, part: &Part, number: usize, place: usize) -> Time {
+    fn step_end(&self, now: Time, run: &Run, part: &PartSpec, number: usize, place: usize) -> Time {
         let plan = &run.force.plan;
-        let due = run.start.due.min(self.leave) - RESERVE;
-        if !plan.defences.budget {
+        let due = run.start.deadline.min(self.leave) - RESERVE;
+        if !plan.safeguards.time_budget {
             return due;
         }
         let target = run.start.target - RESERVE;
         let last = if target > now { target.min(due) } else { due };
-        let own = plan.dependencies[place].budget;
+        let own = plan.dependencies[place].time_budget;
         let later = part.fallbacks.iter().skip(number).filter_map(|f| match f {
-            Fallback::Other(place) if plan.defences.fallback => {
-                Some(plan.dependencies[*place].budget)
+            Fallback::Secondary(place) if plan.safeguards.fallback => {
+                Some(plan.dependencies[*place].time_budget)
             }
             _ => None,
         });
@@ -503,7 +509,7 @@
             return false;
         };
         let force = run.force.clone();
-        let part = &force.plan.pages[run.start.page].parts[place];
+        let part = &force.plan.aggregations[run.start.aggregation].parts[place];
         let number = run.steps[place].number;
         let until = self.step_end(now, run, part, number, dependency);
         let gate_id = force.gates[dependency];
@@ -516,21 +522,23 @@
         let verdict = gate.verdict(now);
         let last_start = until - gate.needs();
         match verdict {
-            Verdict::Shut => {
-                gate.sums.shut += 1;
+            Permit::CircuitOpen => {
+                gate.counters.circuit_open += 1;
                 return false;
             }
             // One that cannot be answered in what would be left is better off with its fall-back.
-            Verdict::Full if gate.waiting.len() >= gate.spec.waiting || last_start <= now => {
-                gate.sums.full += 1;
+            Permit::LimitReached
+                if gate.waiting.len() >= gate.spec.max_waiting || last_start <= now =>
+            {
+                gate.counters.limit_reached += 1;
                 return false;
             }
-            Verdict::Full => {
+            Permit::LimitReached => {
                 gate.waiting.push_back((id, place));
                 self.timers
                     .insert((last_start, Timer::Wait(id, place, number)));
             }
-            Verdict::Go { .. } => {}
+            Permit::Granted { .. } => {}
         }
         let Some(run) = self.runs.get_mut(&id) else {
             return false;
@@ -538,7 +546,7 @@
         let step = &mut run.steps[place];
         (step.gate, step.until, step.tries, step.phase) = (gate_id, until, 0, Phase::Waiting);
         self.timers.insert((until, Timer::Step(id, place, number)));
-        if let Verdict::Go { probe } = verdict {
+        if let Permit::Granted { probe } = verdict {
             self.first_call(now, id, place, probe, out);
         }
         true
@@ -555,13 +563,17 @@
         let gate = self.runs[&id].steps[place].gate;
         if let Some(gate) = self.gates.get_mut(&gate) {
             gate.retries.first();
-            gate.sums.first += 1;
+            gate.counters.first_attempts += 1;
         }
         let call = self.call(now, id, place, probe, out);
         let run = &self.runs[&id];
         let (until, may_repeat) = (run.steps[place].until, run.start.may_repeat);
-        if may_repeat && run.force.plan.defences.hedge {
-            if let Some(after) = self.gates.get_mut(&gate).and_then(Gate::hedge_after) {
+        if may_repeat && run.force.plan.safeguards.hedge {
+            if let Some(after) = self
+                .gates
+                .get_mut(&gate)
+                .and_then(DependencyGate::hedge_after)
+            {
                 if now + after < until {
                     self.timers.insert((now + after, Timer::Hedge(call)));
                 }
@@ -594,7 +606,7 @@
             let to = to.map_or(gate.spec.clone(), |at| {
                 run.force.plan.dependencies[at].clone()
             });
-            let stamp = Rc::new(Stamp::new(&to));
+            let stamp = Rc::new(SendTimestamp::new(&to));
             if gate.sent(now, probe, &stamp) {
                 out.push(gate_changed(gate));
             }
@@ -648,7 +660,7 @@
         };
         let in_time = step.until - now > gate.needs();
         if step.calls == [id] && step.tries < TRIES && in_time && gate.retries.take() {
-            gate.sums.hedges += 1;
+            gate.counters.hedges += 1;
             self.call(now, run, part, false, out);
         }
     }
@@ -693,7 +705,9 @@
         };
         if step.number == number && matches!(step.phase, Phase::Waiting) {
             let gate = step.gate;
-            self.gates.entry(gate).and_modify(|g| g.sums.full += 1);
+            self.gates
+                .entry(gate)
+                .and_modify(|g| g.counters.limit_reached += 1);
             self.leave_queue(gate, id, place);
             self.fall_back(now, id, place, out);
             self.finish(now, id, out);
@@ -712,13 +726,13 @@
             return;
         };
         let fair = self.gates.get_mut(&gate).is_some_and(|g| {
-            g.sums.late += 1;
+            g.counters.timeouts += 1;
             g.fair(within)
         });
         let learnt = if fair {
-            Learnt::Overload
+            CallSignal::Overload
         } else {
-            Learnt::Nothing
+            CallSignal::Ignored
         };
         self.give_up(now, id, learnt, within.scaled(LISTEN), out);
     }
@@ -730,7 +744,7 @@
             return;
         };
         let listen = if listens { left.max(Time(0)) } else { Time(0) };
-        self.give_up(now, id, Learnt::Nothing, listen, out);
+        self.give_up(now, id, CallSignal::Ignored, listen, out);
     }
 
     /// A call's part waits no longer. Where it is not listened to, its connection is closed: it may go on unseen.
@@ -738,7 +752,7 @@
         &mut self,
         now: Time,
         id: CallId,
-        learnt: Learnt,
+        learnt: CallSignal,
         listen: Time,
         out: &mut Vec<Action>,
     ) {
@@ -751,12 +765,12 @@
             .entry(gate)
             .and_modify(|g| g.hedging.retain(|call| *call != id));
         self.learn(now, gate, probe, learnt, out);
-        out.push(Action::GiveUp { call: id, listen });
+        out.push(Action::Abandon { call: id, listen });
         if listen <= Time(0) {
             self.calls
                 .remove(&id)
                 .into_iter()
-                .for_each(|call| call.stamp.over());
+                .for_each(|call| call.stamp.finish());
             self.gates.entry(gate).and_modify(|g| g.over(now, true));
             self.frees(now, gate);
         }
@@ -775,29 +789,43 @@
                 return;
             };
             let force = run.force.clone();
-            let part = &force.plan.pages[run.start.page].parts[place];
+            let part = &force.plan.aggregations[run.start.aggregation].parts[place];
             let step = &mut run.steps[place];
             step.number += 1;
             step.calls.clear();
             let fallback = part
                 .fallbacks
                 .get(step.number - 1)
-                .filter(|_| force.plan.defences.fallback);
+                .filter(|_| force.plan.safeguards.fallback);
             match fallback {
-                None | Some(Fallback::LeaveOut) => {
-                    return self.settle(now, id, place, State::Missing, None, out);
+                None | Some(Fallback::Omit) => {
+                    return self.settle(now, id, place, PartSource::Missing, None, out);
                 }
-                Some(Fallback::Fixed(body)) => {
-                    return self.settle(now, id, place, State::Fixed, Some(body.clone()), out);
+                Some(Fallback::Default(body)) => {
+                    return self.settle(
+                        now,
+                        id,
+                        place,
+                        PartSource::Default,
+                        Some(body.clone()),
+                        out,
+                    );
                 }
-                Some(Fallback::Kept(most)) => {
+                Some(Fallback::Cached(most)) => {
                     let name = force.plan.dependencies[part.dependency].name.clone();
-                    let key: Key = (name, run.start.customer, run.start.body.clone());
+                    let key: Key = (name, run.start.tenant, run.start.body.clone());
                     if let Some((age, body)) = self.kept.find(now, &key, *most) {
-                        return self.settle(now, id, place, State::Kept(age), Some(body), out);
+                        return self.settle(
+                            now,
+                            id,
+                            place,
+                            PartSource::Cached(age),
+                            Some(body),
+                            out,
+                        );
                     }
                 }
-                Some(Fallback::Other(dependency)) => {
+                Some(Fallback::Secondary(dependency)) => {
                     if self.begin(now, id, place, *dependency, out) {
                         return;
                     }
@@ -811,7 +839,7 @@
         now: Time,
         id: RequestId,
         place: usize,
-        state: State,
+        state: PartSource,
         body: Option<Rc<[u8]>>,
         out: &mut Vec<Action>,
     ) {
@@ -830,51 +858,51 @@
         let Some(run) = self.runs.get(&id) else {
             return;
         };
-        let page = &run.force.plan.pages[run.start.page];
-        let needs_all = !run.force.plan.defences.fallback;
+        let page = &run.force.plan.aggregations[run.start.aggregation];
+        let needs_all = !run.force.plan.safeguards.fallback;
         let settled = |step: &Step| match &step.phase {
             Phase::Settled(state, body) => Some((state.clone(), body.clone())),
             _ => None,
         };
         let ends: Vec<_> = run.steps.iter().map(settled).collect();
-        let lacks = |(part, end): (&Part, &Option<(State, _)>)| {
+        let lacks = |(part, end): (&PartSpec, &Option<(PartSource, _)>)| {
             (part.required || needs_all)
                 && end
                     .as_ref()
-                    .is_some_and(|(state, _)| *state == State::Missing)
+                    .is_some_and(|(state, _)| *state == PartSource::Missing)
         };
         if page.parts.iter().zip(&ends).any(lacks) {
-            return self.end(now, id, Answer::Errored, out);
+            return self.end(now, id, AggregationResult::Failed, out);
         }
         if ends.iter().all(Option::is_some) {
             let parts = page.parts.iter().zip(ends).filter_map(|(part, end)| {
                 let (state, body) = end?;
                 let own = &run.force.plan.dependencies[part.dependency];
                 let json = match &state {
-                    State::Other(name) => {
+                    PartSource::Secondary(name) => {
                         let other = run.force.plan.dependencies.iter().find(|d| d.name == *name);
                         other.is_some_and(|d| d.json)
                     }
                     _ => own.json,
                 };
-                Some(PartEnd {
+                Some(PartResult {
                     name: part.name.clone(),
-                    state,
+                    source: state,
                     body,
                     json,
                 })
             });
-            let answer = Answer::Parts(parts.collect());
+            let answer = AggregationResult::Parts(parts.collect());
             self.end(now, id, answer, out);
         }
     }
 
-    fn end(&mut self, now: Time, id: RequestId, answer: Answer, out: &mut Vec<Action>) {
+    fn end(&mut self, now: Time, id: RequestId, answer: AggregationResult, out: &mut Vec<Action>) {
         let Some(run) = self.runs.remove(&id) else {
             return;
         };
-        let stopped = answer == Answer::Stopped;
-        out.push(Action::Ended { run: id, answer });
+        let stopped = answer == AggregationResult::Cancelled;
+        out.push(Action::Completed { run: id, answer });
         for (place, step) in run.steps.iter().enumerate() {
             self.leave_queue(step.gate, id, place);
             for call in &step.calls {
@@ -891,9 +919,9 @@
     fn drain(&mut self, now: Time, id: GateId, out: &mut Vec<Action>) {
         while let Some(gate) = self.gates.get_mut(&id) {
             let verdict = gate.verdict(now);
-            if verdict != Verdict::Full {
+            if verdict != Permit::LimitReached {
                 if let Some(call) = gate.hedging.pop_front() {
-                    if verdict == (Verdict::Go { probe: false }) {
+                    if verdict == (Permit::Granted { probe: false }) {
                         self.second(now, call, out);
                     }
                     continue;
@@ -906,14 +934,14 @@
                 return;
             };
             match verdict {
-                Verdict::Full => return self.frees(now, id),
-                Verdict::Shut => {
+                Permit::LimitReached => return self.frees(now, id),
+                Permit::CircuitOpen => {
                     gate.waiting.pop_front();
-                    gate.sums.shut += 1;
+                    gate.counters.circuit_open += 1;
                     self.fall_back(now, run, place, out);
                     self.finish(now, run, out);
                 }
-                Verdict::Go { probe } => {
+                Permit::Granted { probe } => {
                     gate.waiting.pop_front();
                     let until = self.runs.get(&run).map(|r| r.steps[place].until);
                     // Its timer has not fired yet, or takes what is left of its time.
@@ -930,12 +958,12 @@
 
     /// Shares that are lent may have changed: what waits goes, as far as there is room now. With it, what is used of
     /// each dependency at this moment.
-    pub fn look(&mut self, now: Time) -> (Vec<Action>, Vec<Use>) {
+    pub fn poll_usage(&mut self, now: Time) -> (Vec<Action>, Vec<DependencyUsage>) {
         let mut out = Vec::new();
         let ids: Vec<GateId> = self
             .gates
             .iter()
-            .filter(|(_, g)| g.spec.lent.is_some() || g.spec.lent_rate.is_some())
+            .filter(|(_, g)| g.spec.leased_calls.is_some() || g.spec.leased_rate.is_some())
             .map(|(id, _)| *id)
             .collect();
         for id in &ids {
@@ -945,22 +973,22 @@
         let mut uses = Vec::new();
         for gate in ids.iter().filter_map(|id| self.gates.get(id)) {
             let dependency = gate.spec.name.clone();
-            if gate.spec.lent_rate.is_some() {
+            if gate.spec.leased_rate.is_some() {
                 let held = gate.sent_lately(now);
                 let need = held + gate.waiting.len();
-                uses.push(Use {
+                uses.push(DependencyUsage {
                     dependency: dependency.clone(),
                     rate: true,
-                    held,
-                    need,
+                    in_flight: held,
+                    needed: need,
                 });
             }
-            if gate.spec.lent.is_some() {
-                uses.push(Use {
+            if gate.spec.leased_calls.is_some() {
+                uses.push(DependencyUsage {
                     dependency,
                     rate: false,
-                    held: gate.held(now),
-                    need: gate.need(now),
+                    in_flight: gate.in_flight(now),
+                    needed: gate.need(now),
                 });
             }
         }
@@ -971,7 +999,7 @@
     pub fn dependencies(&self, page: usize) -> impl Iterator<Item = &str> {
         let plan = &self.force.plan;
         let parts = plan
-            .pages
+            .aggregations
             .get(page)
             .into_iter()
             .flat_map(|page| &page.parts);
@@ -987,7 +1015,7 @@
     }
 
     /// For the log: each dependency's gate, to take its sums and what changed since they were last taken.
-    pub fn gates(&mut self) -> impl Iterator<Item = &mut Gate> {
+    pub fn gates(&mut self) -> impl Iterator<Item = &mut DependencyGate> {
         self.gates.values_mut()
     }
 
@@ -1046,7 +1074,8 @@
                 let waits = !matches!(step.phase, Phase::Settled(..));
                 open |= waits;
                 if waits
-                    && (step.until <= now || step.until > run.start.due.min(self.leave).max(now))
+                    && (step.until <= now
+                        || step.until > run.start.deadline.min(self.leave).max(now))
                 {
                     return Err(format!(
                         "run {id:?}, part {place}: its step ends {:?}",
--- a/crates/dependency/src/breaker.rs
+++ b/crates/dependency/src/circuit_breaker.rs
@@ -17,7 +17,7 @@
 const PROVEN: u32 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stage {
+pub enum CircuitState {
     Closed,
     Open { until: Time },
     HalfOpen { good: u32 },
@@ -32,8 +32,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Breaker {
-    stage: Stage,
+pub struct CircuitBreaker {
+    stage: CircuitState,
     ends: SlidingWindow<2, 8>,
     row: u32,
     probes: usize,
@@ -43,11 +43,11 @@
     enabled: bool,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     pub fn new(now: Time, enabled: bool) -> Self {
         let ends = SlidingWindow::new(SECOND);
-        Breaker {
-            stage: Stage::Closed,
+        CircuitBreaker {
+            stage: CircuitState::Closed,
             ends,
             row: 0,
             probes: 0,
@@ -60,11 +60,11 @@
     pub fn enable(&mut self, enabled: bool) {
         self.enabled = enabled;
         if !enabled {
-            self.stage = Stage::Closed;
+            self.stage = CircuitState::Closed;
         }
     }
 
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> CircuitState {
         self.stage
     }
 
@@ -78,9 +78,9 @@
     pub fn pass(&self, now: Time) -> Pass {
         let room = self.probes < PROBES;
         match self.stage {
-            Stage::Closed => Pass::Free,
-            Stage::Open { until } if now < until => Pass::No,
-            Stage::Open { .. } | Stage::HalfOpen { .. } if room => Pass::Probe,
+            CircuitState::Closed => Pass::Free,
+            CircuitState::Open { until } if now < until => Pass::No,
+            CircuitState::Open { .. } | CircuitState::HalfOpen { .. } if room => Pass::Probe,
             _ => Pass::No,
         }
     }
@@ -88,9 +88,9 @@
     /// A probe was sent; true if it is the first since the breaker opened.
     pub fn probing(&mut self) -> bool {
         self.probes += 1;
-        let first = matches!(self.stage, Stage::Open { .. });
+        let first = matches!(self.stage, CircuitState::Open { .. });
         if first {
-            self.stage = Stage::HalfOpen { good: 0 };
+            self.stage = CircuitState::HalfOpen { good: 0 };
         }
         first
     }
@@ -108,7 +108,7 @@
             return false;
         }
         match self.stage {
-            Stage::Closed => {
+            CircuitState::Closed => {
                 self.row = if good { 0 } else { self.row + 1 };
                 let [well, ill] = self.ends.sums(now);
                 if ill >= LEAST && ill >= MOSTLY * (well + ill) || self.row >= IN_A_ROW {
@@ -120,21 +120,21 @@
                 }
                 false
             }
-            Stage::HalfOpen { .. } if probe && !good => {
+            CircuitState::HalfOpen { .. } if probe && !good => {
                 self.open(now, draw);
                 false
             }
-            Stage::HalfOpen { good: before } if probe && before + 1 >= PROVEN => {
-                (self.stage, self.closed, self.row) = (Stage::Closed, now, 0);
+            CircuitState::HalfOpen { good: before } if probe && before + 1 >= PROVEN => {
+                (self.stage, self.closed, self.row) = (CircuitState::Closed, now, 0);
                 self.ends = SlidingWindow::new(SECOND);
                 true
             }
-            Stage::HalfOpen { good: before } if probe => {
-                self.stage = Stage::HalfOpen { good: before + 1 };
+            CircuitState::HalfOpen { good: before } if probe => {
+                self.stage = CircuitState::HalfOpen { good: before + 1 };
                 false
             }
             // What was sent before it opened says nothing new.
-            Stage::HalfOpen { .. } | Stage::Open { .. } => false,
+            CircuitState::HalfOpen { .. } | CircuitState::Open { .. } => false,
         }
     }
 
@@ -144,6 +144,6 @@
             .min(LONGEST_REST);
         let rest = rest.scaled(1.0 + SPREAD * (2.0 * draw.clamp(0.0, 1.0) - 1.0));
         self.openings += 1;
-        self.stage = Stage::Open { until: now + rest };
+        self.stage = CircuitState::Open { until: now + rest };
     }
 }
--- a/crates/dependency/src/limit.rs
+++ b/crates/dependency/src/concurrency_limiter.rs
@@ -13,7 +13,7 @@
 const USED: f64 = 0.5;
 
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimiter {
     floor: f64,
     most: f64,
     now: f64,
@@ -24,11 +24,11 @@
     adapts: bool,
 }
 
-impl Limit {
+impl ConcurrencyLimiter {
     /// Between `floor` and `most`, where it starts; fixed there unless it `adapts`.
     pub fn new(floor: usize, most: usize, adapts: bool) -> Self {
         let most = most.max(1) as f64;
-        Limit {
+        ConcurrencyLimiter {
             floor: (floor as f64).clamp(1.0, most),
             most,
             now: most,
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -1,12 +1,12 @@
 //! What stands between pages and one dependency. Calls in hand, those given up that may go on, and after a start
 //! those that this instance's former life may have left, all count as held; held calls never pass the limit, and
 //! the limit never passes the share.
-use crate::breaker::{Breaker, Pass, Stage};
-use crate::latency::Latency;
-use crate::limit::Limit;
-use crate::pages::CallId;
-use crate::plan::{Defences, Dependency, Stamp};
-use crate::retry::RetryBudget;
+use crate::aggregator::CallId;
+use crate::circuit_breaker::{CircuitBreaker, CircuitState, Pass};
+use crate::concurrency_limiter::ConcurrencyLimiter;
+use crate::latency::LatencyTracker;
+use crate::plan::{Dependency, Safeguards, SendTimestamp};
+use crate::retry_budget::RetryBudget;
 use cottondyke_types::{RequestId, Time};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -25,68 +25,68 @@
 
 /// Whether a call may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Go {
+pub enum Permit {
+    Granted {
         probe: bool,
     },
     /// The limit is reached.
-    Full,
+    LimitReached,
     /// The breaker lets nothing through.
-    Shut,
+    CircuitOpen,
 }
 
 /// How a call that was in hand ended, as the gate learns of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learnt {
-    Well,
+pub enum CallSignal {
+    Success,
     /// It failed, which says nothing of the load.
-    Ill,
+    Failure,
     /// It got no answer in time, or was turned away.
     Overload,
     /// It says nothing of the dependency.
-    Nothing,
+    Ignored,
 }
 
 /// Sums since they were last taken, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
-    pub first: u64,
+pub struct GateCounters {
+    pub first_attempts: u64,
     pub hedges: u64,
-    pub repeats: u64,
-    pub well: u64,
-    pub ill: u64,
+    pub retries: u64,
+    pub successes: u64,
+    pub failures: u64,
     /// Not answered within the time given.
-    pub late: u64,
+    pub timeouts: u64,
     /// Parts that found the limit reached and no room to wait, or the breaker open.
-    pub full: u64,
-    pub shut: u64,
+    pub limit_reached: u64,
+    pub circuit_open: u64,
 }
 
 /// Calls that a former life may have sent just now.
-fn blank(now: Time, of: &Dependency, calls: usize) -> Vec<Rc<Stamp>> {
+fn blank(now: Time, of: &Dependency, calls: usize) -> Vec<Rc<SendTimestamp>> {
     let stamp = || {
-        let stamp = Rc::new(Stamp::new(of));
-        stamp.sent(now);
+        let stamp = Rc::new(SendTimestamp::new(of));
+        stamp.record_send(now);
         stamp
     };
     std::iter::repeat_with(stamp).take(calls).collect()
 }
 
 #[derive(Debug)]
-pub struct Gate {
+pub struct DependencyGate {
     pub spec: Rc<Dependency>,
-    pub limit: Limit,
-    pub breaker: Breaker,
-    pub latency: Latency,
+    pub limit: ConcurrencyLimiter,
+    pub breaker: CircuitBreaker,
+    pub latency: LatencyTracker,
     pub retries: RetryBudget,
     pub waiting: VecDeque<(RequestId, usize)>,
     /// Calls whose second one waits for a place, before all that waits for its first.
     pub hedging: VecDeque<CallId>,
-    pub sums: Sums,
+    pub counters: GateCounters,
     in_hand: usize,
     lingering: Vec<Time>,
     /// Calls of the last window, where there is a rate.
-    sent: Vec<Rc<Stamp>>,
+    sent: Vec<Rc<SendTimestamp>>,
     /// Calls of a former life of this instance, and when they are over.
     ghosts: (usize, Time),
     limited: bool,
@@ -96,51 +96,60 @@
     told: usize,
 }
 
-impl Gate {
+impl DependencyGate {
     /// `restarted`: whether a former life of this instance may have left calls there.
-    pub fn new(now: Time, spec: Rc<Dependency>, defences: Defences, restarted: bool) -> Self {
+    pub fn new(now: Time, spec: Rc<Dependency>, defences: Safeguards, restarted: bool) -> Self {
         // What a former life may have left is kept back of a share that is lent before it is lent again.
-        let blind = restarted && defences.limit && defences.restart && spec.lent.is_none();
-        let former = restarted && defences.restart && spec.lent_rate.is_none();
+        let blind = restarted && defences.limit && defences.restart && spec.leased_calls.is_none();
+        let former = restarted && defences.restart && spec.leased_rate.is_none();
         let ghosts = if blind {
-            (spec.share, now + spec.linger)
+            (spec.max_calls, now + spec.post_cancel_grace)
         } else {
             (0, now)
         };
-        Gate {
-            limit: Limit::new(spec.floor, spec.share, defences.adapt),
-            breaker: Breaker::new(now, defences.breaker),
-            latency: Latency::new(now),
-            retries: RetryBudget::new(spec.retries),
+        DependencyGate {
+            limit: ConcurrencyLimiter::new(spec.min_limit, spec.max_calls, defences.adapt),
+            breaker: CircuitBreaker::new(now, defences.breaker),
+            latency: LatencyTracker::new(now),
+            retries: RetryBudget::new(spec.retry_ratio),
             waiting: VecDeque::new(),
             hedging: VecDeque::new(),
-            sums: Sums::default(),
+            counters: GateCounters::default(),
             in_hand: 0,
             lingering: Vec::new(),
-            sent: blank(now, &spec, if former { spec.rate.unwrap_or(0) } else { 0 }),
+            sent: blank(
+                now,
+                &spec,
+                if former {
+                    spec.max_rate.unwrap_or(0)
+                } else {
+                    0
+                },
+            ),
             ghosts,
             limited: defences.limit,
             waited: 0,
-            told: spec.share,
+            told: spec.max_calls,
             spec,
         }
     }
 
     /// The file was read anew; what was learned stays, what is held still counts.
-    pub fn renew(&mut self, now: Time, spec: Rc<Dependency>, defences: Defences) {
+    pub fn renew(&mut self, now: Time, spec: Rc<Dependency>, defences: Safeguards) {
         // Calls before there was a rate were not noted: as many as it allows may have gone out just now.
-        if let Some(rate) = spec.rate.filter(|_| self.spec.rate.is_none()) {
+        if let Some(rate) = spec.max_rate.filter(|_| self.spec.max_rate.is_none()) {
             self.sent = blank(now, &spec, rate);
         }
-        self.limit.set(spec.floor, spec.share, defences.adapt);
+        self.limit
+            .set(spec.min_limit, spec.max_calls, defences.adapt);
         self.breaker.enable(defences.breaker);
-        self.retries.set(spec.retries);
+        self.retries.set(spec.retry_ratio);
         self.limited = defences.limit;
         self.waited = self.waiting.len();
         self.spec = spec;
     }
 
-    pub fn held(&self, now: Time) -> usize {
+    pub fn in_flight(&self, now: Time) -> usize {
         let lingering = self.lingering.iter().filter(|end| **end > now).count();
         let ghosts = if self.ghosts.1 > now {
             self.ghosts.0
@@ -152,19 +161,22 @@
 
     /// The limit follows a share that was lent, and adapts below it.
     pub fn follow(&mut self, now: Time) {
-        if let Some(lent) = &self.spec.lent {
+        if let Some(lent) = &self.spec.leased_calls {
             self.limit.follow(lent.units(now));
         }
     }
 
     /// Calls that went out in the last window.
     pub fn sent_lately(&self, now: Time) -> usize {
-        self.sent.iter().filter(|stamp| stamp.until() > now).count()
+        self.sent
+            .iter()
+            .filter(|stamp| stamp.counted_until() > now)
+            .count()
     }
 
     /// Calls that may go out in a window.
     fn rate(&self, now: Time) -> usize {
-        match (&self.spec.lent_rate, self.spec.rate) {
+        match (&self.spec.leased_rate, self.spec.max_rate) {
             (Some(lent), _) => lent.units(now),
             (None, Some(rate)) => rate,
             (None, None) => usize::MAX,
@@ -173,7 +185,7 @@
 
     /// Calls that could be in use now: those held and what waits, but no more than the limit would let out.
     pub fn need(&self, now: Time) -> usize {
-        let wanted = self.held(now) + self.waiting.len() + self.hedging.len();
+        let wanted = self.in_flight(now) + self.waiting.len() + self.hedging.len();
         if self.limit.is_full() {
             wanted
         } else {
@@ -183,7 +195,7 @@
 
     /// The most that may wait now.
     pub fn most_waiting(&self) -> usize {
-        self.spec.waiting.max(self.waited)
+        self.spec.max_waiting.max(self.waited)
     }
 
     pub fn in_hand(&self) -> usize {
@@ -195,7 +207,7 @@
         let sent = self
             .sent
             .iter()
-            .map(|stamp| stamp.until())
+            .map(|stamp| stamp.counted_until())
             .filter(|end| *end < Time::MAX);
         let ends = self
             .lingering
@@ -206,45 +218,45 @@
         ends.filter(|end| *end > now).min()
     }
 
-    pub fn verdict(&self, now: Time) -> Verdict {
+    pub fn verdict(&self, now: Time) -> Permit {
         let probe = match self.breaker.pass(now) {
-            Pass::No => return Verdict::Shut,
+            Pass::No => return Permit::CircuitOpen,
             pass => pass == Pass::Probe,
         };
-        let held = self.held(now);
+        let held = self.in_flight(now);
         let lent = self
             .spec
-            .lent
+            .leased_calls
             .as_ref()
             .map_or(usize::MAX, |lent| lent.units(now));
         if self.sent_lately(now) + 1 > self.rate(now) {
-            return Verdict::Full;
+            return Permit::LimitReached;
         }
         if held + 1 > lent || self.limited && held + 1 > self.limit.calls() {
-            return Verdict::Full;
+            return Permit::LimitReached;
         }
-        Verdict::Go { probe }
+        Permit::Granted { probe }
     }
 
     /// Whether a call may be made again: nobody waits, the breaker is closed, and the retry budget pays.
     pub fn again(&mut self, now: Time) -> bool {
         self.waiting.is_empty()
-            && self.verdict(now) == (Verdict::Go { probe: false })
+            && self.verdict(now) == (Permit::Granted { probe: false })
             && self.retries.take()
     }
 
     /// A call goes out; true if the breaker changed its stage by it.
-    pub fn sent(&mut self, now: Time, probe: bool, stamp: &Rc<Stamp>) -> bool {
+    pub fn sent(&mut self, now: Time, probe: bool, stamp: &Rc<SendTimestamp>) -> bool {
         self.in_hand += 1;
-        if self.spec.rate.is_some() {
-            self.sent.retain(|stamp| stamp.until() > now);
+        if self.spec.max_rate.is_some() {
+            self.sent.retain(|stamp| stamp.counted_until() > now);
             self.sent.push(stamp.clone());
         }
         probe && self.breaker.probing()
     }
 
     /// The limit before and now, where it changed since this was last asked.
-    pub fn changed(&mut self) -> Option<(usize, usize)> {
+    pub fn take_limit_change(&mut self) -> Option<(usize, usize)> {
         let before = std::mem::replace(&mut self.told, self.limit.calls());
         (before != self.told).then_some((before, self.told))
     }
@@ -254,32 +266,32 @@
         self.in_hand -= 1;
         self.lingering.retain(|end| *end > now);
         if goes_on {
-            self.lingering.push(now + self.spec.linger);
+            self.lingering.push(now + self.spec.post_cancel_grace);
         }
     }
 
     /// Learns from a call; true if the breaker changed its stage. `draw` from 0 to 1, evenly.
-    pub fn learn(&mut self, now: Time, probe: bool, learnt: Learnt, draw: f64) -> bool {
+    pub fn learn(&mut self, now: Time, probe: bool, learnt: CallSignal, draw: f64) -> bool {
         let before = std::mem::discriminant(&self.breaker.stage());
         let round = self.latency.usual().unwrap_or(FIRST_ROUND);
         match learnt {
-            Learnt::Well => {
-                let held = self.held(now) + 1;
-                self.sums.well += 1;
+            CallSignal::Success => {
+                let held = self.in_flight(now) + 1;
+                self.counters.successes += 1;
                 self.limit.well(now, self.latency.gradient(), held, round);
                 if self.breaker.ended(now, probe, true, draw) {
                     self.limit.restart();
                 }
             }
-            Learnt::Ill | Learnt::Overload => {
-                self.sums.ill += 1;
+            CallSignal::Failure | CallSignal::Overload => {
+                self.counters.failures += 1;
                 self.breaker.ended(now, probe, false, draw);
                 // Single failures are no overload; nor do they fit a limit that falls by a part for each.
-                if learnt == Learnt::Overload && self.breaker.failing(now, FEW) >= TOLERATED {
+                if learnt == CallSignal::Overload && self.breaker.failing(now, FEW) >= TOLERATED {
                     self.limit.overload(now, round);
                 }
             }
-            Learnt::Nothing => self.breaker.no_word(probe),
+            CallSignal::Ignored => self.breaker.no_word(probe),
         }
         before != std::mem::discriminant(&self.breaker.stage())
     }
@@ -287,7 +299,10 @@
     /// Whether a call that got this long without an answer had a fair chance.
     pub fn fair(&mut self, given: Time) -> bool {
         let usual = self.latency.quantile(FAIR);
-        given >= usual.unwrap_or(self.spec.budget).min(self.spec.budget)
+        given
+            >= usual
+                .unwrap_or(self.spec.time_budget)
+                .min(self.spec.time_budget)
     }
 
     /// The time that a call must be given to be worth making: what nearly all need. A call sent with less fails by
@@ -298,16 +313,16 @@
             .quantile(NEARLY)
             .or(self.latency.usual())
             .unwrap_or(Time(1));
-        nearly.min(self.spec.budget.scaled(MOST_NEEDED))
+        nearly.min(self.spec.time_budget.scaled(MOST_NEEDED))
     }
 
     /// After how long a second call is made, where it is.
     pub fn hedge_after(&mut self) -> Option<Time> {
-        let quantile = self.spec.hedge?;
+        let quantile = self.spec.hedge_quantile?;
         self.latency.quantile(quantile)
     }
 
-    pub fn stage(&self) -> Stage {
+    pub fn circuit_state(&self) -> CircuitState {
         self.breaker.stage()
     }
 }
--- a/crates/dependency/src/latency.rs
+++ b/crates/dependency/src/latency.rs
@@ -18,7 +18,7 @@
 const RISES: f64 = 0.005;
 
 #[derive(Clone, Debug)]
-pub struct Latency {
+pub struct LatencyTracker {
     newer: Histogram<u32>,
     older: Histogram<u32>,
     turned: Time,
@@ -28,11 +28,11 @@
     usual: f64,
 }
 
-impl Latency {
+impl LatencyTracker {
     pub fn new(now: Time) -> Self {
         // Two significant digits suffice, and the bounds are constants that fit.
         let new = || Histogram::new_with_bounds(1, LONGEST, 2).expect("constant bounds");
-        Latency {
+        LatencyTracker {
             newer: new(),
             older: new(),
             turned: now,
--- a/crates/dependency/src/kept.rs
+++ b/crates/dependency/src/stale_cache.rs
@@ -11,7 +11,7 @@
 const OVERHEAD: usize = 160;
 
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct StaleCache {
     entries: BTreeMap<Key, (Time, u64, Rc<[u8]>)>,
     /// In the order in which they were kept; an entry that was replaced since is passed over.
     order: VecDeque<(u64, Key)>,
@@ -24,7 +24,7 @@
     key.2.len() + body.len() + OVERHEAD
 }
 
-impl Kept {
+impl StaleCache {
     pub fn bound(&mut self, most: usize) {
         self.most = most;
         self.shrink();
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -15,20 +15,20 @@
         addr: ([127, 0, 0, 1], 1).into(),
         path: "/".into(),
         json: false,
-        budget: Time(random.i64(50..3_000)),
-        share,
-        lent: None,
-        rate: [None, Some(random.usize(1..40))][random.usize(0..2)],
-        lent_rate: None,
-        floor: random.usize(1..=share),
-        linger: Time(random.i64(1..2_000)),
-        waiting: random.usize(0..6),
-        retries: [0.0, 0.1, 0.5][random.usize(0..3)],
-        hedge: [None, Some(0.5), Some(0.95)][random.usize(0..3)],
+        time_budget: Time(random.i64(50..3_000)),
+        max_calls: share,
+        leased_calls: None,
+        max_rate: [None, Some(random.usize(1..40))][random.usize(0..2)],
+        leased_rate: None,
+        min_limit: random.usize(1..=share),
+        post_cancel_grace: Time(random.i64(1..2_000)),
+        max_waiting: random.usize(0..6),
+        retry_ratio: [0.0, 0.1, 0.5][random.usize(0..3)],
+        hedge_quantile: [None, Some(0.5), Some(0.95)][random.usize(0..3)],
     })
 }
 
-fn plan(random: &mut fastrand::Rng, defences: Defences) -> Plan {
+fn plan(random: &mut fastrand::Rng, defences: Safeguards) -> Plan {
     let names = ["catalogue", "prices", "stock", "backup"];
     let count = random.usize(1..=names.len());
     let dependencies: Vec<_> = names[..count]
@@ -38,17 +38,17 @@
     let part = |place: usize, random: &mut fastrand::Rng| {
         let required = random.u8(0..5) == 0;
         let mut fallback = || match random.u8(0..4) {
-            0 => Fallback::Kept(Time(random.i64(1..50_000))),
-            1 => Fallback::Other(random.usize(0..count)),
-            2 => Fallback::Fixed((*b"fixed").into()),
-            _ => Fallback::LeaveOut,
+            0 => Fallback::Cached(Time(random.i64(1..50_000))),
+            1 => Fallback::Secondary(random.usize(0..count)),
+            2 => Fallback::Default((*b"fixed").into()),
+            _ => Fallback::Omit,
         };
         let fallbacks = if required {
             Vec::new()
         } else {
             vec![fallback(), fallback(), fallback()]
         };
-        Part {
+        PartSpec {
             name: format!("part{place}").into(),
             dependency: place % count,
             required,
@@ -59,21 +59,21 @@
         let parts = (0..random.usize(1..5))
             .map(|place| part(place, random))
             .collect();
-        Page { parts }
+        Aggregation { parts }
     });
     let pages = pages.collect();
     Plan {
         dependencies,
-        pages,
-        kept_bytes: random.usize(0..4_000),
-        defences,
+        aggregations: pages,
+        stale_cache_bytes: random.usize(0..4_000),
+        safeguards: defences,
     }
 }
 
 struct Model {
     random: fastrand::Rng,
     now: Time,
-    pages: Pages,
+    pages: Aggregator,
     plan: Plan,
     /// Every dependency that was ever in force.
     all: Vec<Rc<Dependency>>,
@@ -85,7 +85,7 @@
     /// Calls that were given up and go on unseen: the worst that a dependency may do.
     unseen: Vec<(Rc<str>, Time)>,
     /// Calls whose first byte is not out yet, and those that came in the last second.
-    stamps: BTreeMap<CallId, Rc<Stamp>>,
+    stamps: BTreeMap<CallId, Rc<SendTimestamp>>,
     came: Vec<(Rc<str>, Time)>,
     ends: u64,
 }
@@ -112,11 +112,11 @@
                     );
                     self.calls.insert(call, (to.name.clone(), None));
                     self.stamps.insert(call, stamp);
-                    if self.plan.defences.limit {
+                    if self.plan.safeguards.limit {
                         self.check_held(&to.name);
                     }
                 }
-                Action::GiveUp { call, listen } => {
+                Action::Abandon { call, listen } => {
                     let (name, _) = self
                         .calls
                         .remove(&call)
@@ -128,21 +128,21 @@
                         self.linger(name);
                     }
                 }
-                Action::Ended { run, answer } => {
+                Action::Completed { run, answer } => {
                     let due = self.runs.remove(&run).expect("a run ends once");
                     assert!(self.now <= due, "ended after it was due");
                     self.ends += 1;
-                    if let Answer::Parts(parts) = answer {
+                    if let AggregationResult::Parts(parts) = answer {
                         for part in parts {
                             assert_eq!(
-                                part.state == State::Missing,
+                                part.source == PartSource::Missing,
                                 part.body.is_none(),
                                 "{part:?}"
                             );
                         }
                     }
                 }
-                Action::Changed { .. } => {}
+                Action::GateChanged { .. } => {}
             }
         }
     }
@@ -153,7 +153,7 @@
             return;
         };
         let (now, name) = (self.now, self.calls[&call].0.clone());
-        stamp.sent(now);
+        stamp.record_send(now);
         self.came.retain(|(_, at)| now - *at < Time(10_000));
         self.came.push((name.clone(), now));
         let lately = self.came.iter().filter(|(of, _)| *of == name).count();
@@ -161,7 +161,7 @@
             .all
             .iter()
             .find(|d| d.name == name)
-            .and_then(|spec| spec.rate)
+            .and_then(|spec| spec.max_rate)
         {
             assert!(
                 lately <= rate,
@@ -172,7 +172,7 @@
 
     fn linger(&mut self, name: Rc<str>) {
         let spec = self.all.iter().find(|d| d.name == name);
-        let linger = spec.map_or(Time(0), |d| d.linger);
+        let linger = spec.map_or(Time(0), |d| d.post_cancel_grace);
         self.unseen.push((name, self.now + linger));
     }
 
@@ -184,9 +184,9 @@
             + self.unseen.iter().filter(|(of, _)| of == name).count();
         if let Some(spec) = self.all.iter().find(|d| d.name == *name) {
             assert!(
-                held <= spec.share,
+                held <= spec.max_calls,
                 "{held} held at {name}, share {}",
-                spec.share
+                spec.max_calls
             );
         }
     }
@@ -194,9 +194,9 @@
     fn step(&mut self) {
         self.now += Time(self.random.i64(0..60));
         // The driver calls the timer in time, and stops listening when it should.
-        while let Some(at) = self.pages.next().filter(|at| *at <= self.now) {
+        while let Some(at) = self.pages.next_timer().filter(|at| *at <= self.now) {
             let now = std::mem::replace(&mut self.now, at);
-            let actions = self.pages.timer(at);
+            let actions = self.pages.handle_timer(at);
             self.carry(actions);
             self.now = now;
         }
@@ -207,7 +207,7 @@
             .collect();
         let over: Vec<_> = over.into_iter().map(|(id, _)| *id).collect();
         for id in over {
-            self.end(id, Outcome::Lost);
+            self.end(id, CallResult::TimedOut);
         }
         if let Some(call) = self
             .random
@@ -221,13 +221,13 @@
                 self.next_run += 1;
                 let target = self.now + Time(self.random.i64(-100..3_000));
                 let due = target.max(self.now) + Time(self.random.i64(101..2_000));
-                let start = Start {
-                    run,
-                    page: self.random.usize(0..3),
+                let start = AggregationRequest {
+                    request: run,
+                    aggregation: self.random.usize(0..3),
                     body: self.random.u8(0..6).to_string().into_bytes().into(),
-                    customer: [None, Some(TenantId(1))][self.random.usize(0..2)],
+                    tenant: [None, Some(TenantId(1))][self.random.usize(0..2)],
                     target,
-                    due,
+                    deadline: due,
                     may_repeat: self.random.bool(),
                 };
                 self.runs.insert(run, due);
@@ -239,7 +239,7 @@
                     .random
                     .choice(self.runs.keys().copied().collect::<Vec<_>>())
                 {
-                    let actions = self.pages.stop(self.now, run);
+                    let actions = self.pages.cancel(self.now, run);
                     self.carry(actions);
                     assert!(!self.runs.contains_key(&run), "a stopped run ends at once");
                 }
@@ -251,12 +251,12 @@
                     .choice(self.calls.keys().copied().collect::<Vec<_>>())
                 {
                     let outcome = match self.random.u8(0..10) {
-                        0..6 => Outcome::Good(vec![0; self.random.usize(0..600)].into()),
-                        6 => Outcome::Failed,
-                        7 => Outcome::Unfit,
-                        8 => Outcome::Refused,
-                        _ if self.random.bool() => Outcome::Stale,
-                        _ => Outcome::Lost,
+                        0..6 => CallResult::Success(vec![0; self.random.usize(0..600)].into()),
+                        6 => CallResult::Failure,
+                        7 => CallResult::InvalidRequest,
+                        8 => CallResult::Rejected,
+                        _ if self.random.bool() => CallResult::StaleConnection,
+                        _ => CallResult::TimedOut,
                     };
                     self.end(call, outcome);
                 }
@@ -266,20 +266,20 @@
             panic!("{wrong}");
         }
         assert_eq!(self.pages.open_runs(), self.runs.len());
-        assert!(self.pages.kept_bytes() <= self.plan.kept_bytes);
+        assert!(self.pages.kept_bytes() <= self.plan.stale_cache_bytes);
     }
 
     /// Another file: other pages and budgets, and sometimes a dependency less, or again one more.
     fn reload(&mut self) {
-        let mut next = plan(&mut self.random, self.plan.defences);
+        let mut next = plan(&mut self.random, self.plan.safeguards);
         for spec in &mut next.dependencies {
             // A share that shrinks leaves what is held over it to end: what must hold then is not counted here.
             if let Some(old) = self.all.iter().find(|old| old.name == spec.name) {
                 let kept = Dependency {
-                    share: old.share,
-                    floor: old.floor,
-                    linger: old.linger,
-                    rate: old.rate,
+                    max_calls: old.max_calls,
+                    min_limit: old.min_limit,
+                    post_cancel_grace: old.post_cancel_grace,
+                    max_rate: old.max_rate,
                     ..(**spec).clone()
                 };
                 *spec = Rc::new(kept);
@@ -292,17 +292,17 @@
         self.carry(actions);
     }
 
-    fn end(&mut self, id: CallId, outcome: Outcome) {
-        if outcome == Outcome::Refused {
+    fn end(&mut self, id: CallId, outcome: CallResult) {
+        if outcome == CallResult::Rejected {
             self.stamps.remove(&id);
         } else {
             self.send(id);
         }
         let (name, _) = self.calls.remove(&id).expect("it is out");
-        if outcome == Outcome::Lost {
+        if outcome == CallResult::TimedOut {
             self.linger(name);
         }
-        let actions = self.pages.ended(self.now, id, outcome);
+        let actions = self.pages.handle_call_result(self.now, id, outcome);
         self.carry(actions);
     }
 }
@@ -314,18 +314,18 @@
     let mut ends = 0;
     for seed in 0..SEEDS {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut defences = Defences::default();
+        let mut defences = Safeguards::default();
         if seed % 4 == 3 {
             let off = [
-                &mut defences.budget,
+                &mut defences.time_budget,
                 &mut defences.adapt,
                 &mut defences.breaker,
-                &mut defences.kept,
+                &mut defences.stale_cache,
             ];
             off.into_iter().for_each(|defence| *defence = random.bool());
         }
         let plan = plan(&mut random, defences);
-        let pages = Pages::new(Time(0), plan.clone(), seed, seed % 2 == 0);
+        let pages = Aggregator::new(Time(0), plan.clone(), seed, seed % 2 == 0);
         let (runs, calls) = (BTreeMap::new(), BTreeMap::new());
         let (unseen, now) = (Vec::new(), Time(0));
         let all = plan.dependencies.clone();
@@ -346,9 +346,9 @@
         };
         (0..STEPS / SEEDS as usize).for_each(|_| model.step());
         // Everything ends by itself once nothing new comes and no call is answered.
-        while let Some(at) = model.pages.next() {
+        while let Some(at) = model.pages.next_timer() {
             model.now = model.now.max(at);
-            let actions = model.pages.timer(model.now);
+            let actions = model.pages.handle_timer(model.now);
             model.carry(actions);
         }
         assert!(
--- a/crates/operator-config/src/args.rs
+++ b/crates/operator-config/src/arguments.rs
@@ -1,6 +1,6 @@
 //! Reads the arguments of one declaration: each is asked for by name with what is expected of it, and what was
 //! not asked for is an error with the nearest name that is known.
-use crate::{Declared, Place, Wrong, AT, MADE};
+use crate::{ConfigError, Declaration, SourceLocation, AT, MADE};
 use cottondyke_types::Time;
 use serde_json::{Map, Value as Json};
 
@@ -41,26 +41,26 @@
 }
 
 /// The arguments of one declaration, taken out one by one.
-pub struct Args {
+pub struct Arguments {
     pub function: String,
-    pub at: Place,
+    pub at: SourceLocation,
     named: Map<String, Json>,
     asked: Vec<&'static str>,
 }
 
-impl Args {
+impl Arguments {
     /// `first`: the names of the arguments that may be given by their position.
-    pub fn new(declared: Declared, first: &[&'static str]) -> Result<Self, Wrong> {
-        let Declared {
+    pub fn new(declared: Declaration, first: &[&'static str]) -> Result<Self, ConfigError> {
+        let Declaration {
             function,
             at,
             args,
             mut named,
         } = declared;
         let count = args.len();
-        let wrong = |what: String| Wrong {
-            at: at.clone(),
-            what,
+        let wrong = |what: String| ConfigError {
+            location: at.clone(),
+            message: what,
         };
         if count > first.len() {
             let names = first.join(", ");
@@ -78,7 +78,7 @@
                 return Err(wrong(format!("{function}: {name} is given twice")));
             }
         }
-        Ok(Args {
+        Ok(Arguments {
             function,
             at,
             named,
@@ -87,17 +87,17 @@
     }
 
     /// A value that `part`, `kept` or their like made.
-    pub fn made(value: &Json, first: &[&'static str]) -> Option<Result<Self, Wrong>> {
+    pub fn made(value: &Json, first: &[&'static str]) -> Option<Result<Self, ConfigError>> {
         let function = value.get(MADE)?.as_str()?.to_string();
         let at = value.get(AT)?;
-        let at = Place {
+        let at = SourceLocation {
             file: at.get(0)?.as_str()?.to_string(),
             line: at.get(1)?.as_u64()? as usize,
         };
         let args = value.get("args")?.as_array()?.clone();
         let named = value.get("named")?.as_object()?.clone();
-        Some(Args::new(
-            Declared {
+        Some(Arguments::new(
+            Declaration {
                 function,
                 at,
                 args,
@@ -107,14 +107,14 @@
         ))
     }
 
-    pub fn wrong(&self, what: impl Into<String>) -> Wrong {
-        Wrong {
-            at: self.at.clone(),
-            what: format!("{}: {}", self.function, what.into()),
+    pub fn wrong(&self, what: impl Into<String>) -> ConfigError {
+        ConfigError {
+            location: self.at.clone(),
+            message: format!("{}: {}", self.function, what.into()),
         }
     }
 
-    pub fn expected(&self, name: &str, value: &Json, what: &str) -> Wrong {
+    pub fn expected(&self, name: &str, value: &Json, what: &str) -> ConfigError {
         self.wrong(format!("{name} = {}: expected {what}", shown(value)))
     }
 
@@ -131,7 +131,7 @@
         what: &str,
         default: Option<T>,
         read: impl Fn(&Json) -> Option<T>,
-    ) -> Result<T, Wrong> {
+    ) -> Result<T, ConfigError> {
         match (self.maybe(name), default) {
             (Some(value), _) => read(&value).ok_or_else(|| self.expected(name, &value, what)),
             (None, Some(default)) => Ok(default),
@@ -140,7 +140,11 @@
     }
 
     /// A name: letters, digits, dashes, dots and underscores.
-    pub fn name(&mut self, name: &'static str, default: Option<&str>) -> Result<String, Wrong> {
+    pub fn name(
+        &mut self,
+        name: &'static str,
+        default: Option<&str>,
+    ) -> Result<String, ConfigError> {
         let what = "a name of at most 64 letters, digits, dashes, dots and underscores";
         let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         let plain = |text: &&str| !text.is_empty() && text.len() <= 64 && text.chars().all(fits);
@@ -150,7 +154,7 @@
         })
     }
 
-    pub fn flag(&mut self, name: &'static str, default: bool) -> Result<bool, Wrong> {
+    pub fn flag(&mut self, name: &'static str, default: bool) -> Result<bool, ConfigError> {
         self.read(name, "True or False", Some(default), Json::as_bool)
     }
 
@@ -160,7 +164,7 @@
         least: f64,
         most: f64,
         default: Option<f64>,
-    ) -> Result<f64, Wrong> {
+    ) -> Result<f64, ConfigError> {
         let what = format!("a number from {least} to {most}");
         self.read(name, &what, default, |value| {
             value.as_f64().filter(|n| (least..=most).contains(n))
@@ -173,14 +177,18 @@
         least: u64,
         most: u64,
         default: Option<u64>,
-    ) -> Result<u64, Wrong> {
+    ) -> Result<u64, ConfigError> {
         let what = format!("a whole number from {least} to {most}");
         self.read(name, &what, default, |value| {
             value.as_u64().filter(|n| (least..=most).contains(n))
         })
     }
 
-    pub fn duration(&mut self, name: &'static str, default: Option<Time>) -> Result<Time, Wrong> {
+    pub fn duration(
+        &mut self,
+        name: &'static str,
+        default: Option<Time>,
+    ) -> Result<Time, ConfigError> {
         let what = "a time over 0 such as \"300ms\", \"1.8s\" or \"2m\"";
         self.read(name, what, default, |value| {
             value.as_str().and_then(duration).filter(|t| *t > Time(0))
@@ -192,7 +200,7 @@
         name: &'static str,
         known: &[&str],
         default: Option<&str>,
-    ) -> Result<String, Wrong> {
+    ) -> Result<String, ConfigError> {
         let given = self
             .named
             .get(name)
@@ -209,14 +217,14 @@
         })
     }
 
-    pub fn list(&mut self, name: &'static str, what: &str) -> Result<Vec<Json>, Wrong> {
+    pub fn list(&mut self, name: &'static str, what: &str) -> Result<Vec<Json>, ConfigError> {
         self.read(name, what, Some(Vec::new()), |value| {
             value.as_array().cloned()
         })
     }
 
     /// Nothing is left that was not asked for.
-    pub fn finish(self) -> Result<(), Wrong> {
+    pub fn finish(self) -> Result<(), ConfigError> {
         let Some(name) = self.named.keys().next() else {
             return Ok(());
         };
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,11 +1,11 @@
 //! The operator's file as values: what a Starlark script declared (`cottondyke-script` evaluates it) becomes typed,
 //! and is held against itself and the handlers. Every error names file, line and value, and what was expected.
-mod args;
-mod check;
-mod typed;
+mod arguments;
+mod model;
+mod validate;
 
-pub use check::{budget_of, rate_of, Known};
-pub use typed::*;
+pub use model::*;
+pub use validate::{budget_of, rate_of, HandlerSpec};
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -13,7 +13,7 @@
 
 /// A place in a script.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct SourceLocation {
     pub file: String,
     /// From 1; 0 where no line can be told.
     pub line: usize,
@@ -21,21 +21,21 @@
 
 /// What is wrong with a file, on one line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wrong {
-    pub at: Place,
-    pub what: String,
+pub struct ConfigError {
+    pub location: SourceLocation,
+    pub message: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ConfigError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.at.line {
-            0 => write!(to, "{}: {}", self.at.file, self.what),
-            line => write!(to, "{}:{}: {}", self.at.file, line, self.what),
+        match self.location.line {
+            0 => write!(to, "{}: {}", self.location.file, self.message),
+            line => write!(to, "{}:{}: {}", self.location.file, line, self.message),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for ConfigError {}
 
 /// Marks what `part`, `kept` and their like return: which function made it, and where.
 pub const MADE: &str = "#made";
@@ -43,9 +43,9 @@
 
 /// One declaration: which function was called, where, and with what.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Declared {
+pub struct Declaration {
     pub function: String,
-    pub at: Place,
+    pub at: SourceLocation,
     pub args: Vec<Value>,
     pub named: Map<String, Value>,
 }
--- a/crates/operator-config/src/typed.rs
+++ b/crates/operator-config/src/model.rs
@@ -1,23 +1,23 @@
 //! The values that a script's declarations stand for. Spans are in tenths of a millisecond, as everywhere in the
 //! project; each value carries the place where it was declared.
-use crate::args::{shown, Args};
-use crate::{Declared, Place, Wrong, MADE};
+use crate::arguments::{shown, Arguments};
+use crate::{ConfigError, Declaration, SourceLocation, MADE};
 use cottondyke_types::{Idempotency, Time};
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 
 const MS: i64 = 10;
-pub const MOST_DEPENDENCIES: usize = 64;
-pub const MOST_PARTS: usize = 32;
-pub const MOST_FALLBACKS: usize = 8;
+pub const MAX_DEPENDENCIES: usize = 64;
+pub const MAX_PARTS: usize = 32;
+pub const MAX_FALLBACKS: usize = 8;
 /// Bytes of one fixed value.
-pub const MOST_FIXED: usize = 65_536;
+pub const MAX_FIXED: usize = 65_536;
 
 /// How the program serves without a configuration of the platform's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Serve {
-    pub at: Place,
+    pub at: SourceLocation,
     pub name: String,
     pub listen: SocketAddr,
     /// Reqs that run beside each other, at the most.
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handler {
-    pub at: Place,
+    pub at: SourceLocation,
     pub name: String,
     pub effect: Effect,
     pub response_target: i64,
@@ -64,8 +64,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Customer {
-    pub at: Place,
+pub struct Tenant {
+    pub at: SourceLocation,
     pub name: String,
     /// Reqs a second inside its share, over the fleet.
     pub per_second: f64,
@@ -74,7 +74,7 @@
 /// The other instances of the fleet, and this one among them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Peers {
-    pub at: Place,
+    pub at: SourceLocation,
     pub name: String,
     pub zone: String,
     pub listen: SocketAddr,
@@ -94,7 +94,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Dependency {
-    pub at: Place,
+    pub at: SourceLocation,
     pub name: String,
     pub addr: SocketAddr,
     pub path: String,
@@ -125,23 +125,23 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    pub at: Place,
+    pub at: SourceLocation,
     pub name: String,
     pub dependency: String,
     pub required: bool,
-    pub fallbacks: Vec<(Place, Fallback)>,
+    pub fallbacks: Vec<(SourceLocation, Fallback)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    pub at: Place,
+    pub at: SourceLocation,
     pub handler: String,
     pub parts: Vec<Part>,
 }
 
 /// What the operator's file says.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Operator {
+pub struct OperatorConfig {
     pub file: String,
     pub serve: Option<Serve>,
     pub peers: Option<Peers>,
@@ -150,16 +150,16 @@
     /// Megabytes for kept answers.
     pub kept_mb: f64,
     /// Where `fleet` stands.
-    pub fleet: Place,
+    pub fleet: SourceLocation,
     pub handlers: Vec<Handler>,
-    pub customers: Vec<Customer>,
+    pub tenants: Vec<Tenant>,
     pub dependencies: Vec<Dependency>,
-    pub pages: Vec<Page>,
+    pub aggregations: Vec<Page>,
     /// Defences that are switched off, for trials.
-    pub off: Vec<String>,
+    pub disabled_safeguards: Vec<String>,
 }
 
-pub const DEFENCES: [&str; 13] = [
+pub const SAFEGUARDS: [&str; 13] = [
     "budget",
     "limit",
     "adapt",
@@ -177,12 +177,12 @@
 /// Keepers of a registry: a majority of them must be there.
 const KEEPERS: [usize; 3] = [1, 3, 5];
 
-fn address(args: &mut Args, name: &'static str) -> Result<SocketAddr, Wrong> {
+fn address(args: &mut Arguments, name: &'static str) -> Result<SocketAddr, ConfigError> {
     const WHAT: &str = "an IP address with a port such as \"127.0.0.1:8080\"";
     args.read(name, WHAT, None, |value| value.as_str()?.parse().ok())
 }
 
-fn serve(mut args: Args) -> Result<Serve, Wrong> {
+fn serve(mut args: Arguments) -> Result<Serve, ConfigError> {
     let serve = Serve {
         name: args.name("name", Some("cottondyke"))?,
         listen: address(&mut args, "listen")?,
@@ -197,7 +197,7 @@
     args.finish().map(|()| serve)
 }
 
-fn peers(mut args: Args) -> Result<Peers, Wrong> {
+fn peers(mut args: Arguments) -> Result<Peers, ConfigError> {
     const KEPT: &str = "1, 3 or 5 names with an address each such as {\"a\": \"10.0.0.1:7100\"}";
     let fits = |name: &str| {
         !name.is_empty() && name.len() <= 64 && name.chars().all(|c| c.is_ascii_graphic())
@@ -247,7 +247,7 @@
     args.finish().map(|()| peers)
 }
 
-fn handler(mut args: Args) -> Result<Handler, Wrong> {
+fn handler(mut args: Arguments) -> Result<Handler, ConfigError> {
     let name = args.name("name", None)?;
     let kinds = ["replayable", "uniqued", "non-replayable"];
     let effect = match args.one_of("effect", &kinds, None)?.as_str() {
@@ -277,18 +277,18 @@
     args.finish().map(|()| handler)
 }
 
-fn customer(mut args: Args) -> Result<Customer, Wrong> {
+fn customer(mut args: Arguments) -> Result<Tenant, ConfigError> {
     let name = args.name("name", None)?;
     let per_second = args.number("per_second", 0.0, 1e9, None)?;
     let at = args.at.clone();
-    args.finish().map(|()| Customer {
+    args.finish().map(|()| Tenant {
         at,
         name,
         per_second,
     })
 }
 
-fn dependency(mut args: Args) -> Result<Dependency, Wrong> {
+fn dependency(mut args: Arguments) -> Result<Dependency, ConfigError> {
     let name = args.name("name", None)?;
     let addr = address(&mut args, "addr")?;
     const PATH: &str = "a path that starts with a slash, of printable ASCII without spaces";
@@ -345,7 +345,7 @@
     args.finish().map(|()| dependency)
 }
 
-fn fallback(whose: &Args, value: &Json) -> Result<(Place, Fallback), Wrong> {
+fn fallback(whose: &Arguments, value: &Json) -> Result<(SourceLocation, Fallback), ConfigError> {
     let what = "kept(age), other(dependency), fixed(value) or leave_out()";
     let first: &[&'static str] = match value.get(MADE).and_then(Json::as_str) {
         Some("kept") => &["most"],
@@ -354,7 +354,8 @@
         Some("part") => &["name"],
         _ => &[],
     };
-    let made = Args::made(value, first).ok_or_else(|| whose.expected("fallbacks", value, what))?;
+    let made =
+        Arguments::made(value, first).ok_or_else(|| whose.expected("fallbacks", value, what))?;
     let mut args = made?;
     let fallback = match args.function.as_str() {
         "kept" => Fallback::Kept(args.duration("most", None)?.0),
@@ -362,11 +363,11 @@
         "fixed" => {
             let value = args.read("value", "any value", None, |value| Some(value.clone()))?;
             let size = value.to_string().len();
-            if size > MOST_FIXED {
+            if size > MAX_FIXED {
                 return Err(args.expected(
                     "value",
                     &Json::from(size),
-                    &format!("at most {MOST_FIXED} bytes"),
+                    &format!("at most {MAX_FIXED} bytes"),
                 ));
             }
             Fallback::Fixed(value)
@@ -378,19 +379,19 @@
     args.finish().map(|()| (at, fallback))
 }
 
-fn part(page: &Args, value: &Json) -> Result<Part, Wrong> {
+fn part(page: &Arguments, value: &Json) -> Result<Part, ConfigError> {
     let made = value.get(MADE).and_then(Json::as_str);
     let made = made
         .filter(|function| *function == "part")
-        .and_then(|_| Args::made(value, &["name"]));
+        .and_then(|_| Arguments::made(value, &["name"]));
     let mut args = made.ok_or_else(|| page.expected("parts", value, "part(name, ...)"))??;
     let name = args.name("name", None)?;
     let dependency = args.name("dependency", Some(&name))?;
     let required = args.flag("required", false)?;
     let list = args.list("fallbacks", "a list")?;
-    if list.len() > MOST_FALLBACKS {
+    if list.len() > MAX_FALLBACKS {
         return Err(args.wrong(format!(
-            "{} fall-backs: expected at most {MOST_FALLBACKS}",
+            "{} fall-backs: expected at most {MAX_FALLBACKS}",
             list.len()
         )));
     }
@@ -408,12 +409,12 @@
     })
 }
 
-fn page(mut args: Args) -> Result<Page, Wrong> {
+fn page(mut args: Arguments) -> Result<Page, ConfigError> {
     let handler = args.name("handler", None)?;
     let list = args.list("parts", "a list of part(name, ...)")?;
-    if list.is_empty() || list.len() > MOST_PARTS {
+    if list.is_empty() || list.len() > MAX_PARTS {
         return Err(args.wrong(format!(
-            "parts holds {}: expected 1 to {MOST_PARTS}",
+            "parts holds {}: expected 1 to {MAX_PARTS}",
             list.len()
         )));
     }
@@ -435,11 +436,11 @@
 }
 
 /// Types what a script declared.
-pub fn operator(file: &str, declared: Vec<Declared>) -> Result<Operator, Wrong> {
-    let mut all = Operator {
+pub fn operator(file: &str, declared: Vec<Declaration>) -> Result<OperatorConfig, ConfigError> {
+    let mut all = OperatorConfig {
         file: file.to_string(),
         kept_mb: 4.0,
-        ..Operator::default()
+        ..OperatorConfig::default()
     };
     let mut fleet = false;
     for one in declared {
@@ -449,7 +450,7 @@
             _ => &[],
         };
         let function = one.function.clone();
-        let mut args = Args::new(one, first)?;
+        let mut args = Arguments::new(one, first)?;
         match function.as_str() {
             "serve" if all.serve.is_some() => {
                 return Err(args.wrong("declared twice: expected once"))
@@ -474,20 +475,21 @@
                 args.finish()?;
             }
             "handler" => all.handlers.push(handler(args)?),
-            "customer" => all.customers.push(customer(args)?),
+            "customer" => all.tenants.push(customer(args)?),
             "dependency" => all.dependencies.push(dependency(args)?),
-            "page" => all.pages.push(page(args)?),
+            "page" => all.aggregations.push(page(args)?),
             "defences" => {
                 for value in args.list("off", "a list of names")? {
-                    let name = value.as_str().filter(|name| DEFENCES.contains(name));
-                    let near = crate::args::nearest(
+                    let name = value.as_str().filter(|name| SAFEGUARDS.contains(name));
+                    let near = crate::arguments::nearest(
                         value.as_str().unwrap_or_default(),
-                        DEFENCES.into_iter(),
+                        SAFEGUARDS.into_iter(),
                     );
-                    let what = format!("any of {}{near}", DEFENCES.join(", "));
+                    let what = format!("any of {}{near}", SAFEGUARDS.join(", "));
                     let wrong =
                         || args.wrong(format!("off holds {}: expected {what}", shown(&value)));
-                    all.off.push(name.ok_or_else(wrong)?.to_string());
+                    all.disabled_safeguards
+                        .push(name.ok_or_else(wrong)?.to_string());
                 }
                 args.finish()?;
             }
--- a/crates/operator-config/src/check.rs
+++ b/crates/operator-config/src/validate.rs
@@ -1,14 +1,14 @@
 //! Holds what a script declares against itself and against the handlers that there are, and makes the plan of it.
-use crate::args::nearest;
-use crate::typed::*;
-use crate::{Place, Wrong};
+use crate::arguments::nearest;
+use crate::model::*;
+use crate::{ConfigError, SourceLocation};
 use cottondyke_dependency::{self as depend, RESERVE};
 use cottondyke_types::Time;
 use std::rc::Rc;
 
 /// A handler as the check needs it, from the configuration or from the script itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct HandlerSpec {
     pub name: String,
     pub response_target: Time,
 }
@@ -23,16 +23,19 @@
     format!("dependency/{dependency}")
 }
 
-fn wrong<T>(at: &Place, what: String) -> Result<T, Wrong> {
-    Err(Wrong {
-        at: at.clone(),
-        what,
+fn wrong<T>(at: &SourceLocation, what: String) -> Result<T, ConfigError> {
+    Err(ConfigError {
+        location: at.clone(),
+        message: what,
     })
 }
 
 /// Two of one name: the second is wrong.
-fn once<'a>(of: &str, all: impl Iterator<Item = (&'a str, &'a Place)>) -> Result<(), Wrong> {
-    let mut seen: Vec<(&str, &Place)> = Vec::new();
+fn once<'a>(
+    of: &str,
+    all: impl Iterator<Item = (&'a str, &'a SourceLocation)>,
+) -> Result<(), ConfigError> {
+    let mut seen: Vec<(&str, &SourceLocation)> = Vec::new();
     for (name, at) in all {
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == name) {
             return wrong(
@@ -48,25 +51,25 @@
     Ok(())
 }
 
-impl Operator {
+impl OperatorConfig {
     /// The handlers that the script itself declares.
-    pub fn own_handlers(&self) -> Vec<Known> {
-        let known = |h: &Handler| Known {
+    pub fn own_handlers(&self) -> Vec<HandlerSpec> {
+        let known = |h: &Handler| HandlerSpec {
             name: h.name.clone(),
             response_target: Time(h.response_target),
         };
         self.handlers.iter().map(known).collect()
     }
 
-    pub fn defences(&self) -> depend::Defences {
-        let on = |name: &str| !self.off.iter().any(|off| off == name);
-        depend::Defences {
-            budget: on("budget"),
+    pub fn safeguards(&self) -> depend::Safeguards {
+        let on = |name: &str| !self.disabled_safeguards.iter().any(|off| off == name);
+        depend::Safeguards {
+            time_budget: on("budget"),
             limit: on("limit"),
             adapt: on("adapt") && on("limit"),
             breaker: on("breaker"),
             hedge: on("hedge"),
-            kept: on("kept"),
+            stale_cache: on("kept"),
             fallback: on("fallback"),
             restart: on("restart"),
         }
@@ -81,8 +84,8 @@
     }
 
     /// Defences of what the fleet shares.
-    pub fn keeps(&self, defence: &str) -> bool {
-        !self.off.iter().any(|off| off == defence)
+    pub fn has_safeguard(&self, defence: &str) -> bool {
+        !self.disabled_safeguards.iter().any(|off| off == defence)
     }
 
     /// How long a call may hold its place at a dependency from when it is sent: as long as it is waited for, half as
@@ -92,7 +95,7 @@
     }
 
     /// What each member may be lent: name of the budget, units, and how long one is in use after its share ended.
-    pub fn wholes(&self) -> Vec<(String, u32, Time)> {
+    pub fn shared_budgets(&self) -> Vec<(String, u32, Time)> {
         let of = |d: &Dependency| (budget_of(&d.name), d.ceiling as u32, self.longest_call(d));
         let shared = || self.dependencies.iter().filter(|d| !d.own);
         let rate = |d: &Dependency| Some((rate_of(&d.name), d.rate? as u32, depend::RATE_WINDOW));
@@ -101,7 +104,7 @@
 
     /// The most of a dependency's ceiling that this instance may use: its fixed part, over which the sum never passes
     /// the ceiling, or all of it where what it may use is lent.
-    pub fn share(&self, dependency: &Dependency) -> u64 {
+    pub fn max_calls(&self, dependency: &Dependency) -> u64 {
         if self.peers.is_some() || dependency.own {
             return dependency.ceiling;
         }
@@ -109,7 +112,7 @@
     }
 
     /// Finds what cannot be obeyed: names that are not there, budgets that cannot fit, shares of nothing.
-    pub fn check(&self, handlers: &[Known]) -> Result<(), Wrong> {
+    pub fn validate(&self, handlers: &[HandlerSpec]) -> Result<(), ConfigError> {
         once(
             "handler",
             self.handlers.iter().map(|h| (h.name.as_str(), &h.at)),
@@ -120,7 +123,7 @@
                  expected one of the two", peers.at.line
             ));
         }
-        if let (Some(_), Some(customer)) = (&self.peers, self.customers.first()) {
+        if let (Some(_), Some(customer)) = (&self.peers, self.tenants.first()) {
             return wrong(&customer.at, format!(
                 "customer {:?} beside peers(...): its rate over the fleet cannot be divided yet: expected fleet(instances = N) \
                  in place of peers", customer.name
@@ -128,7 +131,7 @@
         }
         once(
             "customer",
-            self.customers.iter().map(|c| (c.name.as_str(), &c.at)),
+            self.tenants.iter().map(|c| (c.name.as_str(), &c.at)),
         )?;
         once(
             "dependency",
@@ -136,16 +139,18 @@
         )?;
         once(
             "the page of handler",
-            self.pages.iter().map(|p| (p.handler.as_str(), &p.at)),
+            self.aggregations
+                .iter()
+                .map(|p| (p.handler.as_str(), &p.at)),
         )?;
-        if self.dependencies.len() > MOST_DEPENDENCIES {
-            let at = &self.dependencies[MOST_DEPENDENCIES].at;
-            return wrong(at, format!("more dependencies than {MOST_DEPENDENCIES}"));
+        if self.dependencies.len() > MAX_DEPENDENCIES {
+            let at = &self.dependencies[MAX_DEPENDENCIES].at;
+            return wrong(at, format!("more dependencies than {MAX_DEPENDENCIES}"));
         }
         for dependency in &self.dependencies {
             self.check_dependency(dependency)?;
         }
-        for page in &self.pages {
+        for page in &self.aggregations {
             let names = || handlers.iter().map(|h| h.name.as_str());
             let Some(handler) = handlers.iter().find(|h| h.name == page.handler) else {
                 let near = nearest(&page.handler, names());
@@ -169,8 +174,8 @@
     }
 
     /// With the script alone, nothing but pages can run its handlers.
-    pub fn check_alone(&self) -> Result<(), Wrong> {
-        let file = Place {
+    pub fn validate_standalone(&self) -> Result<(), ConfigError> {
+        let file = SourceLocation {
             file: self.file.clone(),
             line: 0,
         };
@@ -187,11 +192,11 @@
                 "no handler(...) is declared: expected at least one".into(),
             );
         }
-        self.check(&self.own_handlers())?;
+        self.validate(&self.own_handlers())?;
         let unserved = self
             .handlers
             .iter()
-            .find(|h| !self.pages.iter().any(|p| p.handler == h.name));
+            .find(|h| !self.aggregations.iter().any(|p| p.handler == h.name));
         unserved.map_or(Ok(()), |handler| {
             let what = format!(
                 "handler {:?} has no page: nothing would run its reqs; expected page({:?}, ...)",
@@ -201,7 +206,7 @@
         })
     }
 
-    fn check_dependency(&self, dependency: &Dependency) -> Result<(), Wrong> {
+    fn check_dependency(&self, dependency: &Dependency) -> Result<(), ConfigError> {
         let alone = dependency.own || self.peers.is_some();
         let Some(instances) = self.instances.or(alone.then_some(1)) else {
             return wrong(&dependency.at, format!(
@@ -209,7 +214,7 @@
                 dependency.name, dependency.ceiling
             ));
         };
-        let share = self.share(dependency);
+        let share = self.max_calls(dependency);
         if share == 0 {
             return wrong(&dependency.at, format!(
                 "dependency {:?}: ceiling = {} leaves nothing for each of {instances} instances: expected at least \
@@ -235,15 +240,15 @@
         Ok(())
     }
 
-    fn check_page(&self, page: &Page, handler: &Known) -> Result<(), Wrong> {
+    fn check_page(&self, page: &Page, handler: &HandlerSpec) -> Result<(), ConfigError> {
         let names = || self.dependencies.iter().map(|d| d.name.as_str());
-        let known = |at: &Place, name: &str| {
+        let known = |at: &SourceLocation, name: &str| {
             self.dependencies
                 .iter()
                 .find(|d| d.name == name)
-                .ok_or_else(|| Wrong {
-                    at: at.clone(),
-                    what: format!(
+                .ok_or_else(|| ConfigError {
+                    location: at.clone(),
+                    message: format!(
                         "dependency {name:?} is not declared{}",
                         nearest(name, names())
                     ),
@@ -308,7 +313,7 @@
     }
 
     /// The plan of a script that was checked; `handlers` in their order. With it, the page of each handler.
-    pub fn plan(&self, handlers: &[Known]) -> (depend::Plan, Vec<Option<usize>>) {
+    pub fn plan(&self, handlers: &[HandlerSpec]) -> (depend::Plan, Vec<Option<usize>>) {
         let place = |name: &str| {
             self.dependencies
                 .iter()
@@ -316,40 +321,40 @@
                 .unwrap_or_default()
         };
         let dependencies = self.dependencies.iter().map(|d| {
-            let share = self.share(d).max(1) as usize;
+            let share = self.max_calls(d).max(1) as usize;
             Rc::new(depend::Dependency {
                 name: d.name.as_str().into(),
                 addr: d.addr,
                 path: d.path.as_str().into(),
                 json: d.json,
-                budget: Time(d.budget),
-                share,
-                lent: None,
-                rate: d.rate.map(|rate| match self.instances {
+                time_budget: Time(d.budget),
+                max_calls: share,
+                leased_calls: None,
+                max_rate: d.rate.map(|rate| match self.instances {
                     Some(instances) if !d.own => (rate / instances) as usize,
                     _ => rate as usize,
                 }),
-                lent_rate: None,
-                floor: (d.floor as usize).min(share),
-                linger: Time(d.linger),
-                waiting: d.waiting.map_or(share, |n| n as usize),
-                retries: d.retries,
-                hedge: d.hedge,
+                leased_rate: None,
+                min_limit: (d.floor as usize).min(share),
+                post_cancel_grace: Time(d.linger),
+                max_waiting: d.waiting.map_or(share, |n| n as usize),
+                retry_ratio: d.retries,
+                hedge_quantile: d.hedge,
             })
         });
         let fallback = |f: &Fallback, json: bool| match f {
-            Fallback::Kept(most) => depend::Fallback::Kept(Time(*most)),
-            Fallback::Other(name) => depend::Fallback::Other(place(name)),
+            Fallback::Kept(most) => depend::Fallback::Cached(Time(*most)),
+            Fallback::Other(name) => depend::Fallback::Secondary(place(name)),
             Fallback::Fixed(value) => {
                 let text = value
                     .as_str()
                     .filter(|_| !json)
                     .map_or_else(|| value.to_string(), String::from);
-                depend::Fallback::Fixed(text.into_bytes().into())
+                depend::Fallback::Default(text.into_bytes().into())
             }
-            Fallback::LeaveOut => depend::Fallback::LeaveOut,
+            Fallback::LeaveOut => depend::Fallback::Omit,
         };
-        let part = |p: &Part| depend::Part {
+        let part = |p: &Part| depend::PartSpec {
             name: p.name.as_str().into(),
             dependency: place(&p.dependency),
             required: p.required,
@@ -361,21 +366,21 @@
                 p.fallbacks.iter().map(|(_, f)| fallback(f, json)).collect()
             },
         };
-        let pages = self.pages.iter().map(|p| depend::Page {
+        let pages = self.aggregations.iter().map(|p| depend::Aggregation {
             parts: p.parts.iter().map(part).collect(),
         });
         let plan = depend::Plan {
             dependencies: dependencies.collect(),
-            pages: pages.collect(),
-            kept_bytes: (self.kept_mb * (1 << 20) as f64) as usize,
-            defences: self.defences(),
+            aggregations: pages.collect(),
+            stale_cache_bytes: (self.kept_mb * (1 << 20) as f64) as usize,
+            safeguards: self.safeguards(),
         };
-        let of = |h: &Known| self.pages.iter().position(|p| p.handler == h.name);
+        let of = |h: &HandlerSpec| self.aggregations.iter().position(|p| p.handler == h.name);
         (plan, handlers.iter().map(of).collect())
     }
 
     /// What is in force, for people: each page's parts, their budgets and fall-backs, and the longest answer time.
-    pub fn summary(&self, handlers: &[Known]) -> String {
+    pub fn summary(&self, handlers: &[HandlerSpec]) -> String {
         let mut text = String::new();
         let mut line = |words: String| text += &(words + "\n");
         if let Some(peers) = &self.peers {
@@ -405,10 +410,10 @@
             line(format!(
                 "dependency {}: {} {}, budget {}, {} to {} calls here of {} {}, {} may wait, extra calls at most \
                  {} of first ones, {hedge}",
-                d.name, d.addr, d.path, in_words(Time(d.budget)), d.floor, spec.share, d.ceiling, if d.own { "from each instance" } else { "in all" }, spec.waiting, d.retries
+                d.name, d.addr, d.path, in_words(Time(d.budget)), d.floor, spec.max_calls, d.ceiling, if d.own { "from each instance" } else { "in all" }, spec.max_waiting, d.retries
             ));
         }
-        for (page, planned) in self.pages.iter().zip(&plan.pages) {
+        for (page, planned) in self.aggregations.iter().zip(&plan.aggregations) {
             let target = handlers
                 .iter()
                 .find(|h| h.name == page.handler)
@@ -450,8 +455,11 @@
                 ));
             }
         }
-        if !self.off.is_empty() {
-            line(format!("switched off: {}", self.off.join(", ")));
+        if !self.disabled_safeguards.is_empty() {
+            line(format!(
+                "switched off: {}",
+                self.disabled_safeguards.join(", ")
+            ));
         }
         text
     }
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs a script within bounds of steps, depth, heap and files, and records what it declares. Nothing is opened but
 //! the script and what it loads from its folder. The heap is only looked at now and then, and no interpreter bounds
 //! one allocation: the program beside this library runs it under the system's limits.
-use cottondyke_operator_config::{Declared, Place, Wrong, AT, MADE};
+use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation, AT, MADE};
 use serde_json::{json, Value as Json};
 use starlark::collections::SmallMap;
 use starlark::environment::{FrozenModule, Globals, GlobalsBuilder, LibraryExtension, Module};
@@ -16,24 +16,24 @@
 use std::path::{Component, Path, PathBuf};
 
 /// Function calls and turns of loops, over all files.
-pub const MOST_TICKS: u64 = 200_000;
+pub const MAX_TICKS: u64 = 200_000;
 /// Calls within calls.
 pub const DEEPEST: usize = 60;
 /// Bytes of the script's heap, for each file.
-pub const MOST_HEAP: usize = 16 << 20;
+pub const MAX_HEAP: usize = 16 << 20;
 /// Bytes of one file, files loaded, and loads within loads.
-pub const MOST_TEXT: u64 = 256 << 10;
-pub const MOST_FILES: usize = 32;
+pub const MAX_TEXT: u64 = 256 << 10;
+pub const MAX_FILES: usize = 32;
 pub const DEEPEST_LOAD: usize = 8;
 /// Declarations of any kind.
-pub const MOST_DECLARED: usize = 4_096;
+pub const MAX_DECLARED: usize = 4_096;
 
 /// What was declared so far, each as JSON: the interpreter hands on only types that it knows.
 type Store = RefCell<Vec<String>>;
 
-fn place(eval: &Evaluator) -> Place {
+fn place(eval: &Evaluator) -> SourceLocation {
     eval.call_stack_top_location()
-        .map_or(Place::default(), |span| Place {
+        .map_or(SourceLocation::default(), |span| SourceLocation {
             file: span.filename().to_string(),
             line: span.resolve_span().begin.line + 1,
         })
@@ -44,7 +44,7 @@
     eval: &Evaluator<'v, '_, '_>,
     args: UnpackTuple<Value<'v>>,
     named: SmallMap<String, Value<'v>>,
-) -> anyhow::Result<Declared> {
+) -> anyhow::Result<Declaration> {
     let typed = |what: &str, value: Value<'v>| {
         value.to_json_value().map_err(|_| {
             anyhow::anyhow!(
@@ -61,7 +61,7 @@
     let named = named
         .into_iter()
         .map(|(name, v)| Ok((name.clone(), typed(&name, v)?)));
-    Ok(Declared {
+    Ok(Declaration {
         function: function.to_string(),
         at: place(eval),
         args,
@@ -87,8 +87,8 @@
     let mut all = store
         .ok_or_else(|| anyhow::anyhow!("{function} cannot be called here"))?
         .borrow_mut();
-    if all.len() >= MOST_DECLARED {
-        anyhow::bail!("{function}: more than {MOST_DECLARED} declarations");
+    if all.len() >= MAX_DECLARED {
+        anyhow::bail!("{function}: more than {MAX_DECLARED} declarations");
     }
     all.push(serde_json::to_string(&declared)?);
     Ok(name)
@@ -257,9 +257,9 @@
                 "load({path:?}): the files load each other in a circle"
             )));
         }
-        if self.loading.borrow().len() >= DEEPEST_LOAD || self.loaded.borrow().len() >= MOST_FILES {
+        if self.loading.borrow().len() >= DEEPEST_LOAD || self.loaded.borrow().len() >= MAX_FILES {
             return Err(other(format!(
-                "load({path:?}): expected at most {MOST_FILES} files, {DEEPEST_LOAD} deep"
+                "load({path:?}): expected at most {MAX_FILES} files, {DEEPEST_LOAD} deep"
             )));
         }
         self.loading.borrow_mut().push(full.clone());
@@ -277,9 +277,9 @@
         let size = std::fs::metadata(path)
             .map_err(|e| other(format!("{shown}: {e}")))?
             .len();
-        if size > MOST_TEXT {
+        if size > MAX_TEXT {
             return Err(other(format!(
-                "{shown}: {size} bytes, expected at most {MOST_TEXT}"
+                "{shown}: {size} bytes, expected at most {MAX_TEXT}"
             )));
         }
         let text = std::fs::read_to_string(path).map_err(|e| other(format!("{shown}: {e}")))?;
@@ -291,10 +291,10 @@
         let ast = AstModule::parse(&shown, text, &dialect)?;
         Module::with_temp_heap(|module| {
             let mut eval = Evaluator::new(&module);
-            let ticks = MOST_TICKS.saturating_sub(self.ticks.get()).max(1);
+            let ticks = MAX_TICKS.saturating_sub(self.ticks.get()).max(1);
             eval.set_max_tick_count(ticks)
                 .map_err(starlark::Error::new_other)?;
-            eval.set_max_heap_size(MOST_HEAP)
+            eval.set_max_heap_size(MAX_HEAP)
                 .map_err(starlark::Error::new_other)?;
             eval.set_max_callstack_size(DEEPEST)
                 .map_err(starlark::Error::new_other)?;
@@ -307,9 +307,9 @@
                 eval.heap().peak_allocated_bytes(),
             );
             self.ticks.set(self.ticks.get() + ticks);
-            if self.ticks.get() > MOST_TICKS || heap > MOST_HEAP {
+            if self.ticks.get() > MAX_TICKS || heap > MAX_HEAP {
                 return Err(other(format!(
-                    "{shown}: expected at most {MOST_TICKS} steps and {MOST_HEAP} bytes"
+                    "{shown}: expected at most {MAX_TICKS} steps and {MAX_HEAP} bytes"
                 )));
             }
             drop(eval);
@@ -322,8 +322,8 @@
 }
 
 /// What an error of the interpreter says, on one line: of its text what stands before its drawing of the source.
-fn wrong(path: &str, error: &starlark::Error) -> Wrong {
-    let at = error.span().map(|span| Place {
+fn wrong(path: &str, error: &starlark::Error) -> ConfigError {
+    let at = error.span().map(|span| SourceLocation {
         file: span.filename().to_string(),
         line: span.resolve_span().begin.line + 1,
     });
@@ -335,27 +335,27 @@
         .collect();
     let what = lines.join("; ");
     let what = what.chars().filter(|c| !c.is_control()).take(400).collect();
-    Wrong {
-        at: at.unwrap_or(Place {
+    ConfigError {
+        location: at.unwrap_or(SourceLocation {
             file: path.to_string(),
             line: 0,
         }),
-        what,
+        message: what,
     }
 }
 
-fn wrong_text(path: &str, what: &str) -> Wrong {
-    Wrong {
-        at: Place {
+fn wrong_text(path: &str, what: &str) -> ConfigError {
+    ConfigError {
+        location: SourceLocation {
             file: path.to_string(),
             line: 0,
         },
-        what: what.to_string(),
+        message: what.to_string(),
     }
 }
 
 /// What the script at `path` declares, in its order.
-pub fn run(path: &Path) -> Result<Vec<Declared>, Wrong> {
+pub fn run(path: &Path) -> Result<Vec<Declaration>, ConfigError> {
     let shown = path.display().to_string();
     let globals = GlobalsBuilder::extended_by(&[LibraryExtension::Json])
         .with(declarations)
@@ -365,12 +365,12 @@
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let unread = |e: std::io::Error| Wrong {
-        at: Place {
+    let unread = |e: std::io::Error| ConfigError {
+        location: SourceLocation {
             file: shown.clone(),
             line: 0,
         },
-        what: format!("cannot be read: {e}"),
+        message: format!("cannot be read: {e}"),
     };
     let files = Files {
         folder: folder.canonicalize().map_err(unread)?,
--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -1,14 +1,14 @@
 //! `cottondyke-script FILE`: evaluates a script under the system's limits, and writes what it declares, typed, as
 //! JSON. The server calls it: neither the interpreter nor the typing takes memory there, and nothing that a script
 //! does reaches it.
-use cottondyke_operator_config::{operator, Operator, Wrong};
+use cottondyke_operator_config::{operator, ConfigError, OperatorConfig};
 use rustix::process::{setrlimit, Resource, Rlimit};
 use std::path::Path;
 use std::process::ExitCode;
 
 /// Bytes of address space, and seconds of a core.
-const MOST_MEMORY: u64 = 512 << 20;
-const MOST_CPU: u64 = 5;
+const MAX_MEMORY: u64 = 512 << 20;
+const MAX_CPU: u64 = 5;
 
 fn run(path: &str) -> Result<(), String> {
     let limit = |resource, most| {
@@ -20,11 +20,12 @@
             },
         )
     };
-    limit(Resource::As, MOST_MEMORY).map_err(|e| format!("cannot limit memory: {e}"))?;
-    limit(Resource::Cpu, MOST_CPU).map_err(|e| format!("cannot limit the time: {e}"))?;
+    limit(Resource::As, MAX_MEMORY).map_err(|e| format!("cannot limit memory: {e}"))?;
+    limit(Resource::Cpu, MAX_CPU).map_err(|e| format!("cannot limit the time: {e}"))?;
     limit(Resource::Core, 0).map_err(|e| format!("cannot limit the core file: {e}"))?;
     let declared = cottondyke_script::run(Path::new(path));
-    let result: Result<Operator, Wrong> = declared.and_then(|declared| operator(path, declared));
+    let result: Result<OperatorConfig, ConfigError> =
+        declared.and_then(|declared| operator(path, declared));
     serde_json::to_writer(std::io::stdout().lock(), &result).map_err(|e| e.to_string())
 }
 
--- a/crates/script/tests/golden_operator.rs
+++ b/crates/script/tests/golden_operator.rs
@@ -83,7 +83,7 @@
     std::fs::write(&path, text).unwrap();
     let file = path.display().to_string();
     let read = cottondyke_script::run(&path).and_then(|declared| operator(&file, declared));
-    let checked = read.and_then(|operator| operator.check_alone().map(|()| operator));
+    let checked = read.and_then(|operator| operator.validate_standalone().map(|()| operator));
     let told = match checked {
         Ok(operator) => format!("good\n{}", operator.summary(&operator.own_handlers())),
         Err(wrong) => wrong.to_string(),
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,5 +1,5 @@
 //! Scripts, good and bad: each bad one with the place and the words of its error.
-use cottondyke_operator_config::{operator, Operator, Wrong};
+use cottondyke_operator_config::{operator, ConfigError, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -32,14 +32,14 @@
     }
 }
 
-fn evaluate(path: &Path) -> Result<Operator, Wrong> {
+fn evaluate(path: &Path) -> Result<OperatorConfig, ConfigError> {
     operator(&path.display().to_string(), cottondyke_script::run(path)?)
 }
 
-fn checked(text: &str) -> Result<Operator, Wrong> {
+fn checked(text: &str) -> Result<OperatorConfig, ConfigError> {
     let folder = Folder::new();
     let path = folder.write("shop.star", text);
-    evaluate(&path).and_then(|operator| operator.check_alone().map(|()| operator))
+    evaluate(&path).and_then(|operator| operator.validate_standalone().map(|()| operator))
 }
 
 const HEAD: &str = r#"fleet(instances = 3)
@@ -75,12 +75,15 @@
          dependency(\"stock\", addr = \"127.0.0.1:%d\" % ports[\"prices\"], budget = \"50ms\", ceiling = 3)\n"
     );
     let operator = evaluate(&folder.write("shop.star", &text)).unwrap();
-    operator.check_alone().unwrap();
-    assert_eq!(operator.pages[0].parts.len(), 2);
+    operator.validate_standalone().unwrap();
+    assert_eq!(operator.aggregations[0].parts.len(), 2);
     assert_eq!(operator.dependencies[2].addr.port(), 8102);
     let (plan, pages) = operator.plan(&operator.own_handlers());
     assert_eq!(
-        (plan.dependencies[0].share, plan.dependencies[2].share),
+        (
+            plan.dependencies[0].max_calls,
+            plan.dependencies[2].max_calls
+        ),
         (8, 1)
     );
     assert_eq!(pages, [Some(0)]);
@@ -204,7 +207,7 @@
             Err(wrong) => {
                 let told = wrong.to_string();
                 let fits = words.iter().all(|w| told.contains(w)) && told.lines().count() == 1;
-                let named = wrong.at.line == line && told.contains("shop.star");
+                let named = wrong.location.line == line && told.contains("shop.star");
                 if !fits || !named {
                     failed.push(format!("line {line}, {words:?}\n    {told}"));
                 }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,7 +1,7 @@
 //! What the program is told at its start.
 use crate::time::span_of_ms;
 use cottondyke_admission::policy::AdmissionController;
-use cottondyke_operator_config::{Effect, Known, Operator, Place};
+use cottondyke_operator_config::{Effect, HandlerSpec, OperatorConfig, SourceLocation};
 use cottondyke_settings::{self as settings, WireNames, Wrong};
 use cottondyke_types::{Idempotency, Time};
 use serde_json::{json, Value};
@@ -30,9 +30,10 @@
 const KEPT: f64 = 0.25;
 
 /// What of the connections is left to callers beside those to dependencies, where kept answers fit the memory.
-fn room(connections: usize, memory: usize, operator: &Operator) -> Result<usize, Wrong> {
-    let wrong =
-        |at: &Place, what: String| Err(Wrong::from(format!("{}:{}: {what}", at.file, at.line)));
+fn room(connections: usize, memory: usize, operator: &OperatorConfig) -> Result<usize, Wrong> {
+    let wrong = |at: &SourceLocation, what: String| {
+        Err(Wrong::from(format!("{}:{}: {what}", at.file, at.line)))
+    };
     let most = memory as f64 / (1 << 20) as f64 * KEPT;
     if operator.fleet.line > 0 && operator.kept_mb > most {
         let what = format!(
@@ -43,7 +44,7 @@
     }
     let mut left = connections as u64;
     for dependency in &operator.dependencies {
-        let share = operator.share(dependency);
+        let share = operator.max_calls(dependency);
         left = match left
             .checked_sub(share * (1 + IDLE))
             .filter(|left| *left > 0)
@@ -71,7 +72,7 @@
     pub control: Option<SocketAddr>,
     pub records: Option<SocketAddr>,
     /// The operator's file, checked against the handlers.
-    pub operator: Option<Operator>,
+    pub operator: Option<OperatorConfig>,
     pub seed: u64,
     /// From the notice to leave to the end.
     pub stop: Duration,
@@ -225,9 +226,9 @@
     }
 
     /// The handlers, as the operator's file is checked against them.
-    pub fn known(&self) -> Vec<Known> {
+    pub fn known(&self) -> Vec<HandlerSpec> {
         let handlers = self.places.handlers.iter().zip(&self.times);
-        let known = |(name, (target, _)): (&String, &(Time, Time))| Known {
+        let known = |(name, (target, _)): (&String, &(Time, Time))| HandlerSpec {
             name: name.clone(),
             response_target: *target,
         };
@@ -235,8 +236,8 @@
     }
 
     /// The platform's configuration with the operator's file beside it.
-    pub fn with(mut self, operator: Operator) -> Result<Self, Wrong> {
-        let both = |at: &Place, what: &str| {
+    pub fn with(mut self, operator: OperatorConfig) -> Result<Self, Wrong> {
+        let both = |at: &SourceLocation, what: &str| {
             Err(format!(
                 "{}:{}: {what}: the configuration tells that already; expected it in one of the two",
                 at.file, at.line
@@ -248,11 +249,11 @@
         if let Some(handler) = operator.handlers.first() {
             return both(&handler.at, "handler(...)");
         }
-        if let Some(customer) = operator.customers.first() {
+        if let Some(customer) = operator.tenants.first() {
             return both(&customer.at, "customer(...)");
         }
         operator
-            .check(&self.known())
+            .validate(&self.known())
             .map_err(|wrong| wrong.to_string())?;
         self.connections = room(self.connections, self.memory, &operator)?;
         self.operator = Some(operator);
@@ -260,8 +261,10 @@
     }
 
     /// A program that serves on its own: all is told by the operator's file.
-    pub fn alone(operator: Operator) -> Result<Self, Wrong> {
-        operator.check_alone().map_err(|wrong| wrong.to_string())?;
+    pub fn alone(operator: OperatorConfig) -> Result<Self, Wrong> {
+        operator
+            .validate_standalone()
+            .map_err(|wrong| wrong.to_string())?;
         let serve = operator.serve.clone().ok_or("serve(...) is missing")?;
         let ms = |tenths: i64| tenths as f64 / 10.0;
         let classes = operator.handlers.iter().map(|h| {
@@ -275,7 +278,7 @@
                 "aim_ms": ms(h.response_target), "deadline_ms": ms(h.client_timeout), "dedup_window_ms": ms(h.window),
             })
         });
-        let customers = operator.customers.iter();
+        let customers = operator.tenants.iter();
         let customers = customers.map(|c| json!({ "name": c.name, "quota_per_s": c.per_second }));
         // Reqs that run are the cores of the decider here: they wait for dependencies, not for each other.
         let settings = json!({
@@ -335,7 +338,7 @@
                 ));
             }
             operator
-                .check(&self.known())
+                .validate(&self.known())
                 .map_err(|wrong| wrong.to_string())?;
         }
         // Shares that are lent can't be told apart from fixed ones while calls of either are in hand.
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/desk.rs
@@ -478,7 +478,7 @@
             engine = shown(config.engine),
             records = shown(config.records),
             control = shown(config.control),
-            pages = config.operator.as_ref().map_or(0, |o| o.pages.len()),
+            pages = config.operator.as_ref().map_or(0, |o| o.aggregations.len()),
             "the configuration was read anew"
         );
         self.config = Rc::new(config);
--- a/crates/server/src/fetch.rs
+++ b/crates/server/src/fetch.rs
@@ -2,7 +2,7 @@
 use crate::client::{self, CallError, Pool};
 use crate::time::{ms, Clock};
 use crate::wire::{http, WireId};
-use cottondyke_dependency::{Dependency, Outcome, Stamp};
+use cottondyke_dependency::{CallResult, Dependency, SendTimestamp};
 use cottondyke_types::Time;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,13 +10,13 @@
 /// Asks `to`. Dropping the future closes its connection. Nothing here limits its time: who waits does.
 pub async fn fetch(
     pool: Rc<Pool>,
-    (clock, stamp): (Clock, Rc<Stamp>),
+    (clock, stamp): (Clock, Rc<SendTimestamp>),
     to: Rc<Dependency>,
     of: WireId,
     body: Rc<[u8]>,
     within: Time,
     reuse: bool,
-) -> Outcome {
+) -> CallResult {
     let mut bytes = Vec::with_capacity(256 + body.len());
     let left = (ms(within).floor() as u64).to_string();
     let headers = [("Req-Id", of.as_str()), ("Time-Left-Ms", left.as_str())];
@@ -34,33 +34,33 @@
         None => (false, client::connect(to.addr).await),
     };
     let Ok(mut stream) = connected else {
-        return Outcome::Refused;
+        return CallResult::Rejected;
     };
     // The last look at a share that is lent, in the same step as the first byte: connecting may have taken long, and
     // so may a stop of the whole process.
     let now = clock.now();
     if !to.may_send(&stamp, now) {
-        return Outcome::NoShare;
+        return CallResult::LeaseExpired;
     }
-    stamp.sent(now);
+    stamp.record_send(now);
     let (sending, heard) = (Cell::new(false), Cell::new(false));
     let (reply, again) = match client::exchange(&mut stream, &bytes, &sending, &heard).await {
         Ok(got) => got,
-        Err(_) if used && !heard.get() => return Outcome::Stale,
-        Err(CallError::NotBegun(_)) => return Outcome::Refused,
-        Err(CallError::MaybeBegun(_)) => return Outcome::Lost,
-        Err(CallError::Ended(_)) => return Outcome::Failed,
+        Err(_) if used && !heard.get() => return CallResult::StaleConnection,
+        Err(CallError::NotBegun(_)) => return CallResult::Rejected,
+        Err(CallError::MaybeBegun(_)) => return CallResult::TimedOut,
+        Err(CallError::Ended(_)) => return CallResult::Failure,
     };
     if again {
-        pool.give(to.addr, stream, to.share);
+        pool.give(to.addr, stream, to.max_calls);
     }
     match reply.status {
-        200 if fits(&to, &reply.body) => Outcome::Good(reply.body.into()),
-        429 => Outcome::Refused,
-        503 | 409 if reply.not_begun => Outcome::Refused,
-        400..=499 if reply.status != 408 => Outcome::Unfit,
-        504 => Outcome::Lost,
-        _ => Outcome::Failed,
+        200 if fits(&to, &reply.body) => CallResult::Success(reply.body.into()),
+        429 => CallResult::Rejected,
+        503 | 409 if reply.not_begun => CallResult::Rejected,
+        400..=499 if reply.status != 408 => CallResult::InvalidRequest,
+        504 => CallResult::TimedOut,
+        _ => CallResult::Failure,
     }
 }
 
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -8,9 +8,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
-use cottondyke_dependency::{Lent, Plan, Use};
+use cottondyke_dependency::{DependencyUsage, LeasedQuota, Plan};
 use cottondyke_membership::MAX_DATAGRAM_BYTES;
-use cottondyke_operator_config::{budget_of, rate_of, Operator, Peers};
+use cottondyke_operator_config::{budget_of, rate_of, OperatorConfig, Peers};
 use cottondyke_quota::{Holder, LeaseConfig, Safeguards, Usage};
 use cottondyke_types::Time;
 use std::cell::RefCell;
@@ -34,7 +34,7 @@
 
 pub struct Fleet {
     instance: RefCell<ClusterNode>,
-    lent: RefCell<BTreeMap<String, Rc<Lent>>>,
+    lent: RefCell<BTreeMap<String, Rc<LeasedQuota>>>,
     learnt: RefCell<BTreeMap<String, Learnt>>,
     clock: Clock,
     links: links::Links,
@@ -54,8 +54,8 @@
     _home: Option<disk::Home>,
 }
 
-fn wholes(operator: &Operator) -> Vec<(String, u32, Time)> {
-    operator.wholes()
+fn wholes(operator: &OperatorConfig) -> Vec<(String, u32, Time)> {
+    operator.shared_budgets()
 }
 
 /// One port for links and datagrams. Where the system chooses it, one that is free for links may be taken for
@@ -75,7 +75,7 @@
 
 /// Opens the folder and the port. An error says in one line what is wrong.
 pub fn start(
-    operator: &Operator,
+    operator: &OperatorConfig,
     peers: &Peers,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
@@ -115,10 +115,10 @@
         lease_duration: Time(peers.lease),
         max_process_pause: Time(peers.longest_stop),
         safeguards: Safeguards {
-            lease: operator.keeps("lease"),
-            fence: operator.keeps("fence"),
-            post_cancel_grace: operator.keeps("linger"),
-            demand: operator.keeps("need"),
+            lease: operator.has_safeguard("lease"),
+            fence: operator.has_safeguard("fence"),
+            post_cancel_grace: operator.has_safeguard("linger"),
+            demand: operator.has_safeguard("need"),
         },
     };
     let bound = listener.get_ref().local_addr().unwrap_or(peers.listen);
@@ -126,7 +126,7 @@
         zone: peers.zone.clone(),
         addr: peers.advertise.unwrap_or(bound),
         probe_interval: Time(peers.probe),
-        suspicion_enabled: operator.keeps("suspicion"),
+        suspicion_enabled: operator.has_safeguard("suspicion"),
         holder: Holder {
             name: peers.name.clone(),
             incarnation: life,
@@ -215,7 +215,7 @@
         for spec in &mut plan.dependencies {
             let (calls, rate) = (lent(budget_of(&spec.name)), lent(rate_of(&spec.name)));
             if let Some(spec) = Rc::get_mut(spec) {
-                (spec.lent, spec.lent_rate) = (calls, rate);
+                (spec.leased_calls, spec.leased_rate) = (calls, rate);
             }
         }
         self.refresh(now);
@@ -234,7 +234,7 @@
     }
 
     /// What is in use at this moment.
-    pub fn used(&self, now: Time, uses: &[Use]) {
+    pub fn used(&self, now: Time, uses: &[DependencyUsage]) {
         {
             let mut learnt = self.learnt.borrow_mut();
             let mut instance = self.instance.borrow_mut();
@@ -245,9 +245,9 @@
                     budget_of(&one.dependency)
                 };
                 let known = learnt.entry(name.clone()).or_default();
-                known.need = (known.need * FADES).max(one.need as f64);
+                known.need = (known.need * FADES).max(one.needed as f64);
                 let usage = Usage {
-                    in_use: one.held as u32,
+                    in_use: one.in_flight as u32,
                     needed: known.need.round() as u32,
                     weight: known.worth.max(f64::MIN_POSITIVE),
                 };
@@ -261,7 +261,7 @@
         self.with(|instance| instance.start_draining(now));
     }
 
-    pub fn renew(&self, now: Time, operator: &Operator) {
+    pub fn renew(&self, now: Time, operator: &OperatorConfig) {
         let Some(peers) = &operator.peers else { return };
         let keepers = peers.keepers.iter().cloned().collect();
         self.links.keep(peers.keepers.iter().map(|(_, addr)| *addr));
@@ -357,7 +357,7 @@
     fn refresh(&self, now: Time) {
         let instance = self.instance.borrow();
         for (name, lent) in self.lent.borrow().iter() {
-            lent.set(
+            lent.renew(
                 now,
                 instance.available_quota(now, name) as usize,
                 instance.quota_valid_until(name),
--- a/crates/server/src/input.rs
+++ b/crates/server/src/input.rs
@@ -7,7 +7,7 @@
 use crate::wire::engine::{Command, Notice};
 use crate::wire::sidecar::{Req, Stream};
 use async_channel::Sender;
-use cottondyke_dependency::{CallId, Outcome};
+use cottondyke_dependency::{CallId, CallResult};
 use cottondyke_types::RequestId;
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
     Notice(Notice),
     Called(RequestId, CallNo, Result<Vec<u8>, CallError>),
     /// A call for a part of a page.
-    Fetched(CallId, Outcome),
+    Fetched(CallId, CallResult),
     Leave,
     /// The configuration, read anew.
     Reload(Result<Box<Config>, String>),
--- a/crates/server/src/sources.rs
+++ b/crates/server/src/sources.rs
@@ -2,7 +2,7 @@
 //! missing. The script is evaluated by another program under the system's limits, since no interpreter bounds what
 //! one step may take, and since this one would carry the interpreter's memory for ever.
 use crate::config::Config;
-use cottondyke_operator_config::{Operator, Wrong};
+use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use std::io::Read;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -42,7 +42,7 @@
     std::env::current_exe().map(|own| own.with_file_name(EVALUATOR))
 }
 
-fn evaluated(path: &str) -> Result<Operator, String> {
+fn evaluated(path: &str) -> Result<OperatorConfig, String> {
     let broke = |what: String| format!("{path}: cannot be evaluated: {what}");
     let evaluator = evaluator().map_err(|e| broke(format!("{EVALUATOR} cannot be found: {e}")))?;
     let mut child = Command::new(&evaluator)
@@ -80,7 +80,7 @@
             "{EVALUATOR} ended with {status}: expected the script to need less"
         )));
     }
-    let result: Result<Operator, Wrong> =
+    let result: Result<OperatorConfig, ConfigError> =
         serde_json::from_slice(&text).map_err(|e| broke(e.to_string()))?;
     result.map_err(|wrong| wrong.to_string())
 }
--- a/crates/server/src/work/pages.rs
+++ b/crates/server/src/work/pages.rs
@@ -10,15 +10,18 @@
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use cottondyke_admission::types::RunOutcome;
-use cottondyke_dependency::breaker::Stage;
-use cottondyke_dependency::gate::Sums;
-use cottondyke_dependency::{Action, Answer, CallId, Outcome, Pages, PartEnd, Plan, Start, State};
+use cottondyke_dependency::circuit_breaker::CircuitState;
+use cottondyke_dependency::gate::GateCounters;
+use cottondyke_dependency::{
+    Action, AggregationRequest, AggregationResult, Aggregator, CallId, CallResult, PartResult,
+    PartSource, Plan,
+};
 use cottondyke_types::{RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 pub struct Runs {
-    pages: Pages,
+    pages: Aggregator,
     /// The page of each handler that has one.
     by_handler: Vec<Option<usize>>,
     wires: BTreeMap<RequestId, WireId>,
@@ -56,7 +59,7 @@
             fleet,
             values,
             look: now,
-            pages: Pages::new(now, plan, seed, true),
+            pages: Aggregator::new(now, plan, seed, true),
             by_handler,
             wires: BTreeMap::new(),
             calls: BTreeMap::new(),
@@ -97,13 +100,13 @@
                 .dependencies(page)
                 .for_each(|name| fleet.starts(name, value));
         }
-        let start = Start {
-            run: id,
-            page,
+        let start = AggregationRequest {
+            request: id,
+            aggregation: page,
             body: job.body.clone(),
-            customer: job.customer,
+            tenant: job.customer,
             target: job.target,
-            due: job.due,
+            deadline: job.due,
             may_repeat,
         };
         let actions = self.pages.start(now, start);
@@ -111,7 +114,7 @@
     }
 
     pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Event> {
-        let actions = self.pages.stop(now, id);
+        let actions = self.pages.cancel(now, id);
         self.carry(now, actions)
     }
 
@@ -123,7 +126,7 @@
     }
 
     pub fn leaving(&mut self, now: Time, until: Time) {
-        self.pages.leaving(until);
+        self.pages.start_draining(until);
         if let Some(fleet) = &self.fleet {
             fleet.leave(now);
         }
@@ -132,18 +135,18 @@
     pub fn next(&self) -> Option<Time> {
         let listening = self.listening.first().map(|(at, _)| *at);
         let look = self.fleet.as_ref().map(|_| self.look);
-        [self.pages.next(), listening, look]
+        [self.pages.next_timer(), listening, look]
             .into_iter()
             .flatten()
             .min()
     }
 
     pub fn timer(&mut self, now: Time) -> Vec<Event> {
-        let actions = self.pages.timer(now);
+        let actions = self.pages.handle_timer(now);
         let mut events = self.carry(now, actions);
         if let Some(fleet) = self.fleet.clone().filter(|_| self.look <= now) {
             self.look = now + fleet::LOOK;
-            let (actions, uses) = self.pages.look(now);
+            let (actions, uses) = self.pages.poll_usage(now);
             events.extend(self.carry(now, actions));
             fleet.used(now, &uses);
         }
@@ -151,19 +154,21 @@
             self.listening.pop_first();
             // Dropping the task closes the connection.
             if self.calls.remove(&call).is_some() {
-                let actions = self.pages.ended(now, call, Outcome::Lost);
+                let actions = self
+                    .pages
+                    .handle_call_result(now, call, CallResult::TimedOut);
                 events.extend(self.carry(now, actions));
             }
         }
         events
     }
 
-    pub fn fetched(&mut self, now: Time, call: CallId, outcome: Outcome) -> Vec<Event> {
+    pub fn fetched(&mut self, now: Time, call: CallId, outcome: CallResult) -> Vec<Event> {
         // One whose task was dropped may have sent its end before.
         if self.calls.remove(&call).is_none() {
             return Vec::new();
         }
-        let actions = self.pages.ended(now, call, outcome);
+        let actions = self.pages.handle_call_result(now, call, outcome);
         self.carry(now, actions)
     }
 
@@ -173,23 +178,23 @@
         for gate in self.pages.gates() {
             let (dependency, held, open) = (
                 gate.spec.name.clone(),
-                gate.held(now),
-                gate.stage() != Stage::Closed,
+                gate.in_flight(now),
+                gate.circuit_state() != CircuitState::Closed,
             );
-            if let Some((before, limit)) = gate.changed() {
-                tracing::info!(%dependency, before, limit, share = gate.spec.share, "its limit changed");
+            if let Some((before, limit)) = gate.take_limit_change() {
+                tracing::info!(%dependency, before, limit, share = gate.spec.max_calls, "its limit changed");
             }
-            let sums = std::mem::take(&mut gate.sums);
-            if sums != Sums::default() {
-                let Sums {
-                    first,
+            let sums = std::mem::take(&mut gate.counters);
+            if sums != GateCounters::default() {
+                let GateCounters {
+                    first_attempts: first,
                     hedges,
-                    repeats,
-                    well,
-                    ill,
-                    late,
-                    full,
-                    shut,
+                    retries: repeats,
+                    successes: well,
+                    failures: ill,
+                    timeouts: late,
+                    limit_reached: full,
+                    circuit_open: shut,
                 } = sums;
                 let limit = gate.limit.calls();
                 tracing::info!(
@@ -225,32 +230,36 @@
                     });
                     self.calls.insert(call, task);
                 }
-                Action::GiveUp { call, listen } if listen > Time(0) => {
+                Action::Abandon { call, listen } if listen > Time(0) => {
                     self.listening.insert((now + listen, call));
                 }
-                Action::GiveUp { call, .. } => drop(self.calls.remove(&call)),
-                Action::Ended { run, answer } => {
+                Action::Abandon { call, .. } => drop(self.calls.remove(&call)),
+                Action::Completed { run, answer } => {
                     self.wires.remove(&run);
                     let (end, output) = match answer {
-                        Answer::Parts(parts) => (RunOutcome::Completed, composed(&parts)),
-                        Answer::Errored => (RunOutcome::Failed, Output::default()),
-                        Answer::Stopped => (RunOutcome::Cancelled, Output::default()),
+                        AggregationResult::Parts(parts) => {
+                            (RunOutcome::Completed, composed(&parts))
+                        }
+                        AggregationResult::Failed => (RunOutcome::Failed, Output::default()),
+                        AggregationResult::Cancelled => (RunOutcome::Cancelled, Output::default()),
                     };
                     events.push(Event::Ended(run, end, output));
                 }
-                Action::Changed {
+                Action::GateChanged {
                     dependency,
                     stage,
                     limit,
                 } => match stage {
-                    Stage::Open { until } => {
+                    CircuitState::Open { until } => {
                         let rest_ms = crate::time::ms(until - now);
                         tracing::warn!(%dependency, rest_ms, limit, "its breaker opened");
                     }
-                    Stage::HalfOpen { .. } => {
+                    CircuitState::HalfOpen { .. } => {
                         tracing::info!(%dependency, "its breaker lets probes through")
                     }
-                    Stage::Closed => tracing::info!(%dependency, limit, "its breaker closed"),
+                    CircuitState::Closed => {
+                        tracing::info!(%dependency, limit, "its breaker closed")
+                    }
                 },
             }
         }
@@ -259,10 +268,10 @@
 }
 
 /// The answer's body: each part with its state, and the names of those that are not whole.
-fn composed(parts: &[PartEnd]) -> Output {
+fn composed(parts: &[PartResult]) -> Output {
     let partial: Vec<&str> = parts
         .iter()
-        .filter(|p| p.state != State::Whole)
+        .filter(|p| p.source != PartSource::Primary)
         .map(|p| &*p.name)
         .collect();
     let mut body = Vec::with_capacity(
@@ -281,12 +290,12 @@
     );
     for (place, part) in parts.iter().enumerate() {
         body.extend(if place > 0 { &b","[..] } else { b"" });
-        let state = match &part.state {
-            State::Whole => "\"whole\"".to_string(),
-            State::Kept(age) => format!("\"kept\",\"age_ms\":{}", age.0 / 10),
-            State::Other(name) => format!("\"other\",\"from\":{}", quoted(name)),
-            State::Fixed => "\"fixed\"".to_string(),
-            State::Missing => "\"missing\"".to_string(),
+        let state = match &part.source {
+            PartSource::Primary => "\"whole\"".to_string(),
+            PartSource::Cached(age) => format!("\"kept\",\"age_ms\":{}", age.0 / 10),
+            PartSource::Secondary(name) => format!("\"other\",\"from\":{}", quoted(name)),
+            PartSource::Default => "\"fixed\"".to_string(),
+            PartSource::Missing => "\"missing\"".to_string(),
         };
         body.extend(format!("{}:{{\"state\":{state}", quoted(&part.name)).bytes());
         if let Some(bytes) = &part.body {
@@ -311,15 +320,15 @@
     /// Guards clients: the body is JSON whatever the parts hold, and says what each part is.
     #[test]
     fn an_answer_tells_the_state_of_each_part() {
-        let part = |name: &str, state, body: Option<&str>, json| PartEnd {
+        let part = |name: &str, state, body: Option<&str>, json| PartResult {
             name: name.into(),
-            state,
+            source: state,
             body: body.map(|b| b.as_bytes().into()),
             json,
         };
         let whole = [
-            part("a", State::Whole, Some("{\"x\":1}"), true),
-            part("b", State::Whole, Some("a\"b\n"), false),
+            part("a", PartSource::Primary, Some("{\"x\":1}"), true),
+            part("b", PartSource::Primary, Some("a\"b\n"), false),
         ];
         let output = composed(&whole);
         assert_eq!(output.partial, None);
@@ -332,11 +341,16 @@
             (&1.into(), &"a\"b\n".into())
         );
         let parts = [
-            part("a", State::Kept(Time(1_230)), Some("[]"), true),
-            part("b", State::Other("backup".into()), Some("x"), false),
-            part("c", State::Fixed, Some("null"), true),
-            part("d", State::Missing, None, false),
-            part("e", State::Whole, Some(""), false),
+            part("a", PartSource::Cached(Time(1_230)), Some("[]"), true),
+            part(
+                "b",
+                PartSource::Secondary("backup".into()),
+                Some("x"),
+                false,
+            ),
+            part("c", PartSource::Default, Some("null"), true),
+            part("d", PartSource::Missing, None, false),
+            part("e", PartSource::Primary, Some(""), false),
         ];
         let output = composed(&parts);
         assert_eq!(output.partial.as_deref(), Some("a,b,c,d"));
--- a/crates/server/tests/accept.rs
+++ b/crates/server/tests/accept.rs
@@ -5,7 +5,7 @@
 use cottondyke::input::{ConnId, Input};
 use cottondyke::intake::Front;
 use cottondyke::room::Room;
-use cottondyke_test_support::peers::PATIENCE;
+use cottondyke_test_support::fakes::IO_TIMEOUT;
 use futures_lite::future;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
         names: Rc::default(),
         room: Room::new(1, 0),
         desk,
-        write_timeout: PATIENCE,
+        write_timeout: IO_TIMEOUT,
     };
     let listening = listen(executor.clone(), listener, Rc::new(front), close);
     async_io::block_on(executor.run(async {
--- a/crates/server/tests/closing.rs
+++ b/crates/server/tests/closing.rs
@@ -8,7 +8,7 @@
 use cottondyke::intake::{self, Front};
 use cottondyke::room::Room;
 use cottondyke::wire::sidecar::Names;
-use cottondyke_test_support::peers::{frame, payload, unix_ms, Sidecar, PATIENCE};
+use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, IO_TIMEOUT};
 use futures_lite::{future, AsyncReadExt};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use rustix::net::{connect, socket, AddressFamily, SocketType};
@@ -23,7 +23,7 @@
 /// One connection, its sidecar and its desk; `room` is what may wait for the desk.
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
-    sidecar: Sidecar,
+    sidecar: FakeSidecar,
     desk: Receiver<Input>,
     outgoing: Sender<Outgoing>,
     /// The connection's handling.
@@ -43,9 +43,9 @@
             set_socket_recv_buffer_size(&socket, buffer).unwrap();
         }
         connect(&socket, &listener.local_addr().unwrap()).unwrap();
-        let sidecar = Sidecar(TcpStream::from(socket));
+        let sidecar = FakeSidecar(TcpStream::from(socket));
         sidecar.0.set_nodelay(true).unwrap();
-        sidecar.0.set_read_timeout(Some(PATIENCE)).unwrap();
+        sidecar.0.set_read_timeout(Some(IO_TIMEOUT)).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
         let names = Names {
             handlers: vec!["greet".into()],
@@ -158,7 +158,7 @@
             }
             rig.settle().await;
             for stream in 1..=reqs {
-                assert_eq!(rig.sidecar.hear().unwrap().body, [stream as u8]);
+                assert_eq!(rig.sidecar.receive().unwrap().body, [stream as u8]);
             }
         });
     }
@@ -181,7 +181,7 @@
         rig.settle().await;
         rig.ask(2);
         rig.settle().await;
-        assert_eq!(rig.sidecar.hear().unwrap().body, body);
+        assert_eq!(rig.sidecar.receive().unwrap().body, body);
         let mut rest = Vec::new();
         assert_eq!(
             rig.sidecar.0.read_to_end(&mut rest).map_err(|e| e.kind()),
@@ -250,7 +250,7 @@
         // More than the system takes from the writer at once.
         rig.reply(2, &vec![7; 16 << 20]);
         rig.settle().await;
-        assert_eq!(rig.sidecar.hear().unwrap().body, b"first");
+        assert_eq!(rig.sidecar.receive().unwrap().body, b"first");
         rig.ask(33);
         assert_eq!(rig.taken().await, 33, "it is no surplus");
     });
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -3,7 +3,7 @@
 use cottondyke::fleet::{self, look::look};
 use cottondyke::time::Clock;
 use cottondyke_cluster::NodeStatus;
-use cottondyke_operator_config::{Operator, Peers};
+use cottondyke_operator_config::{OperatorConfig, Peers};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
         longest_stop: 10_000,
     };
     let executor = Rc::new(LocalExecutor::new());
-    let operator = Operator::default();
+    let operator = OperatorConfig::default();
     let started = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1).unwrap();
     let second = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1);
     assert!(second.is_err());
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/leaving.rs
@@ -102,7 +102,7 @@
 
     fn ask(&self, conn: u64, stream: u32) {
         let id = WireId::new(&format!("{stream:016x}")).unwrap();
-        let at = cottondyke_test_support::peers::unix_ms();
+        let at = cottondyke_test_support::fakes::unix_ms();
         let req = Req {
             stream: Stream(stream),
             id,
--- a/crates/server/tests/serve/calls.rs
+++ b/crates/server/tests/serve/calls.rs
@@ -1,14 +1,15 @@
 //! Calls to the records service.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use std::io::{Read, Write};
 
 /// A run that waits for its call.
-fn waiting(rig: &Rig, class: &str) -> (Link, Sidecar) {
+fn waiting(rig: &Rig, class: &str) -> (FakeEngine, FakeSidecar) {
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, class, &[], b"");
     let run = started(&mut link);
-    link.say_with(&format!("NEED 1 {run}"), b"body").unwrap();
+    link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
+        .unwrap();
     (link, sidecar)
 }
 
@@ -25,11 +26,11 @@
     ] {
         let rig = Rig::start();
         let (_link, mut sidecar) = waiting(&rig, PAY);
-        let mut service = Service::accept(&rig.records).unwrap();
-        service.asked().unwrap();
+        let mut service = FakeService::accept(&rig.records).unwrap();
+        service.receive_request().unwrap();
         service.0.get_mut().write_all(odd.as_bytes()).unwrap();
         drop(service);
-        assert_eq!(sidecar.hear().unwrap().code, 9, "{odd}");
+        assert_eq!(sidecar.receive().unwrap().code, 9, "{odd}");
     }
 }
 
@@ -39,12 +40,12 @@
     for status in ["503 Busy", "409 Conflict"] {
         let rig = Rig::start();
         let (mut link, _sidecar) = waiting(&rig, PAY);
-        let mut service = Service::accept(&rig.records).unwrap();
-        service.asked().unwrap();
+        let mut service = FakeService::accept(&rig.records).unwrap();
+        service.receive_request().unwrap();
         service.reply(status, "Op-Not-Begun: 1\r\n", b"").unwrap();
         // A reply may come byte by byte and in chunks.
-        let mut service = Service::accept(&rig.records).unwrap();
-        service.asked().unwrap();
+        let mut service = FakeService::accept(&rig.records).unwrap();
+        service.receive_request().unwrap();
         for byte in b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab\r\r\n2\r\n\nc\r\n0\r\n\r\n"
         {
             // A chunk that ends in CR and one that starts with LF mislead whatever looks for line ends in bodies.
@@ -52,7 +53,7 @@
                 break;
             }
         }
-        let (words, body) = link.order().unwrap();
+        let (words, body) = link.receive_command().unwrap();
         assert_eq!(
             (words[0].as_str(), body.as_slice()),
             ("FEED", &b"ab\r\nc"[..])
@@ -65,19 +66,19 @@
 fn a_call_without_a_reply_is_given_up_by_closing() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, READ);
-    let mut service = Service::accept(&rig.records).unwrap();
-    service.asked().unwrap();
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    service.receive_request().unwrap();
     assert_eq!(
         service.0.read(&mut [0]).unwrap_or(0),
         0,
         "the connection is closed"
     );
     // This handler's calls can be skipped; the skip names the notice that asked.
-    let (words, _) = link.order().unwrap();
+    let (words, _) = link.receive_command().unwrap();
     assert_eq!(words, ["SKIP", &id(1), "1"]);
-    link.say_with(&format!("DONE 2 {} fine 1", id(1)), b"poorer")
+    link.send_line_with_body(&format!("DONE 2 {} fine 1", id(1)), b"poorer")
         .unwrap();
-    assert_eq!(sidecar.hear().unwrap().body, b"poorer");
+    assert_eq!(sidecar.receive().unwrap().body, b"poorer");
 }
 
 /// Guards against a call that outlives its req: when the run ends at it, the call is given up.
@@ -85,11 +86,11 @@
 fn a_call_ends_with_its_run() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, PAY);
-    let mut service = Service::accept(&rig.records).unwrap();
-    service.asked().unwrap();
-    link.say_with(&format!("DONE 2 {} fault 1", id(1)), b"")
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    service.receive_request().unwrap();
+    link.send_line_with_body(&format!("DONE 2 {} fault 1", id(1)), b"")
         .unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 9);
+    assert_eq!(sidecar.receive().unwrap().code, 9);
     assert_eq!(service.0.read(&mut [0]).unwrap_or(0), 0);
 }
 
@@ -99,21 +100,22 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, PAY);
     let good = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}");
-    let mut first = Service::accept(&rig.records).unwrap();
-    first.asked().unwrap();
+    let mut first = FakeService::accept(&rig.records).unwrap();
+    first.receive_request().unwrap();
     let reply = format!("HTTP/1.1 102 Wait\r\n\r\n{}", good("one"));
     first.0.get_mut().write_all(reply.as_bytes()).unwrap();
-    assert_eq!(link.order().unwrap().1, b"one");
+    assert_eq!(link.receive_command().unwrap().1, b"one");
     ask(&mut sidecar, 2, PAY, &[], b"");
     let run = started(&mut link);
-    link.say_with(&format!("NEED 2 {run}"), b"body").unwrap();
-    let mut second = Service::accept(&rig.records).unwrap();
-    second.asked().unwrap();
+    link.send_line_with_body(&format!("NEED 2 {run}"), b"body")
+        .unwrap();
+    let mut second = FakeService::accept(&rig.records).unwrap();
+    second.receive_request().unwrap();
     let _ = first.0.get_mut().write_all(good("two").as_bytes());
     second
         .0
         .get_mut()
         .write_all(good("new").as_bytes())
         .unwrap();
-    assert_eq!(link.order().unwrap().1, b"new");
+    assert_eq!(link.receive_command().unwrap().1, b"new");
 }
--- a/crates/server/tests/serve/conns.rs
+++ b/crates/server/tests/serve/conns.rs
@@ -1,6 +1,6 @@
 //! Connections of sidecars that are slow, rude, idle or too many.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::io::Write;
 
@@ -30,12 +30,12 @@
         sidecar.send(1, 1, &fields, b"").unwrap();
         let run = started(&mut link);
         sidecar.0.write_all(bytes).unwrap();
-        let told = sidecar.hear().unwrap();
+        let told = sidecar.receive().unwrap();
         assert_eq!((told.kind, told.stream), (2, 0), "{bytes:?}");
-        link.say_with(&format!("DONE {} {run} fine 1", n + 1), b"r")
+        link.send_line_with_body(&format!("DONE {} {run} fine 1", n + 1), b"r")
             .unwrap();
-        assert_eq!(sidecar.hear().unwrap().body, b"r");
-        assert!(sidecar.hear().is_err(), "then it is closed");
+        assert_eq!(sidecar.receive().unwrap().body, b"r");
+        assert!(sidecar.receive().is_err(), "then it is closed");
     }
 }
 
@@ -50,11 +50,11 @@
     // Half a frame, then the end.
     gone.0.write_all(&[0, 0]).unwrap();
     drop(gone);
-    link.say_with(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
+    link.send_line_with_body(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
         .unwrap();
     ask(&mut other, 2, READ, &[], b"");
     run_through(&mut link, 2, b"fine");
-    assert_eq!(other.hear().unwrap().body, b"fine");
+    assert_eq!(other.receive().unwrap().body, b"fine");
 }
 
 /// Guards against a sidecar that asks and never reads: it is cut off, the others are served.
@@ -104,11 +104,11 @@
     others
         .iter_mut()
         .for_each(|other| assert_eq!(check(other), 1));
-    assert_eq!(idle.hear().unwrap().kind, 6);
-    assert!(idle.hear().is_err());
-    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"kept")
+    assert_eq!(idle.receive().unwrap().kind, 6);
+    assert!(idle.receive().is_err());
+    link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"kept")
         .unwrap();
-    assert_eq!(busy.hear().unwrap().body, b"kept");
+    assert_eq!(busy.receive().unwrap().body, b"kept");
 }
 
 /// Guards descriptors against a connection that sends nothing, or stops within a frame: it is told and closed.
@@ -120,9 +120,9 @@
     assert_eq!(check(&mut half), 1);
     half.0.write_all(&frame(4, 0, b"\0")[..7]).unwrap();
     for rude in [&mut silent, &mut half] {
-        let told = rude.hear().unwrap();
+        let told = rude.receive().unwrap();
         assert_eq!((told.kind, told.stream), (2, 0));
-        assert!(rude.hear().is_err());
+        assert!(rude.receive().is_err());
     }
     assert_eq!(check(&mut good), 1, "idle between frames is no fault");
 }
@@ -136,9 +136,9 @@
     let body = vec![7; 1 << 20];
     rude.0.write_all(&[3, 0x93, 0x87, 0]).unwrap();
     (0..60).for_each(|_| rude.0.write_all(&body).unwrap());
-    let told = rude.hear().unwrap();
+    let told = rude.receive().unwrap();
     assert_eq!((told.kind, told.stream), (2, 0));
-    assert!(rude.hear().is_err());
+    assert!(rude.receive().is_err());
 }
 
 /// Guards capacity: the run of a req whose connection was reset is stopped.
@@ -152,7 +152,7 @@
     gone.send(4, 0, &[], b"").unwrap();
     while gone.0.peek(&mut [0]).unwrap() == 0 {}
     drop(gone);
-    assert_eq!(link.order().unwrap().0, ["HALT", &run]);
+    assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
 }
 
 /// Guards serving and reporting against a control plane that closes, answers oddly or says nothing.
@@ -161,8 +161,8 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let report = |reply: &str| {
-        let mut service = Service::accept(&rig.control).unwrap();
-        let asked = service.asked().unwrap();
+        let mut service = FakeService::accept(&rig.control).unwrap();
+        let asked = service.receive_request().unwrap();
         assert_eq!(asked.line, "PUT /v2/endpoints/toy HTTP/1.1");
         let body = String::from_utf8(asked.body).unwrap();
         assert!(
--- a/crates/server/tests/serve/crossings.rs
+++ b/crates/server/tests/serve/crossings.rs
@@ -1,6 +1,6 @@
 //! Moments where two events cross, forced to come in the bad order each time.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Write};
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 const MARK: &[(&str, &str)] = &[("once", "basket")];
 
 /// A uniqued req that came to the machine at `at`.
-fn ask_at(sidecar: &mut Sidecar, number: u32, mark: &str, at: u64) {
+fn ask_at(sidecar: &mut FakeSidecar, number: u32, mark: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
     let fields = [
         ("class", BUY),
@@ -29,7 +29,7 @@
 }
 
 /// A server, its engine, a sidecar of which the engine has known a req, and a client of which it never does.
-fn with_stranger() -> (Rig, Link, Sidecar, Sidecar) {
+fn with_stranger() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     serves(&mut link, &mut sidecar, 1, READ, &[]);
@@ -56,9 +56,9 @@
         [id(1), id(3)],
         "the second try joins the first"
     );
-    link.say_with(&format!("DONE 1 {} fine 1", id(1)), b"bought")
+    link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"bought")
         .unwrap();
-    let mut heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()];
+    let mut heard = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
     heard.sort_by_key(|h| h.stream);
     assert_eq!(
         heard.map(|h| (h.stream, h.code, h.body)),
@@ -93,7 +93,7 @@
         if !over {
             ends(&mut link, &mut sidecar, 1);
         }
-        let late = sidecar.hear().unwrap();
+        let late = sidecar.receive().unwrap();
         assert_eq!(
             (late.stream, late.code, late.body.as_slice()),
             (2, 1, &b"result 1"[..])
@@ -129,15 +129,19 @@
     ask(&mut sidecar, 2, BUY, MARK, b"");
     assert_eq!(started(&mut link), id(2));
     ask(&mut stranger, 3, BUY, MARK, b"");
-    assert_eq!(stranger.hear().unwrap().code, 9, "while the first is open");
+    assert_eq!(
+        stranger.receive().unwrap().code,
+        9,
+        "while the first is open"
+    );
     ask(&mut sidecar, 4, BUY, MARK, b"");
     assert_eq!(check(&mut stranger), 1);
     ends(&mut link, &mut sidecar, 2);
-    assert_eq!(sidecar.hear().unwrap().body, b"result 2");
+    assert_eq!(sidecar.receive().unwrap().body, b"result 2");
     ask(&mut stranger, 5, BUY, MARK, b"");
-    assert_eq!(stranger.hear().unwrap().code, 9, "when it is kept");
+    assert_eq!(stranger.receive().unwrap().code, 9, "when it is kept");
     ask(&mut sidecar, 6, BUY, MARK, b"");
-    assert_eq!(sidecar.hear().unwrap().body, b"result 2");
+    assert_eq!(sidecar.receive().unwrap().body, b"result 2");
     serves(&mut link, &mut sidecar, 7, READ, &[]);
 }
 
@@ -153,8 +157,8 @@
             ask(&mut sidecar, 3, BUY, MARK, b"");
             assert_eq!(check(&mut sidecar), 1, "it has been taken");
         }
-        link.say(&format!("NO RUN {}", id(2))).unwrap();
-        assert_eq!(stranger.hear().unwrap().code, 9);
+        link.send_line(&format!("NO RUN {}", id(2))).unwrap();
+        assert_eq!(stranger.receive().unwrap().code, 9);
         if !joins {
             ask(&mut sidecar, 3, BUY, MARK, b"");
         }
@@ -177,7 +181,7 @@
         ask(first, number, PAY, &[], b"same");
         assert_eq!(started(&mut link), id(number.into()));
         ask(second, number, PAY, &[], b"same");
-        assert_eq!(stranger.hear().unwrap().code, 9);
+        assert_eq!(stranger.receive().unwrap().code, 9);
         ends(&mut link, &mut sidecar, number);
     }
 }
@@ -191,15 +195,15 @@
     ask(&mut sidecar, 1, READ, &[], b"");
     let run = started(&mut link);
     sidecar.0.write_all(&frame(3, 1, b"")).unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.stream, heard.code), (1, 9));
-    assert_eq!(link.order().unwrap().0, ["HALT", &run]);
+    assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
     // One that is answered already, and one that never was.
     sidecar
         .0
         .write_all(&[frame(3, 1, b""), frame(3, 77, b"")].concat())
         .unwrap();
-    link.say_with(&format!("DONE 1 {run} broken_off 1"), b"")
+    link.send_line_with_body(&format!("DONE 1 {run} broken_off 1"), b"")
         .unwrap();
     serves(&mut link, &mut sidecar, 2, READ, &[]);
 }
@@ -212,7 +216,8 @@
     ask(&mut sidecar, 1, BRIEF, &[], b"");
     ask(&mut sidecar, 2, READ, &[("wait", "300")], b"");
     let _hang = (started(&mut link), started(&mut link));
-    let heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()].map(|h| (h.stream, h.code));
+    let heard =
+        [sidecar.receive().unwrap(), sidecar.receive().unwrap()].map(|h| (h.stream, h.code));
     assert_eq!(
         heard,
         [(2, 9), (1, 9)],
@@ -220,7 +225,7 @@
     );
     for (number, wait) in [(3, "1e9"), (4, "soon")] {
         ask(&mut sidecar, number, READ, &[("wait", wait)], b"");
-        assert_eq!(sidecar.hear().unwrap().code, 9, "no caller means that");
+        assert_eq!(sidecar.receive().unwrap().code, 9, "no caller means that");
     }
 }
 
@@ -232,7 +237,7 @@
     let now = unix_ms();
     ask_at(&mut sidecar, 1, "basket", now - 1_800);
     ask_at(&mut sidecar, 2, "basket", now);
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.stream, heard.code != 1),
         (1, true),
@@ -293,13 +298,19 @@
     let (mut link, mut resting) = rig.ready();
     serves(&mut link, &mut resting, 1, PAY, &[]);
     rig.signal("-TERM");
-    assert_eq!(resting.hear().unwrap().kind, 6);
-    assert_eq!(resting.hear().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(resting.receive().unwrap().kind, 6);
+    assert_eq!(
+        resting.receive().unwrap_err().kind(),
+        ErrorKind::UnexpectedEof
+    );
     // After the end of the server's half: read by nobody, and no reset.
     ask(&mut resting, 2, PAY, &[], b"");
-    assert_eq!(resting.hear().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(
+        resting.receive().unwrap_err().kind(),
+        ErrorKind::UnexpectedEof
+    );
     drop(resting);
     assert_eq!(rig.ended().0.code(), Some(0));
-    let mut orders = std::iter::from_fn(|| link.order().ok());
+    let mut orders = std::iter::from_fn(|| link.receive_command().ok());
     assert!(!orders.any(|(words, _)| words[0] == "RUN"), "it never ran");
 }
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -1,6 +1,6 @@
 //! The engine's link: late, broken, odd.
 use crate::rig::*;
-use cottondyke_test_support::peers::{unix_ms, Service};
+use cottondyke_test_support::fakes::{unix_ms, FakeService};
 use std::io::Write;
 
 /// Guards checks and due times against an engine that has not come up: both are answered all the same.
@@ -10,7 +10,7 @@
     let mut sidecar = rig.sidecar();
     assert_ne!(check(&mut sidecar), 1);
     ask(&mut sidecar, 1, BRIEF, &[], b"");
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_ne!((heard.stream, heard.code), (1, 1), "it fell due meanwhile");
     ask(&mut sidecar, 2, READ, &[], b"");
     assert_ne!(check(&mut sidecar), 1);
@@ -20,9 +20,9 @@
         id(2),
         "what is still open runs once the engine is there"
     );
-    link.say_with(&format!("DONE 1 {} fine 1", id(2)), b"")
+    link.send_line_with_body(&format!("DONE 1 {} fine 1", id(2)), b"")
         .unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 1);
+    assert_eq!(sidecar.receive().unwrap().code, 1);
     assert_eq!(check(&mut sidecar), 1);
     // What was answered before left nothing behind: its id is free again.
     let (id, at) = (id(1), unix_ms().to_string());
@@ -35,7 +35,7 @@
     ];
     sidecar.send(1, 3, &fields, b"").unwrap();
     run_through(&mut link, 2, b"");
-    assert_eq!(sidecar.hear().unwrap().code, 1);
+    assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
 /// Guards against lost and repeated notices when the link breaks within a body.
@@ -46,18 +46,18 @@
     ask(&mut sidecar, 1, READ, &[], b"a");
     ask(&mut sidecar, 2, READ, &[], b"b");
     let (first, second) = (started(&mut link), started(&mut link));
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"whole")
+    link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"whole")
         .unwrap();
     let half = format!("DONE 2 {second} fine 1 9\r\nhal");
     link.0.get_mut().write_all(half.as_bytes()).unwrap();
-    assert_eq!(sidecar.hear().unwrap().body, b"whole");
+    assert_eq!(sidecar.receive().unwrap().body, b"whole");
     drop(link);
     let mut link = rig.link(1);
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"again")
+    link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"again")
         .unwrap();
-    link.say_with(&format!("DONE 2 {second} fine 1"), b"half done")
+    link.send_line_with_body(&format!("DONE 2 {second} fine 1"), b"half done")
         .unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.stream, heard.body.as_slice()),
         (2, &b"half done"[..])
@@ -77,9 +77,9 @@
     let mut link = rig.link(0);
     assert_eq!(started(&mut link), id(1));
     for n in 1..=3 {
-        link.say_with(&format!("DONE {n} {} fine 1", id(n)), b"")
+        link.send_line_with_body(&format!("DONE {n} {} fine 1", id(n)), b"")
             .unwrap();
-        assert_eq!(sidecar.hear().unwrap().stream, n as u32);
+        assert_eq!(sidecar.receive().unwrap().stream, n as u32);
     }
     ask(&mut sidecar, 4, READ, &[], b"");
     assert_eq!(
@@ -97,22 +97,23 @@
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
     let run = started(&mut link);
-    link.say_with(&format!("NEED 1 {run}"), b"body").unwrap();
-    let mut service = Service::accept(&rig.records).unwrap();
-    service.asked().unwrap();
+    link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
+        .unwrap();
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    service.receive_request().unwrap();
     service.reply("200 OK", "", b"reply").unwrap();
-    assert_eq!(link.order().unwrap().1, b"reply");
+    assert_eq!(link.receive_command().unwrap().1, b"reply");
     drop(link);
     let mut link = rig.link(1);
-    let (words, body) = link.order().unwrap();
+    let (words, body) = link.receive_command().unwrap();
     assert_eq!(
         (words[..2].join(" "), body.as_slice()),
         (format!("FEED {run}"), &b"reply"[..])
     );
-    link.say(&format!("NO FEED {run}")).unwrap();
-    link.say_with(&format!("DONE 2 {run} fine 1"), b"went on")
+    link.send_line(&format!("NO FEED {run}")).unwrap();
+    link.send_line_with_body(&format!("DONE 2 {run} fine 1"), b"went on")
         .unwrap();
-    assert_eq!(sidecar.hear().unwrap().body, b"went on");
+    assert_eq!(sidecar.receive().unwrap().body, b"went on");
     drop(link);
     let mut link = rig.link(2);
     ask(&mut sidecar, 2, READ, &[], b"");
@@ -136,7 +137,7 @@
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
     started(&mut link);
-    assert_eq!(sidecar.hear().unwrap().code, 9);
+    assert_eq!(sidecar.receive().unwrap().code, 9);
     rig.logged("a run that never ended is given up");
     ask(&mut sidecar, 2, PAY, &[], b"");
     assert_eq!(started(&mut link), id(2), "its place is free");
@@ -149,10 +150,10 @@
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
     let run = started(&mut link);
-    link.say(&format!("NO RUN {run}")).unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 9);
-    link.say("SOMETHING new").unwrap();
-    link.say(&format!("NO HALT {run}")).unwrap();
+    link.send_line(&format!("NO RUN {run}")).unwrap();
+    assert_eq!(sidecar.receive().unwrap().code, 9);
+    link.send_line("SOMETHING new").unwrap();
+    link.send_line(&format!("NO HALT {run}")).unwrap();
     serves(&mut link, &mut sidecar, 2, READ, &[]);
     rig.logged("an unknown notice");
 }
@@ -165,7 +166,7 @@
     ask(&mut sidecar, 1, BRIEF, &[], b"");
     started(&mut link);
     // From here on not even gauges come.
-    assert_eq!(sidecar.hear().unwrap().code, 9);
+    assert_eq!(sidecar.receive().unwrap().code, 9);
     assert_eq!(check(&mut sidecar), 1, "checks hear what was set");
 }
 
@@ -176,10 +177,11 @@
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BUY, &[], b"");
     let run = started(&mut link);
-    link.say("DONE 1 nobody fine 1 0\r\n").unwrap();
+    link.send_line("DONE 1 nobody fine 1 0\r\n").unwrap();
     let mut link = rig.link(0);
-    link.say_with(&format!("DONE 1 {run} fine 1"), b"").unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 1);
+    link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"")
+        .unwrap();
+    assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
 /// Guards runs against a HALT that crosses their end: whichever comes first, the end or the word that it was one too
@@ -191,14 +193,14 @@
         let (mut link, mut sidecar) = rig.ready();
         ask(&mut sidecar, 1, BRIEF, &[], b"");
         let run = started(&mut link);
-        assert_eq!(sidecar.hear().unwrap().code, 9);
-        assert_eq!(link.order().unwrap().0, ["HALT", &run]);
+        assert_eq!(sidecar.receive().unwrap().code, 9);
+        assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
         if refused_first {
-            link.say(&format!("NO HALT {run}")).unwrap();
+            link.send_line(&format!("NO HALT {run}")).unwrap();
         }
-        link.say_with(&format!("DONE 1 {run} fine 600"), b"late")
+        link.send_line_with_body(&format!("DONE 1 {run} fine 600"), b"late")
             .unwrap();
-        link.say(&format!("NO HALT {run}")).unwrap();
+        link.send_line(&format!("NO HALT {run}")).unwrap();
         serves(&mut link, &mut sidecar, 2, READ, &[]);
     }
 }
--- a/crates/server/tests/serve/leaving.rs
+++ b/crates/server/tests/serve/leaving.rs
@@ -12,20 +12,20 @@
     ask(&mut sidecar, 2, PAY, &[], b"");
     let (first, _hangs) = (started(&mut link), started(&mut link));
     rig.signal("-TERM");
-    let told = sidecar.hear().unwrap();
+    let told = sidecar.receive().unwrap();
     assert_eq!((told.kind, told.stream), (6, 0));
     rig.signal("-TERM");
     rig.logged("told to leave again");
     let mut late = rig.sidecar();
     assert_ne!(check(&mut late), 1, "checks hear that it leaves");
     ask(&mut late, 3, READ, &[], b"");
-    link.say_with(&format!("DONE 1 {first} fine 1"), b"done")
+    link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"done")
         .unwrap();
-    assert_eq!(sidecar.hear().unwrap().body, b"done");
+    assert_eq!(sidecar.receive().unwrap().body, b"done");
     // The second run never ends: its req is errored before the end.
-    let hung = sidecar.hear().unwrap();
+    let hung = sidecar.receive().unwrap();
     assert_eq!((hung.stream, hung.code), (2, 9));
-    let heard = std::iter::from_fn(|| late.hear().ok())
+    let heard = std::iter::from_fn(|| late.receive().ok())
         .filter(|h| h.kind == 2)
         .map(|h| h.stream);
     assert_eq!(heard.collect::<Vec<_>>(), [3], "one answer, whatever it is");
--- a/crates/server/tests/serve/pages.rs
+++ b/crates/server/tests/serve/pages.rs
@@ -1,6 +1,6 @@
 //! Pages composed from dependencies, by the program on its own.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -43,27 +43,27 @@
         }
     }
 
-    fn ask(&self, number: u32) -> Sidecar {
-        let mut sidecar = Sidecar::connect(self.rig.addr).unwrap();
+    fn ask(&self, number: u32) -> FakeSidecar {
+        let mut sidecar = FakeSidecar::connect(self.rig.addr).unwrap();
         ask(&mut sidecar, number, "browse", &[], b"shoes");
         sidecar
     }
 }
 
 /// The next call to a dependency.
-fn called(listener: &TcpListener) -> (Service, Asked) {
-    let mut service = Service::accept(listener).unwrap();
-    let asked = service.asked().unwrap();
+fn called(listener: &TcpListener) -> (FakeService, ReceivedRequest) {
+    let mut service = FakeService::accept(listener).unwrap();
+    let asked = service.receive_request().unwrap();
     (service, asked)
 }
 
-fn good(listener: &TcpListener, body: &[u8]) -> Service {
+fn good(listener: &TcpListener, body: &[u8]) -> FakeService {
     let (mut service, _) = called(listener);
     service.reply("200 OK", "", body).unwrap();
     service
 }
 
-fn parts(heard: &Heard) -> Value {
+fn parts(heard: &ReceivedFrame) -> Value {
     serde_json::from_slice::<Value>(&heard.body).unwrap()["parts"].clone()
 }
 
@@ -81,7 +81,7 @@
     let left: u64 = asked.header("Time-Left-Ms").unwrap().parse().unwrap();
     assert!((100..=300).contains(&left), "{left}");
     prices.reply("200 OK", "", b"{\"price\": 3}").unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, None));
     assert_eq!(
         parts(&heard)["prices"],
@@ -89,10 +89,10 @@
     );
     // The same connections serve the next; prices never answers, and its last answer was kept.
     ask(&mut sidecar, 2, "browse", &[], b"shoes");
-    catalogue.asked().unwrap();
+    catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
-    prices.asked().unwrap();
-    let heard = sidecar.hear().unwrap();
+    prices.receive_request().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
     let kept = &parts(&heard)["prices"];
     assert_eq!(
@@ -109,12 +109,12 @@
     let mut sidecar = shop.ask(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
     drop(good(&shop.prices, b"1"));
-    assert_eq!(sidecar.hear().unwrap().field("partial"), None);
+    assert_eq!(sidecar.receive().unwrap().field("partial"), None);
     ask(&mut sidecar, 2, "browse", &[], b"boots");
-    catalogue.asked().unwrap();
+    catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
     let _hangs = called(&shop.prices);
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(parts(&heard)["prices"], json!({ "state": "missing" }));
 }
 
@@ -124,12 +124,12 @@
     let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [leave_out()])");
     let mut sidecar = shop.ask(1);
     let (mut prices, _) = called(&shop.prices);
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
     // Within the time for which it is still listened to.
     let _ = prices.reply("200 OK", "", b"\"late\"");
     ask(&mut sidecar, 2, "browse", &[], b"shoes");
-    let again = prices.asked();
+    let again = prices.receive_request();
     let mut other;
     let now = if again.is_ok() {
         &mut prices
@@ -138,7 +138,7 @@
         &mut other
     };
     now.reply("200 OK", "", b"\"new\"").unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         parts(&heard)["prices"],
         json!({ "state": "whole", "body": "new" })
@@ -166,7 +166,7 @@
         let (mut prices, _) = called(&shop.prices);
         prices.0.get_mut().write_all(odd.as_bytes()).unwrap();
         drop(prices);
-        let heard = sidecar.hear().unwrap();
+        let heard = sidecar.receive().unwrap();
         assert_eq!(
             (heard.code, heard.field("partial")),
             (1, Some("prices")),
@@ -189,7 +189,7 @@
         let mut sidecar = shop.ask(1);
         let (catalogue, _) = called(&shop.catalogue);
         drop(catalogue);
-        assert_eq!(sidecar.hear().unwrap().code, 9, "{effect}");
+        assert_eq!(sidecar.receive().unwrap().code, 9, "{effect}");
         shop.catalogue.set_nonblocking(true).unwrap();
         assert!(
             shop.catalogue.accept().is_err(),
@@ -204,7 +204,7 @@
             .unwrap();
         let (mut again, _) = called(&shop.catalogue);
         again.reply("200 OK", "", b"done").unwrap();
-        assert_eq!(sidecar.hear().unwrap().code, 1, "{effect}");
+        assert_eq!(sidecar.receive().unwrap().code, 1, "{effect}");
     }
 }
 
@@ -216,7 +216,7 @@
     let _prices = called(&shop.prices);
     let (mut catalogue, _) = called(&shop.catalogue);
     catalogue.reply("500 No", "", b"").unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (9, None));
 }
 
@@ -232,7 +232,7 @@
     let (mut hangs, _) = called(&shop.catalogue);
     shop.rig.signal("-TERM");
     let heard = loop {
-        let heard = sidecar.hear().unwrap();
+        let heard = sidecar.receive().unwrap();
         if heard.kind == 2 {
             break heard;
         }
@@ -270,16 +270,16 @@
     shop.rig.reload(&fewer, "was read anew");
     prices.reply("200 OK", "", b"1").unwrap();
     catalogue.reply("200 OK", "", b"old").unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.code, parts(&heard).as_object().unwrap().len()),
         (1, 2)
     );
     ask(&mut sidecar, 2, "browse", &[], b"shoes");
-    catalogue.asked().unwrap();
+    catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"new").unwrap();
     assert_eq!(
-        parts(&sidecar.hear().unwrap()),
+        parts(&sidecar.receive().unwrap()),
         json!({ "catalogue": { "state": "whole", "body": "new" } })
     );
 }
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -1,6 +1,6 @@
 //! The configuration read anew on SIGHUP.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::net::TcpListener;
 
@@ -14,10 +14,10 @@
         ask(&mut sidecar, n, PAY, &[], b"");
         started(&mut link);
     }
-    link.say_with(&format!("NEED 1 {}", id(1)), b"first")
+    link.send_line_with_body(&format!("NEED 1 {}", id(1)), b"first")
         .unwrap();
-    let mut service = Service::accept(&rig.records).unwrap();
-    service.asked().unwrap();
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    service.receive_request().unwrap();
     let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
     let (engine, records, control) = (bind(), bind(), bind());
     let mut conf = rig.conf.clone();
@@ -32,23 +32,27 @@
     rig.reload(&conf.to_string(), "cannot change while the server runs");
     let mut link = Rig::hello(&engine, 1);
     assert_eq!(
-        Service::accept(&control).unwrap().asked().unwrap().line,
+        FakeService::accept(&control)
+            .unwrap()
+            .receive_request()
+            .unwrap()
+            .line,
         "PUT /v2/endpoints/toy HTTP/1.1"
     );
     // The call in hand ends where it began, the next goes to the new address.
     service.reply("200 OK", "", b"old").unwrap();
-    let (words, body) = link.order().unwrap();
+    let (words, body) = link.receive_command().unwrap();
     assert_eq!((words[0].as_str(), body.as_slice()), ("FEED", &b"old"[..]));
-    link.say_with(&format!("NEED 2 {}", id(2)), b"second")
+    link.send_line_with_body(&format!("NEED 2 {}", id(2)), b"second")
         .unwrap();
-    let mut service = Service::accept(&records).unwrap();
-    service.asked().unwrap();
+    let mut service = FakeService::accept(&records).unwrap();
+    service.receive_request().unwrap();
     service.reply("200 OK", "", b"new").unwrap();
-    assert_eq!(link.order().unwrap().1, b"new");
+    assert_eq!(link.receive_command().unwrap().1, b"new");
     for n in [1, 2] {
-        link.say_with(&format!("DONE {} {} fine 1", n + 2, id(n)), b"")
+        link.send_line_with_body(&format!("DONE {} {} fine 1", n + 2, id(n)), b"")
             .unwrap();
-        assert_eq!(sidecar.hear().unwrap().code, 1);
+        assert_eq!(sidecar.receive().unwrap().code, 1);
     }
 }
 
@@ -82,7 +86,7 @@
     let mut conf = rig.conf.clone();
     conf["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
     rig.reload(&conf.to_string(), "the engine has a new address");
-    let mut half_made = Link::accept(&elsewhere).unwrap();
+    let mut half_made = FakeEngine::accept(&elsewhere).unwrap();
     assert_eq!(half_made.command().unwrap().0[0], "ATTACH");
     rig.reload(&rig.conf.to_string(), "the engine has a new address");
     let mut link = rig.link(0);
--- a/crates/server/tests/serve/reqs.rs
+++ b/crates/server/tests/serve/reqs.rs
@@ -1,6 +1,6 @@
 //! From a req to its one final answer.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use std::io::Write;
 
 /// Guards bodies and results against any change on their way, line ends and NULs included.
@@ -20,15 +20,16 @@
         &[("cost", "12.50"), ("rank", "0.6250")],
         &all,
     );
-    let (words, body) = link.order().unwrap();
+    let (words, body) = link.receive_command().unwrap();
     assert_eq!(
         (words.as_slice(), &body),
         (&["RUN", &id(1), READ, "2048"].map(String::from)[..], &all)
     );
-    link.say("NOTE 1 nothing to see").unwrap();
-    link.say_with(&format!("NEED 2 {}", id(1)), &all).unwrap();
-    let mut service = Service::accept(&rig.records).unwrap();
-    let asked = service.asked().unwrap();
+    link.send_line("NOTE 1 nothing to see").unwrap();
+    link.send_line_with_body(&format!("NEED 2 {}", id(1)), &all)
+        .unwrap();
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    let asked = service.receive_request().unwrap();
     assert_eq!(asked.line, "POST /records/op HTTP/1.1");
     assert_eq!(
         (asked.header("Op-Of"), &asked.body),
@@ -36,12 +37,12 @@
     );
     assert!(asked.header("Op-Wait-Ms").unwrap().parse::<u64>().unwrap() > 0);
     service.reply("200 OK", "", &all).unwrap();
-    let (words, body) = link.order().unwrap();
+    let (words, body) = link.receive_command().unwrap();
     assert_eq!((words[0].as_str(), &body), ("FEED", &all));
     let result: Vec<u8> = all.iter().chain(&all).copied().collect();
-    link.say_with(&format!("DONE 3 {} fine 8.5", id(1)), &result)
+    link.send_line_with_body(&format!("DONE 3 {} fine 8.5", id(1)), &result)
         .unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.kind, heard.stream, heard.code, &heard.body),
         (2, 1, 1, &result)
@@ -79,12 +80,12 @@
     let mut runs: Vec<_> = (0..32).map(|_| started(&mut link)).collect();
     // One more is more than a connection may have open: it is turned away, the others stay.
     ask(&mut sidecar, 33, READ, &[], b"");
-    assert_eq!((sidecar.hear().unwrap().stream, runs.len()), (33, 32));
+    assert_eq!((sidecar.receive().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
     for (n, run) in runs.iter().enumerate() {
-        link.say_with(&format!("DONE {} {run} fine 1", n + 1), run.as_bytes())
+        link.send_line_with_body(&format!("DONE {} {run} fine 1", n + 1), run.as_bytes())
             .unwrap();
-        let heard = sidecar.hear().unwrap();
+        let heard = sidecar.receive().unwrap();
         assert_eq!((heard.code, heard.body), (1, run.as_bytes().to_vec()));
         assert_eq!(id(heard.stream.into()), *run);
     }
@@ -139,7 +140,7 @@
     bad.extend((0..5).map(|place| without(place).collect()));
     for (n, fields) in bad.iter().enumerate() {
         sidecar.send(1, n as u32 + 1, fields, b"").unwrap();
-        let heard = sidecar.hear().unwrap();
+        let heard = sidecar.receive().unwrap();
         assert_eq!(
             (heard.kind, heard.stream, heard.code),
             (2, n as u32 + 1, 9),
@@ -147,9 +148,9 @@
         );
     }
     sidecar.send(1, 90, &good, &[0; 2_049]).unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 9, "a body past 2 KiB");
+    assert_eq!(sidecar.receive().unwrap().code, 9, "a body past 2 KiB");
     sidecar.0.write_all(&frame(1, 91, &[3, 200, b'x'])).unwrap();
-    assert_eq!(sidecar.hear().unwrap().code, 9, "fields past the frame");
+    assert_eq!(sidecar.receive().unwrap().code, 9, "fields past the frame");
     ask(&mut sidecar, 100, READ, &[], b"");
     let run = started(&mut link);
     // The same id while it is open cannot be told apart: the second is errored, the first goes on.
@@ -169,16 +170,17 @@
         .unwrap();
     assert_eq!(
         (
-            sidecar.hear().unwrap().stream,
+            sidecar.receive().unwrap().stream,
             started_done(&mut link, &mut sidecar, &run)
         ),
         (101, 100)
     );
 }
 
-fn started_done(link: &mut Link, sidecar: &mut Sidecar, run: &str) -> u32 {
-    link.say_with(&format!("DONE 1 {run} fine 1"), b"").unwrap();
-    sidecar.hear().unwrap().stream
+fn started_done(link: &mut FakeEngine, sidecar: &mut FakeSidecar, run: &str) -> u32 {
+    link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"")
+        .unwrap();
+    sidecar.receive().unwrap().stream
 }
 
 /// Guards against two answers: a run that ends after its req fell due is not sent.
@@ -188,25 +190,25 @@
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BRIEF, &[], b"");
     let run = started(&mut link);
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!((heard.stream, heard.code), (1, 9));
     assert_eq!(
-        link.order().unwrap().0,
+        link.receive_command().unwrap().0,
         ["HALT", &run],
         "a replayable run is stopped"
     );
-    link.say_with(&format!("DONE 1 {run} fine 400"), b"too late")
+    link.send_line_with_body(&format!("DONE 1 {run} fine 400"), b"too late")
         .unwrap();
     ask(&mut sidecar, 2, READ, &[], b"");
     // Until its end is heard of, the stop is asked for again.
-    let run = std::iter::repeat_with(|| link.order().unwrap().0)
+    let run = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
         .unwrap();
     assert_eq!(run[..2], ["RUN".to_string(), id(2)]);
-    link.say_with(&format!("DONE 2 {} fine 1", run[1]), b"in time")
+    link.send_line_with_body(&format!("DONE 2 {} fine 1", run[1]), b"in time")
         .unwrap();
     assert_eq!(
-        sidecar.hear().unwrap().body,
+        sidecar.receive().unwrap().body,
         b"in time",
         "nothing stands between the two answers"
     );
@@ -229,13 +231,13 @@
         ];
         rude.send(1, n, &fields, b"").unwrap();
         let run = started(&mut link);
-        link.say(&format!("NO RUN {run}")).unwrap();
-        assert_eq!(rude.hear().unwrap().code, 9);
+        link.send_line(&format!("NO RUN {run}")).unwrap();
+        assert_eq!(rude.receive().unwrap().code, 9);
     }
     ask(&mut sidecar, 21, READ, &[], b"");
     run_through(&mut link, 1, b"");
     assert_eq!(
-        sidecar.hear().unwrap().field("say"),
+        sidecar.receive().unwrap().field("say"),
         Some("1"),
         "all of the traffic is still wanted"
     );
@@ -268,7 +270,7 @@
             )
             .unwrap();
         run_through(&mut link, n.into(), b"");
-        assert_eq!(sidecar.hear().unwrap().code, 1);
+        assert_eq!(sidecar.receive().unwrap().code, 1);
     }
 }
 
@@ -287,16 +289,16 @@
         id(3),
         "another mark is another req; the repeat did not run"
     );
-    link.say_with(&format!("DONE 1 {run} fine 1"), b"bought")
+    link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"bought")
         .unwrap();
-    let mut heard = [sidecar.hear().unwrap(), sidecar.hear().unwrap()];
+    let mut heard = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
     heard.sort_by_key(|h| h.stream);
     assert_eq!(
         heard.map(|h| (h.stream, h.code, h.body)),
         [1, 2].map(|s| (s, 1, b"bought".to_vec()))
     );
     ask(&mut sidecar, 4, BUY, &once, b"buy");
-    let late = sidecar.hear().unwrap();
+    let late = sidecar.receive().unwrap();
     assert_eq!(
         (late.stream, late.code, late.body.as_slice()),
         (4, 1, &b"bought"[..])
@@ -312,10 +314,13 @@
         ask(&mut sidecar, n, BUY, &[("once", "basket 7")], b"buy");
     }
     let run = started(&mut link);
-    link.say_with(&format!("DONE 1 {run} fault 1"), b"")
+    link.send_line_with_body(&format!("DONE 1 {run} fault 1"), b"")
         .unwrap();
     assert_eq!(
-        [sidecar.hear().unwrap().code, sidecar.hear().unwrap().code],
+        [
+            sidecar.receive().unwrap().code,
+            sidecar.receive().unwrap().code
+        ],
         [9, 9]
     );
 }
