--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -1,6 +1,6 @@
 //! Processes that restart all at once, and a process whose descriptors are taken by clients that rest.
 use crate::rig::*;
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
@@ -13,10 +13,12 @@
 /// The engine's side until its end, for the link of the process that was killed and for the new one: a hello after
 /// `late` each, and answers to all questions.
 fn engine(listener: TcpListener, late: Duration) {
-    while let Ok(mut link) = Link::accept(&listener) {
+    while let Ok(mut link) = FakeEngine::accept(&listener) {
         std::thread::sleep(late);
-        let _ = link.command().and_then(|_| link.say("HELLO running 5.0"));
-        while link.order().is_ok() {}
+        let _ = link
+            .command()
+            .and_then(|_| link.send_line("HELLO running 5.0"));
+        while link.receive_command().is_ok() {}
     }
 }
 
@@ -24,14 +26,16 @@
 fn reported(listener: &TcpListener, lost: usize) -> Instant {
     let mut held = Vec::new();
     for n in 0..lost {
-        let service = Service::accept(listener).unwrap();
+        let service = FakeService::accept(listener).unwrap();
         if n % 2 == 1 {
             held.push(service);
         }
     }
     loop {
-        let mut service = Service::accept(listener).unwrap();
-        let Ok(asked) = service.asked() else { continue };
+        let mut service = FakeService::accept(listener).unwrap();
+        let Ok(asked) = service.receive_request() else {
+            continue;
+        };
         let _ = service.reply("204 No Content", "", b"");
         if asked.body == br#"{"condition":"Ready"}"# {
             return Instant::now();
@@ -85,23 +89,28 @@
     assert!(rig.descriptors() <= SOCKETS);
     drop(link);
     let mut link = rig.link(0);
-    link.say_with(&format!("NEED 1 {run}"), b"body").unwrap();
-    let mut service = Service::accept(&rig.records).unwrap();
-    assert_eq!(service.asked().unwrap().body, b"body");
+    link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
+        .unwrap();
+    let mut service = FakeService::accept(&rig.records).unwrap();
+    assert_eq!(service.receive_request().unwrap().body, b"body");
     service.reply("200 OK", "", b"reply").unwrap();
-    assert_eq!(link.order().unwrap().1, b"reply");
+    assert_eq!(link.receive_command().unwrap().1, b"reply");
     // Fewer places than are taken, in the midst of it.
     let mut conf = rig.conf.clone();
     conf["limits"]["sockets"] = json!(110);
     rig.reload(&conf.to_string(), "the configuration was read anew");
-    link.say_with(&format!("DONE 2 {run} fine 1"), b"done")
+    link.send_line_with_body(&format!("DONE 2 {run} fine 1"), b"done")
         .unwrap();
-    let heard = std::iter::repeat_with(|| sidecar.hear().unwrap())
+    let heard = std::iter::repeat_with(|| sidecar.receive().unwrap())
         .find(|heard| heard.kind == 2)
         .unwrap();
     assert_eq!(heard.body, b"done");
     // Reports were made all the time, to nobody: now they arrive.
-    while Service::accept(&rig.control).unwrap().asked().is_err() {}
+    while FakeService::accept(&rig.control)
+        .unwrap()
+        .receive_request()
+        .is_err()
+    {}
     // One that comes new finds a place as those that rest go.
     let mut new = rig.sidecar();
     ask(&mut new, 2, READ, &[], b"");
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -1,5 +1,5 @@
 //! The real binary on loopback, with stand-ins whose ports the system picks.
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -137,14 +137,14 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return (status, start.elapsed());
             }
-            assert!(start.elapsed() < PATIENCE, "the server does not end");
+            assert!(start.elapsed() < IO_TIMEOUT, "the server does not end");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
     /// The next line of its log with these words.
     pub fn logged(&self, words: &str) -> String {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + IO_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.log.recv_timeout(left).expect(words);
@@ -244,30 +244,30 @@
     }
 
     /// A link past its hello and the question that fences it off from the link before.
-    pub fn link(&self, last: u64) -> Link {
+    pub fn link(&self, last: u64) -> FakeEngine {
         Self::hello(&self.engine, last)
     }
 
-    pub fn hello(engine: &TcpListener, last: u64) -> Link {
-        let mut link = Link::accept(engine).unwrap();
+    pub fn hello(engine: &TcpListener, last: u64) -> FakeEngine {
+        let mut link = FakeEngine::accept(engine).unwrap();
         assert_eq!(link.command().unwrap().0, ["ATTACH", &last.to_string()]);
-        link.say("HELLO running 5.0").unwrap();
+        link.send_line("HELLO running 5.0").unwrap();
         let (words, _) = link.command().unwrap();
         assert_eq!(words[0], "STAT", "the fence comes first");
-        link.say(&format!("STATS {} 0.5 1 0.1 3", words[1]))
+        link.send_line(&format!("STATS {} 0.5 1 0.1 3", words[1]))
             .unwrap();
         link
     }
 
     /// Both, once the server has seen the engine.
-    pub fn ready(&self) -> (Link, Sidecar) {
+    pub fn ready(&self) -> (FakeEngine, FakeSidecar) {
         let (link, mut sidecar) = (self.link(0), self.sidecar());
         while check(&mut sidecar) != 1 {}
         (link, sidecar)
     }
 
-    pub fn sidecar(&self) -> Sidecar {
-        Sidecar::connect(self.addr).unwrap()
+    pub fn sidecar(&self) -> FakeSidecar {
+        FakeSidecar::connect(self.addr).unwrap()
     }
 
     /// Kills the program and starts it again under its address.
@@ -280,9 +280,9 @@
 }
 
 /// The code that a health check hears.
-pub fn check(sidecar: &mut Sidecar) -> u8 {
+pub fn check(sidecar: &mut FakeSidecar) -> u8 {
     sidecar.send(4, 0, &[("deep", "1")], b"").unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(heard.kind, 5);
     heard.code
 }
@@ -293,7 +293,13 @@
 }
 
 /// Sends a req whose stream and id are `number`.
-pub fn ask(sidecar: &mut Sidecar, number: u32, class: &str, more: &[(&str, &str)], body: &[u8]) {
+pub fn ask(
+    sidecar: &mut FakeSidecar,
+    number: u32,
+    class: &str,
+    more: &[(&str, &str)],
+    body: &[u8],
+) {
     let (id, at) = (id(number.into()), unix_ms().to_string());
     let mut fields = vec![
         ("class", class),
@@ -307,16 +313,16 @@
 }
 
 /// The engine's side of a run that is told to start now.
-pub fn started(link: &mut Link) -> String {
-    let (words, _) = link.order().unwrap();
+pub fn started(link: &mut FakeEngine) -> String {
+    let (words, _) = link.receive_command().unwrap();
     assert_eq!(words[0], "RUN", "{words:?}");
     words[1].clone()
 }
 
 /// The engine's side of a whole run: told to start, done with this result.
-pub fn run_through(link: &mut Link, notice: u64, result: &[u8]) {
+pub fn run_through(link: &mut FakeEngine, notice: u64, result: &[u8]) {
     let run = started(link);
-    link.say_with(&format!("DONE {notice} {run} fine 1"), result)
+    link.send_line_with_body(&format!("DONE {notice} {run} fine 1"), result)
         .unwrap();
 }
 
@@ -336,14 +342,14 @@
 
 /// The next req is served: what is still said of runs before it is passed over.
 pub fn serves(
-    link: &mut Link,
-    sidecar: &mut Sidecar,
+    link: &mut FakeEngine,
+    sidecar: &mut FakeSidecar,
     number: u32,
     class: &str,
     more: &[(&str, &str)],
 ) {
     ask(sidecar, number, class, more, b"");
-    let next = std::iter::repeat_with(|| link.order().unwrap().0)
+    let next = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
         .unwrap();
     assert_eq!(next[..2], ["RUN".to_string(), id(number.into())]);
@@ -351,14 +357,14 @@
 }
 
 /// The run of a req ends, and its result is heard.
-pub fn ends(link: &mut Link, sidecar: &mut Sidecar, number: u32) {
+pub fn ends(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
     let result = format!("result {number}");
-    link.say_with(
+    link.send_line_with_body(
         &format!("DONE {number} {} fine 1", id(number.into())),
         result.as_bytes(),
     )
     .unwrap();
-    let heard = sidecar.hear().unwrap();
+    let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.stream, heard.code, heard.body),
         (number, 1, result.into_bytes())
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/wire.rs
@@ -14,7 +14,7 @@
 use cottondyke::wire::WireId;
 use cottondyke::work::Output;
 use cottondyke_admission::types::RunOutcome;
-use cottondyke_test_support::peers::{frame, payload};
+use cottondyke_test_support::fakes::{frame, payload};
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use quickcheck::{quickcheck, TestResult};
 use std::fmt::Debug;
--- a/crates/test-support/src/dependency.rs
+++ b/crates/test-support/src/fake_dependency.rs
@@ -25,7 +25,7 @@
     /// Answers this long after the call came, whatever its usual time.
     Late(Duration),
     /// Answers with bodies of the wrong length, of 3 GB, noise, and errors.
-    Spoil,
+    Corrupt,
     /// Answers at once with an error.
     Fail,
     /// Survives fewer calls than usual: past this many, each takes longer by the square of how far.
@@ -36,23 +36,23 @@
 
 /// What it has counted.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct CallCounts {
     pub calls: u64,
-    pub held: u64,
+    pub in_flight: u64,
     /// Most calls held at one time, those whose callers went away among them for as long as they go on.
-    pub most_held: u64,
+    pub max_in_flight: u64,
     /// Calls of a req that had called before.
     pub extra: u64,
-    pub good: u64,
+    pub successes: u64,
     /// Most calls that came in any second.
-    pub most_a_second: usize,
+    pub max_per_second: usize,
     /// Seconds that calls were held, added up, by the first four digits of their reqs' ids.
     pub held_s: std::collections::BTreeMap<String, f64>,
 }
 
 /// How it behaves when nothing is wrong.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct FakeDependencyConfig {
     /// The usual time of a call, drawn from half of it to one and a half.
     pub time: Duration,
     /// Calls past this many slow each other down.
@@ -64,7 +64,7 @@
 
 struct State {
     fault: Fault,
-    counts: Counts,
+    counts: CallCounts,
     /// Calls of each req.
     seen: std::collections::HashMap<String, u32>,
     /// When the calls of the last second came.
@@ -73,7 +73,7 @@
 }
 
 struct Inner {
-    shape: Shape,
+    shape: FakeDependencyConfig,
     state: Mutex<State>,
     over: AtomicBool,
     number: AtomicU64,
@@ -88,23 +88,23 @@
 }
 
 /// A running stand-in; it ends when it is dropped.
-pub struct Dependency {
+pub struct FakeDependency {
     pub addr: SocketAddr,
     inner: Arc<Inner>,
 }
 
-impl Dependency {
-    pub fn start(shape: Shape) -> io::Result<Self> {
+impl FakeDependency {
+    pub fn start(shape: FakeDependencyConfig) -> io::Result<Self> {
         Self::start_at(([127, 0, 0, 1], 0).into(), shape)
     }
 
-    pub fn start_at(addr: SocketAddr, shape: Shape) -> io::Result<Self> {
+    pub fn start_at(addr: SocketAddr, shape: FakeDependencyConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(addr)?;
         let addr = listener.local_addr()?;
         let random = fastrand::Rng::with_seed(shape.seed);
         let state = State {
             fault: Fault::None,
-            counts: Counts::default(),
+            counts: CallCounts::default(),
             seen: Default::default(),
             came: Default::default(),
             random,
@@ -122,19 +122,19 @@
                 .stack_size(128 << 10)
                 .spawn(move || accept(&inner, &listener))?;
         }
-        Ok(Dependency { addr, inner })
+        Ok(FakeDependency { addr, inner })
     }
 
     pub fn set(&self, fault: Fault) {
         self.inner.state().fault = fault;
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CallCounts {
         self.inner.state().counts.clone()
     }
 }
 
-impl Drop for Dependency {
+impl Drop for FakeDependency {
     fn drop(&mut self) {
         self.inner.over.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.addr);
@@ -215,7 +215,7 @@
 impl Drop for Held<'_> {
     fn drop(&mut self) {
         let mut state = self.0.state();
-        state.counts.held -= 1;
+        state.counts.in_flight -= 1;
         *state
             .counts
             .held_s
@@ -245,14 +245,14 @@
             {
                 state.came.pop_front();
             }
-            state.counts.most_a_second = state.counts.most_a_second.max(state.came.len());
+            state.counts.max_per_second = state.counts.max_per_second.max(state.came.len());
             state.counts.calls += 1;
-            state.counts.held += 1;
-            state.counts.most_held = state.counts.most_held.max(state.counts.held);
+            state.counts.in_flight += 1;
+            state.counts.max_in_flight = state.counts.max_in_flight.max(state.counts.in_flight);
             let calls = state.seen.entry(asked.req).or_default();
             *calls += 1;
             state.counts.extra += u64::from(*calls > 1);
-            (state.fault, state.counts.held, state.random.f64())
+            (state.fault, state.counts.in_flight, state.random.f64())
         };
         let held_now = Held(inner, of, Instant::now());
         let crowd = (held as f64 / inner.shape.knee as f64).max(1.0);
@@ -285,7 +285,7 @@
                 return writer.shutdown(Shutdown::Both);
             }
             Fault::Fail => write!(writer, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")?,
-            Fault::Spoil => {
+            Fault::Corrupt => {
                 match number % 5 {
                     0 => write!(
                         writer,
@@ -315,7 +315,7 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 )?;
-                inner.state().counts.good += 1;
+                inner.state().counts.successes += 1;
             }
         }
     }
--- a/crates/test-support/src/peers.rs
+++ b/crates/test-support/src/fakes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// No peer waits longer than this for anything.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const IO_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub fn unix_ms() -> u64 {
     SystemTime::now()
@@ -17,13 +17,13 @@
 /// The next connection, within the peers' patience.
 pub fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     listener.set_nonblocking(true)?;
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + IO_TIMEOUT;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false)?;
                 stream.set_nodelay(true)?;
-                stream.set_read_timeout(Some(PATIENCE))?;
+                stream.set_read_timeout(Some(IO_TIMEOUT))?;
                 return Ok(stream);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock && Instant::now() < until => {
@@ -57,7 +57,7 @@
 
 /// What a sidecar hears.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Heard {
+pub struct ReceivedFrame {
     pub kind: u8,
     pub stream: u32,
     pub code: u8,
@@ -65,7 +65,7 @@
     pub body: Vec<u8>,
 }
 
-impl Heard {
+impl ReceivedFrame {
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
@@ -74,14 +74,14 @@
     }
 }
 
-pub struct Sidecar(pub TcpStream);
+pub struct FakeSidecar(pub TcpStream);
 
-impl Sidecar {
+impl FakeSidecar {
     pub fn connect(addr: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(addr)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        Ok(Sidecar(stream))
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        Ok(FakeSidecar(stream))
     }
 
     pub fn send(
@@ -96,14 +96,14 @@
     }
 
     /// The next frame; an error at the end of the connection.
-    pub fn hear(&mut self) -> io::Result<Heard> {
+    pub fn receive(&mut self) -> io::Result<ReceivedFrame> {
         let mut head = [0; 9];
         self.0.read_exact(&mut head)?;
         let mut rest =
             vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 5];
         self.0.read_exact(&mut rest)?;
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-        let mut heard = Heard {
+        let mut heard = ReceivedFrame {
             kind: head[4],
             stream,
             code: 0,
@@ -132,17 +132,17 @@
 }
 
 /// One link from the server, as the engine sees it.
-pub struct Link(pub BufReader<TcpStream>);
+pub struct FakeEngine(pub BufReader<TcpStream>);
 
 /// A command's words, and its body where it has one.
-pub type Command = (Vec<String>, Vec<u8>);
+pub type EngineCommand = (Vec<String>, Vec<u8>);
 
-impl Link {
+impl FakeEngine {
     pub fn accept(listener: &TcpListener) -> io::Result<Self> {
-        Ok(Link(BufReader::new(accept(listener)?)))
+        Ok(FakeEngine(BufReader::new(accept(listener)?)))
     }
 
-    pub fn command(&mut self) -> io::Result<Command> {
+    pub fn command(&mut self) -> io::Result<EngineCommand> {
         let mut line = String::new();
         if self.0.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
@@ -164,8 +164,8 @@
     }
 
     /// The next command that is no question for gauges; those are answered.
-    pub fn order(&mut self) -> io::Result<Command> {
-        let until = Instant::now() + PATIENCE;
+    pub fn receive_command(&mut self) -> io::Result<EngineCommand> {
+        let until = Instant::now() + IO_TIMEOUT;
         loop {
             if Instant::now() > until {
                 return Err(io::ErrorKind::TimedOut.into());
@@ -174,15 +174,15 @@
             if words[0] != "STAT" {
                 return Ok((words, body));
             }
-            self.say(&format!("STATS {} 0.5 1 0.1 3", words[1]))?;
+            self.send_line(&format!("STATS {} 0.5 1 0.1 3", words[1]))?;
         }
     }
 
-    pub fn say(&mut self, line: &str) -> io::Result<()> {
+    pub fn send_line(&mut self, line: &str) -> io::Result<()> {
         self.0.get_mut().write_all(format!("{line}\r\n").as_bytes())
     }
 
-    pub fn say_with(&mut self, line: &str, body: &[u8]) -> io::Result<()> {
+    pub fn send_line_with_body(&mut self, line: &str, body: &[u8]) -> io::Result<()> {
         let mut bytes = format!("{line} {}\r\n", body.len()).into_bytes();
         bytes.extend(body);
         bytes.extend(b"\r\n");
@@ -191,16 +191,16 @@
 }
 
 /// One connection to an HTTP service, as the service sees it.
-pub struct Service(pub BufReader<TcpStream>);
+pub struct FakeService(pub BufReader<TcpStream>);
 
 #[derive(Debug)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub line: String,
     pub headers: Vec<String>,
     pub body: Vec<u8>,
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -208,12 +208,12 @@
     }
 }
 
-impl Service {
+impl FakeService {
     pub fn accept(listener: &TcpListener) -> io::Result<Self> {
-        Ok(Service(BufReader::new(accept(listener)?)))
+        Ok(FakeService(BufReader::new(accept(listener)?)))
     }
 
-    pub fn asked(&mut self) -> io::Result<Asked> {
+    pub fn receive_request(&mut self) -> io::Result<ReceivedRequest> {
         let mut lines = Vec::new();
         loop {
             let mut line = String::new();
@@ -225,7 +225,7 @@
                 line => lines.push(line.to_string()),
             }
         }
-        let mut asked = Asked {
+        let mut asked = ReceivedRequest {
             line: lines.remove(0),
             headers: lines,
             body: Vec::new(),
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/faulty_link.rs
@@ -16,7 +16,7 @@
 
 /// What a direction does with bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     #[default]
     Open,
     /// Takes them and passes them on once it is open again.
@@ -31,7 +31,7 @@
 struct State {
     to: Option<SocketAddr>,
     /// From who dialled, and back to it.
-    ways: [Way; 2],
+    ways: [Direction; 2],
     /// Connections from before this many breaks are gone.
     breaks: u64,
     opened: u64,
@@ -53,13 +53,13 @@
 }
 
 /// A running link; it ends when it is dropped.
-pub struct Link {
+pub struct FaultyLink {
     /// Where to dial.
     pub addr: SocketAddr,
     inner: Arc<Inner>,
 }
 
-impl Link {
+impl FaultyLink {
     /// Leads nowhere until it is told.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
@@ -81,15 +81,15 @@
                     .spawn(move || carry(&inner, stream));
             }
         });
-        Ok(Link { addr, inner })
+        Ok(FaultyLink { addr, inner })
     }
 
     /// Where it leads from now on; what is open stays.
-    pub fn lead(&self, to: Option<SocketAddr>) {
+    pub fn set_target(&self, to: Option<SocketAddr>) {
         self.inner.state().to = to;
     }
 
-    pub fn set(&self, forth: Way, back: Way) {
+    pub fn set(&self, forth: Direction, back: Direction) {
         self.inner.state().ways = [forth, back];
     }
 
@@ -101,12 +101,12 @@
     }
 
     /// Breaks all that is open.
-    pub fn break_off(&self) {
+    pub fn reset_connections(&self) {
         self.inner.state().breaks += 1;
     }
 }
 
-impl Drop for Link {
+impl Drop for FaultyLink {
     fn drop(&mut self) {
         self.inner.over.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.addr);
@@ -121,7 +121,7 @@
     };
     let Some(to) = to else { return };
     // Nobody comes through a cut, in whichever direction it is.
-    let open = |inner: &Inner| !inner.state().ways.contains(&Way::Cut);
+    let open = |inner: &Inner| !inner.state().ways.contains(&Direction::Cut);
     let until = Instant::now() + CONNECT;
     while !open(inner) {
         if Instant::now() > until || inner.over.load(Ordering::Relaxed) {
@@ -181,19 +181,19 @@
             }
             continue;
         }
-        if broken || inner.over.load(Ordering::Relaxed) || lost && does != Way::Cut {
+        if broken || inner.over.load(Ordering::Relaxed) || lost && does != Direction::Cut {
             break;
         }
-        if does == Way::Stalled {
+        if does == Direction::Stalled {
             // What comes waits in the system's buffers, as it would before a peer that reads nothing.
             thread::sleep(LOOK);
             continue;
         }
         match from.read(&mut bytes) {
             Ok(0) => break,
-            Ok(_) if does == Way::Cut => lost = true,
+            Ok(_) if does == Direction::Cut => lost = true,
             Ok(count) => {
-                if let Way::Slow(span) = does {
+                if let Direction::Slow(span) = does {
                     thread::sleep(span);
                 }
                 if to.write_all(&bytes[..count]).is_err() {
--- a/examples/demo_platform/main.rs
+++ b/examples/demo_platform/main.rs
@@ -1,8 +1,8 @@
 //! A toy for trying the server: `toy` stands in for engine, records service and control plane, `toy send TEXT`
 //! sends one req as a sidecar would; addresses are those of `examples/config.json`. `toy shop [FAULT]` stands in for
 //! the dependencies of `examples/pages/shop.star`, the prices with a fault, and `toy browse TEXT` asks for its page.
-use cottondyke_test_support::dependency::{Dependency, Fault, Shape};
-use cottondyke_test_support::peers::*;
+use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig, Fault};
+use cottondyke_test_support::fakes::*;
 use std::io;
 use std::net::TcpListener;
 use std::thread;
@@ -13,23 +13,23 @@
 const CONTROL: &str = "127.0.0.1:8761";
 
 /// Every run asks for one call, and its result is the req's body and the call's reply.
-fn engine(mut link: Link) -> io::Result<()> {
+fn engine(mut link: FakeEngine) -> io::Result<()> {
     link.0.get_ref().set_read_timeout(None)?;
     let mut number = 0;
     let mut bodies = std::collections::BTreeMap::new();
     loop {
-        let (words, body) = match link.order() {
+        let (words, body) = match link.receive_command() {
             Err(error) if error.kind() == io::ErrorKind::TimedOut => continue,
             order => order?,
         };
         let word = |at: usize| words.get(at).map_or("", String::as_str);
         number += 1;
         match word(0) {
-            "ATTACH" => link.say("HELLO running 0")?,
+            "ATTACH" => link.send_line("HELLO running 0")?,
             "RUN" => {
                 println!("engine: runs {} of {}", word(1), word(2));
                 bodies.insert(word(1).to_string(), body);
-                link.say_with(
+                link.send_line_with_body(
                     &format!("NEED {number} {}", word(1)),
                     b"stock of everything",
                 )?;
@@ -38,14 +38,16 @@
                 let mut result = bodies.remove(word(1)).unwrap_or_default();
                 result.extend(b" - ");
                 result.extend(body);
-                link.say_with(&format!("DONE {number} {} fine 1.0", word(1)), &result)?;
+                link.send_line_with_body(&format!("DONE {number} {} fine 1.0", word(1)), &result)?;
             }
-            "HALT" => link.say_with(&format!("DONE {number} {} broken_off 1.0", word(1)), b"")?,
-            "SKIP" => link.say_with(
+            "HALT" => {
+                link.send_line_with_body(&format!("DONE {number} {} broken_off 1.0", word(1)), b"")?
+            }
+            "SKIP" => link.send_line_with_body(
                 &format!("DONE {number} {} fine 1.0", word(1)),
                 b"without the call",
             )?,
-            "TEST" => link.say(&format!("TESTED {} fine", word(1)))?,
+            "TEST" => link.send_line(&format!("TESTED {} fine", word(1)))?,
             _ => {}
         }
     }
@@ -54,8 +56,8 @@
 fn service(name: &'static str, listener: TcpListener, status: &'static str, reply: &'static [u8]) {
     for stream in listener.incoming().flatten() {
         thread::spawn(move || {
-            let mut service = Service(io::BufReader::new(stream));
-            while let Ok(asked) = service.asked() {
+            let mut service = FakeService(io::BufReader::new(stream));
+            while let Ok(asked) = service.receive_request() {
                 println!(
                     "{name}: {} {}",
                     asked.line,
@@ -79,7 +81,7 @@
     thread::spawn(move || service("records", records, "200 OK", b"all in stock"));
     thread::spawn(move || service("control", control, "204 No Content", b""));
     for stream in runs.incoming() {
-        if let Err(error) = engine(Link(io::BufReader::new(stream?))) {
+        if let Err(error) = engine(FakeEngine(io::BufReader::new(stream?))) {
             println!("engine: the link ended ({error})");
         }
     }
@@ -87,7 +89,7 @@
 }
 
 fn shop(fault: Fault) -> io::Result<()> {
-    let shape = |seed| Shape {
+    let shape = |seed| FakeDependencyConfig {
         time: std::time::Duration::from_millis(40),
         knee: 24,
         linger: std::time::Duration::from_millis(300),
@@ -95,7 +97,7 @@
     };
     let places = [8101, 8102, 8103].into_iter().zip(0..);
     let all: io::Result<Vec<_>> = places
-        .map(|(port, seed)| Dependency::start_at(([127, 0, 0, 1], port).into(), shape(seed)))
+        .map(|(port, seed)| FakeDependency::start_at(([127, 0, 0, 1], port).into(), shape(seed)))
         .collect();
     let all = all?;
     all[1].set(fault);
@@ -106,7 +108,7 @@
 }
 
 fn send(class: &str, text: &str) -> io::Result<()> {
-    let mut sidecar = Sidecar::connect(SERVER.parse().map_err(io::Error::other)?)?;
+    let mut sidecar = FakeSidecar::connect(SERVER.parse().map_err(io::Error::other)?)?;
     // Several that are started in the same millisecond differ by their process.
     let (id, at) = (
         format!("{:08x}{:08x}", std::process::id(), unix_ms() as u32),
@@ -122,7 +124,7 @@
         ("rank", "0.5000"),
     ];
     sidecar.send(1, 1, &fields, text.as_bytes())?;
-    let heard = sidecar.hear()?;
+    let heard = sidecar.receive()?;
     let code = match heard.code {
         1 => "done",
         0 => "shed",
