--- a/crates/chaos/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -1,4 +1,4 @@
-//! `cottondyke-lab`: plays trials of the real program among stand-ins on loopback.
+//! `cottondyke-chaos`: plays trials of the real program among stand-ins on loopback.
 mod fleet;
 mod load;
 mod outcome;
@@ -10,11 +10,11 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-cottondyke-lab - trials of cottondyke among stand-ins that fail by a seeded schedule
+cottondyke-chaos - trials of cottondyke among stand-ins that fail by a seeded schedule
 
-usage: cottondyke-lab trial NAME [--seed N] [--without DEFENCE] [--seconds S] [--verbose]
-       cottondyke-lab sizes [--seed N] [--members M]
-       cottondyke-lab worlds [--seed N] [--count K] [--members M] [--without DEFENCE] [--verbose]
+usage: cottondyke-chaos run NAME [--seed N] [--without DEFENCE] [--seconds S] [--verbose]
+       cottondyke-chaos scale [--seed N] [--members M]
+       cottondyke-chaos simulate [--seed N] [--count K] [--members M] [--without DEFENCE] [--verbose]
 
 trials:
   dependencies   3 nodes and 4 dependencies that hang, slow down, reset, answer late and spoil;
@@ -25,9 +25,9 @@
   budgets        8 instances that share a ceiling, links cut and stalled, processes stopped, killed and without their
                  disk; --without lease, fence, linger or need
 
-sizes: quiet simulated worlds of 10, 100 and 1,000 members (M at the most): what they cost, how quick they are
+scale: quiet simulated worlds of 10, 100 and 1,000 members (M at the most): what they cost, how quick they are
 
-worlds: K simulated worlds (default 100) of 5 to M members (default 100) from seed N on, the sum of units in
+simulate: K simulated worlds (default 100) of 5 to M members (default 100) from seed N on, the sum of units in
   use held against the whole after every step; --without lease, fence, linger or need
 
 options:
@@ -92,14 +92,23 @@
         }
     }
     match (command.as_deref(), name) {
-        (Some("trial"), Some(name)) => Ok(Some((name, usage))),
-        (Some(simulated @ ("worlds" | "sizes")), None) => Ok(Some((simulated.to_string(), usage))),
-        (Some("trial"), None) => Err("trial: which one?".into()),
+        (Some("run"), Some(name)) => Ok(Some((name, usage))),
+        (Some(simulated @ ("simulate" | "scale")), None) => Ok(Some((simulated.to_string(), usage))),
+        (Some("run"), None) => Err("run: which experiment?".into()),
         (Some(other), _) => Err(format!("unknown command {other:?}").into()),
         (None, _) => Ok(None),
     }
 }
 
+/// The value of `trial` in the line that is printed, which tools read: it outlives the names of commands.
+fn trial_name(experiment: &str) -> &str {
+    match experiment {
+        "simulate" => "worlds",
+        "scale" => "sizes",
+        other => other,
+    }
+}
+
 fn main() -> ExitCode {
     let (name, usage) = match usage() {
         Ok(Some(usage)) => usage,
@@ -108,30 +117,30 @@
             return ExitCode::SUCCESS;
         }
         Err(wrong) => {
-            eprintln!("cottondyke-lab: {wrong}; see cottondyke-lab --help");
+            eprintln!("cottondyke-chaos: {wrong}; see cottondyke-chaos --help");
             return ExitCode::from(2);
         }
     };
     let played: std::io::Result<Outcome> = match name.as_str() {
-        "sizes" => world::sizes(&usage),
-        "worlds" => world::play(&usage),
+        "scale" => world::sizes(&usage),
+        "simulate" => world::play(&usage),
         "budgets" => trials::budgets::play(&usage),
         "dependencies" => trials::dependencies::play(&usage),
         "calm" => trials::calm::play(&usage),
         "restarts" => trials::restarts::play(&usage),
         _ => {
-            eprintln!("cottondyke-lab: unknown trial {name:?}; see cottondyke-lab --help");
+            eprintln!("cottondyke-chaos: unknown trial {name:?}; see cottondyke-chaos --help");
             return ExitCode::from(2);
         }
     };
     match played {
         Ok(outcome) => {
-            println!("{}", outcome.line(&name, &usage));
+            println!("{}", outcome.line(trial_name(&name), &usage));
             ExitCode::from(u8::from(!outcome.pass()))
         }
         Err(error) => {
             let bad = error.kind() == std::io::ErrorKind::InvalidInput;
-            eprintln!("cottondyke-lab: {name}: {error}");
+            eprintln!("cottondyke-chaos: {name}: {error}");
             ExitCode::from(if bad { 2 } else { 1 })
         }
     }
