--- a/crates/chaos/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -93,7 +93,9 @@
     }
     match (command.as_deref(), name) {
         (Some("run"), Some(name)) => Ok(Some((name, usage))),
-        (Some(simulated @ ("simulate" | "scale")), None) => Ok(Some((simulated.to_string(), usage))),
+        (Some(simulated @ ("simulate" | "scale")), None) => {
+            Ok(Some((simulated.to_string(), usage)))
+        }
         (Some("run"), None) => Err("run: which experiment?".into()),
         (Some(other), _) => Err(format!("unknown command {other:?}").into()),
         (None, _) => Ok(None),
--- a/crates/chaos/src/world.rs
+++ b/crates/chaos/src/world.rs
@@ -6,7 +6,7 @@
 use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
 use cottondyke_consensus::{PersistedState, ReplicaId, StorageOperation};
 use cottondyke_membership::MemberState;
-use cottondyke_quota::{Holder, LeaseConfig, Safeguards, Usage};
+use cottondyke_quota::{BudgetSpec, Holder, LeaseConfig, Safeguards, Usage};
 use cottondyke_types::Time;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -251,7 +251,11 @@
             probe_interval: Time(PROBE),
             suspicion_enabled: true,
             budgets: [BUDGET, BESIDE]
-                .map(|name| (name.to_string(), self.rules.whole, Time(LINGER)))
+                .map(|name| BudgetSpec {
+                    name: name.to_string(),
+                    units: self.rules.whole,
+                    post_cancel_grace: Time(LINGER),
+                })
                 .into(),
             lease_config: terms,
             seed: self.random.u64(..),
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -5,8 +5,8 @@
 };
 use cottondyke_membership::{self as peers, Member, MemberStatus, Membership};
 use cottondyke_quota::{
-    Command, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager, LeaseRequest, QuarantinedQuota,
-    QuotaTable, Usage, MAX_HOLDERS,
+    BudgetSpec, Command, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager, LeaseRequest,
+    QuarantinedQuota, QuotaTable, Usage, MAX_HOLDERS,
 };
 use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
@@ -63,8 +63,7 @@
     pub suspicion_enabled: bool,
     /// The keepers' names and addresses, alike in every instance's file.
     pub replicas: BTreeMap<String, SocketAddr>,
-    /// Name, units and linger of each budget.
-    pub budgets: Vec<(String, u32, Time)>,
+    pub budgets: Vec<BudgetSpec>,
     pub lease_config: LeaseConfig,
     pub seed: u64,
 }
@@ -204,7 +203,7 @@
             setup.previous_incarnation,
             setup.lease_config,
         );
-        shares.set_budgets(setup.budgets.iter().map(|(name, ..)| name.clone()));
+        shares.set_budgets(setup.budgets.iter().map(|spec| spec.name.clone()));
         let own = setup
             .replicas
             .keys()
@@ -245,12 +244,12 @@
         &mut self,
         now: Time,
         keepers: BTreeMap<String, SocketAddr>,
-        wholes: Vec<(String, u32, Time)>,
+        budgets: Vec<BudgetSpec>,
     ) -> Vec<Output> {
         self.shares
-            .set_budgets(wholes.iter().map(|(name, ..)| name.clone()));
+            .set_budgets(budgets.iter().map(|spec| spec.name.clone()));
         self.peers.set_seeds(keepers.clone().into_iter().collect());
-        (self.setup.replicas, self.setup.budgets) = (keepers, wholes);
+        (self.setup.replicas, self.setup.budgets) = (keepers, budgets);
         self.asked = 0;
         self.after(now)
     }
@@ -437,7 +436,7 @@
 
     /// The budgets of the file in force.
     pub fn budget_names(&self) -> impl Iterator<Item = &String> {
-        self.setup.budgets.iter().map(|(name, ..)| name)
+        self.setup.budgets.iter().map(|spec| &spec.name)
     }
 
     /// For operators, as this instance sees it.
@@ -467,7 +466,7 @@
             .setup
             .budgets
             .iter()
-            .map(|(name, ..)| (name.clone(), self.shares.available(now, name)));
+            .map(|spec| (spec.name.clone(), self.shares.available(now, &spec.name)));
         let back = self
             .quarantined(now)
             .into_iter()
@@ -780,7 +779,7 @@
             self.out
                 .push(Output::Notify(ClusterEvent::LeaseChanged(live)));
         }
-        for (budget, ..) in &self.setup.budgets {
+        for BudgetSpec { name: budget, .. } in &self.setup.budgets {
             let share = self.shares.available(now, budget);
             let before = self.known.insert(budget.clone(), share).unwrap_or(0);
             if before != share {
--- a/crates/operator-config/src/validate.rs
+++ b/crates/operator-config/src/validate.rs
@@ -3,6 +3,7 @@
 use crate::model::*;
 use crate::{ConfigError, SourceLocation};
 use cottondyke_dependency::{self as depend, RESERVE};
+use cottondyke_quota::BudgetSpec;
 use cottondyke_types::Time;
 use std::rc::Rc;
 
@@ -94,11 +95,21 @@
         Time(dependency.budget + dependency.budget / 2 + dependency.linger)
     }
 
-    /// What each member may be lent: name of the budget, units, and how long one is in use after its share ended.
-    pub fn shared_budgets(&self) -> Vec<(String, u32, Time)> {
-        let of = |d: &Dependency| (budget_of(&d.name), d.ceiling as u32, self.longest_call(d));
+    /// The budgets that all instances share: calls in flight, and calls a second where a rate is set.
+    pub fn shared_budgets(&self) -> Vec<BudgetSpec> {
+        let of = |d: &Dependency| BudgetSpec {
+            name: budget_of(&d.name),
+            units: d.ceiling as u32,
+            post_cancel_grace: self.longest_call(d),
+        };
         let shared = || self.dependencies.iter().filter(|d| !d.own);
-        let rate = |d: &Dependency| Some((rate_of(&d.name), d.rate? as u32, depend::RATE_WINDOW));
+        let rate = |d: &Dependency| {
+            Some(BudgetSpec {
+                name: rate_of(&d.name),
+                units: d.rate? as u32,
+                post_cancel_grace: depend::RATE_WINDOW,
+            })
+        };
         shared().map(of).chain(shared().filter_map(rate)).collect()
     }
 
--- a/crates/quota/src/lease_manager.rs
+++ b/crates/quota/src/lease_manager.rs
@@ -5,7 +5,7 @@
 //! answers an asking only once a majority confirmed, after it came, that it still leads; so a later leader began
 //! after that, and it waits a whole lease from there before it takes a share whose holder it has not heard itself.
 use crate::{
-    allocate, Budget, Claim, Command, Demand, Epoch, GrantedQuota, Holder, LeaseConfig,
+    allocate, Budget, BudgetSpec, Claim, Command, Demand, Epoch, GrantedQuota, Holder, LeaseConfig,
     LeaseRequest, LeaseResponse, Nonce, Quota, QuotaTable, MAX_CLOCK_DRIFT,
 };
 use cottondyke_types::Time;
@@ -384,12 +384,12 @@
         self.divided + self.terms.lease_duration.scaled(part)
     }
 
-    /// What to propose now; `wholes` are the leader's file: name, units, linger.
+    /// What to propose now; `budgets` are those of the leader's file.
     pub fn plan_commands(
         &mut self,
         now: Time,
         table: &QuotaTable,
-        wholes: &[(String, u32, Time)],
+        budgets: &[BudgetSpec],
     ) -> Vec<Command> {
         let Some(since) = self.since else {
             return Vec::new();
@@ -402,25 +402,25 @@
             return Vec::new();
         }
         let mut out = Vec::new();
-        for (budget, units, linger) in wholes {
-            let stands = table.budgets.get(budget);
+        for spec in budgets {
+            let stands = table.budgets.get(&spec.name);
             let same = |w: &Budget| {
-                w.units == *units
-                    && (w.post_cancel_grace() == *linger
-                        || w.post_cancel_grace() > *linger && !w.quotas.is_empty())
+                w.units == spec.units
+                    && (w.post_cancel_grace() == spec.post_cancel_grace
+                        || w.post_cancel_grace() > spec.post_cancel_grace && !w.quotas.is_empty())
             };
             if !stands.is_some_and(same) {
                 out.push(Command::SetBudget {
-                    budget: budget.clone(),
-                    units: *units,
-                    post_cancel_grace: linger.0,
+                    budget: spec.name.clone(),
+                    units: spec.units,
+                    post_cancel_grace: spec.post_cancel_grace.0,
                 });
             }
         }
         if !table.open {
-            let linger = wholes
+            let linger = budgets
                 .iter()
-                .map(|(_, _, linger)| *linger)
+                .map(|spec| spec.post_cancel_grace)
                 .max()
                 .unwrap_or_default();
             if now >= since + self.lease_here() + linger {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -60,6 +60,16 @@
     }
 }
 
+/// A budget as the operator's file declares it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BudgetSpec {
+    pub name: String,
+    /// What all members may use together.
+    pub units: u32,
+    /// How long a unit may stay in use after its holder's lease has ended.
+    pub post_cancel_grace: Time,
+}
+
 /// Numbers the askings of one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Nonce(pub u64);
--- a/crates/quota/tests/lease_manager.rs
+++ b/crates/quota/tests/lease_manager.rs
@@ -1,7 +1,7 @@
 //! Interleavings of the leader's part, written down.
 use cottondyke_quota::{
-    Command, Demand, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager, LeaseRequest, Nonce,
-    QuotaTable, Safeguards, Usage,
+    BudgetSpec, Command, Demand, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager,
+    LeaseRequest, Nonce, QuotaTable, Safeguards, Usage,
 };
 use cottondyke_types::Time;
 
@@ -60,7 +60,11 @@
 #[test]
 fn a_taking_that_a_raise_overtook_is_forgotten() {
     let (mut granter, mut table) = leader();
-    let wholes = [("calls".to_string(), 8, Time(0))];
+    let wholes = [BudgetSpec {
+        name: "calls".to_string(),
+        units: 8,
+        post_cancel_grace: Time(0),
+    }];
     granter.handle_request(Time(1), ask(1, Epoch(0)));
     let raise = granter.plan_commands(Time(1), &table, &wholes);
     table.apply(&raise[0]).unwrap();
@@ -98,7 +102,11 @@
 #[test]
 fn what_is_kept_back_stays_though_its_taking_is_applied_late() {
     let (mut granter, mut table) = leader();
-    let wholes = [("calls".to_string(), 8, Time(0))];
+    let wholes = [BudgetSpec {
+        name: "calls".to_string(),
+        units: 8,
+        post_cancel_grace: Time(0),
+    }];
     granter.handle_request(Time(1), ask(1, Epoch(0)));
     table
         .apply(&granter.plan_commands(Time(1), &table, &wholes)[0])
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -112,7 +112,11 @@
     }
 
     fn lead(&self, world: &mut World, kept: usize) {
-        let wholes = [(BUDGET.to_string(), WHOLE, LINGER)];
+        let wholes = [BudgetSpec {
+            name: BUDGET.to_string(),
+            units: WHOLE,
+            post_cancel_grace: LINGER,
+        }];
         world.proposed.extend(
             world
                 .granter
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -54,10 +54,6 @@
     _home: Option<disk::Home>,
 }
 
-fn wholes(operator: &OperatorConfig) -> Vec<(String, u32, Time)> {
-    operator.shared_budgets()
-}
-
 /// One port for links and datagrams. Where the system chooses it, one that is free for links may be taken for
 /// datagrams: then another is tried.
 fn bind(addr: SocketAddr) -> std::io::Result<(Async<TcpListener>, Async<UdpSocket>)> {
@@ -133,7 +129,7 @@
         },
         previous_incarnation: former,
         replicas: peers.keepers.iter().cloned().collect(),
-        budgets: wholes(operator),
+        budgets: operator.shared_budgets(),
         lease_config: terms,
         seed: seed ^ life,
     };
@@ -265,7 +261,7 @@
         let Some(peers) = &operator.peers else { return };
         let keepers = peers.keepers.iter().cloned().collect();
         self.links.keep(peers.keepers.iter().map(|(_, addr)| *addr));
-        self.with(|instance| instance.reconfigure(now, keepers, wholes(operator)));
+        self.with(|instance| instance.reconfigure(now, keepers, operator.shared_budgets()));
     }
 
     /// What of the file's `peers` cannot change while the program runs.
