--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,7 @@
 //! The bench's wire on standard input and output: decodes events into calls on the decider of their instance
 //! and encodes what it returns. One decider for each instance, nothing shared, nothing decided here.
+#![expect(unreachable_pub, reason = "not yet read through; see docs/ROADMAP.md")]
+
 mod decode;
 mod encode;
 
--- a/crates/chaos/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -1,4 +1,11 @@
 //! `cottondyke-chaos`: plays trials of the real program among stand-ins on loopback.
+#![expect(
+    missing_docs,
+    unreachable_pub,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 mod fleet;
 mod load;
 mod outcome;
--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -1,4 +1,6 @@
 //! The bytes of what instances say to each other and propose to the registry, as the versions in use write them.
+#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+
 use cottondyke_cluster::{Message, QuotaStateMachine};
 use cottondyke_consensus::{BootstrapProbe, ReplicaId, StateMachine};
 use cottondyke_membership::{Effect, Member, MemberState, MemberStatus, Membership};
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,6 +4,13 @@
 //!
 //! A keeper's number is made with its store and dies with it: one that lost its disk comes back under another, so
 //! it never votes twice in one term. It joins as a learner, and takes its own former place once it has caught up.
+#![expect(
+    missing_docs,
+    unreachable_pub,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 mod bootstrap;
 mod log;
 mod replica;
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -6,6 +6,12 @@
 //! fall-backs in their order. Between a part and a dependency stands the dependency's `DependencyGate`: an adaptive
 //! concurrency limit, a circuit breaker, what was learned of its latency, and the retry budget from which hedges
 //! and repeats are paid.
+#![expect(
+    missing_docs,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 pub mod aggregator;
 pub mod circuit_breaker;
 pub mod concurrency_limiter;
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -1,5 +1,7 @@
 //! Seeded random runs against a model of the dependencies that counts by itself: what is held there, extra calls,
 //! and the ends of runs. Every step is audited.
+#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+
 use cottondyke_dependency::*;
 use cottondyke_types::{RequestId, TenantId, Time};
 use std::collections::BTreeMap;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,6 +4,8 @@
 //! A member is found dead `SUSPECTED` probe periods after it was first suspected, and suspected within about two; so a
 //! dead one is out of all lists after `DEAD_WITHIN` probe periods. One that is slow or hard to reach has that long to
 //! refute it.
+#![expect(missing_docs, reason = "not yet read through; see docs/ROADMAP.md")]
+
 use cottondyke_types::Time;
 use foca::{
     Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,5 +1,12 @@
 //! The operator's file as values: what a Starlark script declared (`cottondyke-script` evaluates it) becomes typed,
 //! and is held against itself and the handlers. Every error names file, line and value, and what was expected.
+#![expect(
+    missing_docs,
+    unreachable_pub,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 mod arguments;
 mod model;
 mod validate;
--- a/crates/quota/src/lease_manager.rs
+++ b/crates/quota/src/lease_manager.rs
@@ -214,7 +214,7 @@
     /// What a holder may use: its share, or less where it is to shrink.
     fn amount(&self, budget: &str, holder: &Holder, table: &QuotaTable) -> Option<GrantedQuota> {
         let Quota {
-            amount: amount,
+            amount,
             epoch,
             fenced,
         } = *table.budgets.get(budget)?.quotas.get(holder)?;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,6 +6,12 @@
 //! share, and none once its lease is over, counted on its own clock from before it asked. The table lowers a share
 //! only where its holder said that it holds no more, or where the lease and the longest that a unit can linger are
 //! over on the leader's clock, with `MAX_CLOCK_DRIFT` between the two clocks.
+#![expect(
+    missing_docs,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 mod allocate;
 mod lease_holder;
 mod lease_manager;
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -164,7 +164,7 @@
                 whole.quotas.insert(
                     holder.clone(),
                     Quota {
-                        amount: amount,
+                        amount,
                         epoch,
                         fenced: false,
                     },
@@ -210,7 +210,7 @@
                     whole.quotas.remove(holder);
                 } else {
                     *share = Quota {
-                        amount: amount,
+                        amount,
                         epoch,
                         fenced: true,
                     };
--- a/crates/quota/tests/lease_manager.rs
+++ b/crates/quota/tests/lease_manager.rs
@@ -1,4 +1,6 @@
 //! Interleavings of the leader's part, written down.
+#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+
 use cottondyke_quota::{
     BudgetSpec, Command, Demand, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager,
     LeaseRequest, Nonce, QuotaTable, Safeguards, Usage,
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -1,6 +1,8 @@
 //! Runs a script within bounds of steps, depth, heap and files, and records what it declares. Nothing is opened but
 //! the script and what it loads from its folder. The heap is only looked at now and then, and no interpreter bounds
 //! one allocation: the program beside this library runs it under the system's limits.
+#![expect(missing_docs, reason = "not yet read through; see docs/ROADMAP.md")]
+
 use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation, AT, MADE};
 use serde_json::{json, Value as Json};
 use starlark::collections::SmallMap;
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,4 +1,6 @@
 //! Scripts, good and bad: each bad one with the place and the words of its error.
+#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+
 use cottondyke_operator_config::{operator, ConfigError, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,4 +1,9 @@
 //! The program: `serve`, `check`, `version`.
+#![expect(
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 use cottondyke::sources::Sources;
 use cottondyke::{config::Config, drain, fleet, serve};
 use lexopt::prelude::*;
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -1,6 +1,8 @@
 //! What the program says on its command line, word for word: each command, each key of the platform's
 //! configuration (`golden/config.txt`: changes, then the answer after `=>`), and what `peers` prints.
 //! The evaluator `cottondyke-script` must lie beside the program: `cargo build -p cottondyke-script`.
+#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+
 use cottondyke::fleet::look::shown;
 use cottondyke::wire::peers::encode;
 use cottondyke_cluster::{Message, NodeStatus};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,11 @@
 //! From the start-up settings of an instance to a decider: each part is handed its own few. The adapter and
 //! the server both build theirs here.
+#![expect(
+    missing_docs,
+    clippy::too_many_lines,
+    reason = "not yet read through; see docs/ROADMAP.md"
+)]
+
 use cottondyke_admission::policy::*;
 use cottondyke_admission::types::*;
 use serde_json::Value;
