--- a/crates/server/src/fleet/disk.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -29,14 +29,14 @@
 }
 
 /// While it is held no other process runs from the folder: so the life that is noted there is over.
-pub struct Home {
+pub struct DataDirectory {
     folder: PathBuf,
     pub life: u64,
     pub former: Option<u64>,
     _lock: File,
 }
 
-impl Home {
+impl DataDirectory {
     pub fn open(folder: &str) -> Result<Self, String> {
         let folder = PathBuf::from(folder);
         let wrong = |e: io::Error| format!("data = {:?}: {e}", folder.display().to_string());
@@ -59,7 +59,7 @@
         };
         let life = former.map_or_else(fresh, |former| fresh().max(former + 1));
         note(&folder, life).map_err(wrong)?;
-        Ok(Home {
+        Ok(DataDirectory {
             life,
             former,
             _lock: lock,
@@ -84,9 +84,9 @@
 }
 
 /// The thread that writes. What waits is written in one step.
-pub struct Writer(Sender<StorageOperation>);
+pub struct StorageThread(Sender<StorageOperation>);
 
-impl Writer {
+impl StorageThread {
     pub fn start(mut disk: SqliteStorage) -> io::Result<(Self, Receiver<Result<u64, String>>)> {
         let (to_disk, writes) = async_channel::unbounded::<StorageOperation>();
         let (told, stored) = async_channel::unbounded();
@@ -104,7 +104,7 @@
                     }
                 }
             })?;
-        Ok((Writer(to_disk), stored))
+        Ok((StorageThread(to_disk), stored))
     }
 
     /// Bounded by raft itself, which proposes no more than a megabyte that is not agreed.
--- a/crates/server/src/fleet/links.rs
+++ b/crates/server/src/cluster/links.rs
@@ -1,7 +1,7 @@
 //! Links between instances: one TCP connection a pair, dialled by whoever has something to say to an address of the
 //! file, and used in both directions. Words may be lost with a link; none waits long.
-use super::Fleet;
-use crate::wire::peers::{encode, Decoder};
+use super::ClusterDriver;
+use crate::protocol::peers::{encode, Decoder};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -48,7 +48,7 @@
             .retain(|addr, link| link._dialling.is_none() || known.contains(addr));
     }
 
-    pub fn send(&self, fleet: &Fleet, to: SocketAddr, word: &[u8]) {
+    pub fn send(&self, fleet: &ClusterDriver, to: SocketAddr, word: &[u8]) {
         let mut open = self.open.borrow_mut();
         if !open.contains_key(&to) {
             let dials = fleet.own.keepers.iter().any(|(_, addr)| *addr == to)
@@ -78,7 +78,7 @@
 }
 
 /// Keeps a link to an address of the file.
-async fn dial(fleet: Rc<Fleet>, to: SocketAddr, words: Receiver<Vec<u8>>) {
+async fn dial(fleet: Rc<ClusterDriver>, to: SocketAddr, words: Receiver<Vec<u8>>) {
     let mut pause = SHORTEST_PAUSE;
     loop {
         let connecting = async { Async::<TcpStream>::connect(to).await.ok() };
@@ -97,7 +97,7 @@
 
 /// Words in both directions until the link breaks; true if any came.
 async fn carry(
-    fleet: &Fleet,
+    fleet: &ClusterDriver,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
     words: &Receiver<Vec<u8>>,
@@ -145,7 +145,7 @@
 }
 
 /// Takes links from other instances, and from operators who look.
-pub async fn accept(fleet: Rc<Fleet>, listener: Async<TcpListener>) {
+pub async fn accept(fleet: Rc<ClusterDriver>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             Timer::after(LONGEST_PAUSE).await;
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,10 +1,10 @@
 //! This instance among others, on sockets and a disk. What is decided is in `cottondyke_cluster`; here its effects
 //! become words on links and writes, and its shares reach the gates. Without `peers(...)` nothing of it exists.
-mod disk;
+mod data_dir;
 mod links;
-pub mod look;
+pub mod status;
 
-use crate::time::Clock;
+use crate::clock::Clock;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
@@ -32,26 +32,26 @@
     worth: f64,
 }
 
-pub struct Fleet {
+pub struct ClusterDriver {
     instance: RefCell<ClusterNode>,
     lent: RefCell<BTreeMap<String, Rc<LeasedQuota>>>,
     learnt: RefCell<BTreeMap<String, Learnt>>,
     clock: Clock,
     links: links::Links,
     datagrams: Async<UdpSocket>,
-    disk: Option<disk::Writer>,
+    disk: Option<data_dir::StorageThread>,
     executor: Rc<LocalExecutor<'static>>,
     own: Peers,
-    this: Weak<Fleet>,
+    this: Weak<ClusterDriver>,
 }
 
 /// What is started with the program: the fleet, and the tasks that it needs.
-pub struct Started {
-    pub fleet: Rc<Fleet>,
+pub struct StartedCluster {
+    pub fleet: Rc<ClusterDriver>,
     listener: Async<TcpListener>,
     stored: Option<async_channel::Receiver<Result<u64, String>>>,
     /// Keeps other processes out of the folder.
-    _home: Option<disk::Home>,
+    _home: Option<data_dir::DataDirectory>,
 }
 
 /// One port for links and datagrams. Where the system chooses it, one that is free for links may be taken for
@@ -76,7 +76,7 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     seed: u64,
-) -> Result<Started, String> {
+) -> Result<StartedCluster, String> {
     let at = |what: String| format!("{}:{}: peers: {what}", peers.at.file, peers.at.line);
     let (listener, datagrams) = bind(peers.listen).map_err(|e| {
         at(format!(
@@ -87,26 +87,28 @@
     let home = peers
         .data
         .as_ref()
-        .map(|folder| disk::Home::open(folder))
+        .map(|folder| data_dir::DataDirectory::open(folder))
         .transpose()
         .map_err(at)?;
     let keeps = peers.keepers.iter().any(|(name, _)| *name == peers.name);
     let opened = home
         .as_ref()
         .filter(|_| keeps)
-        .map(disk::Home::registry)
+        .map(data_dir::DataDirectory::registry)
         .transpose()
         .map_err(at)?;
     let (writer, saved, stored) = match opened {
         Some((db, saved)) => {
-            let (writer, stored) = disk::Writer::start(db).map_err(|e| at(e.to_string()))?;
+            let (writer, stored) =
+                data_dir::StorageThread::start(db).map_err(|e| at(e.to_string()))?;
             (Some(writer), Some(saved), Some(stored))
         }
         None => (None, None, None),
     };
-    let (life, former) = home
-        .as_ref()
-        .map_or_else(|| (disk::fresh(), None), |home| (home.life, home.former));
+    let (life, former) = home.as_ref().map_or_else(
+        || (data_dir::fresh(), None),
+        |home| (home.life, home.former),
+    );
     let terms = LeaseConfig {
         lease_duration: Time(peers.lease),
         max_process_pause: Time(peers.longest_stop),
@@ -134,7 +136,7 @@
         seed: seed ^ life,
     };
     let instance = ClusterNode::new(setup, saved.as_ref()).map_err(at)?;
-    let fleet = Rc::new_cyclic(|this| Fleet {
+    let fleet = Rc::new_cyclic(|this| ClusterDriver {
         this: this.clone(),
         instance: RefCell::new(instance),
         lent: RefCell::default(),
@@ -147,7 +149,7 @@
         own: peers.clone(),
     });
     tracing::info!(name = peers.name, life, listen = %bound, "among peers");
-    Ok(Started {
+    Ok(StartedCluster {
         fleet,
         listener,
         stored,
@@ -155,10 +157,10 @@
     })
 }
 
-impl Started {
+impl StartedCluster {
     /// Serves the links, the disk and the instance's own timers; does not end.
     pub async fn run(self) {
-        let Started {
+        let StartedCluster {
             fleet,
             listener,
             stored,
@@ -195,7 +197,7 @@
     }
 }
 
-impl Fleet {
+impl ClusterDriver {
     /// The share of each dependency goes into the plan.
     pub fn lend(&self, plan: &mut Plan) {
         let now = self.clock.now();
@@ -281,7 +283,7 @@
     }
 
     /// For the tasks of its links.
-    fn this(&self) -> Option<Rc<Fleet>> {
+    fn this(&self) -> Option<Rc<ClusterDriver>> {
         self.this.upgrade()
     }
 
--- a/crates/server/src/fleet/look.rs
+++ b/crates/server/src/cluster/status.rs
@@ -1,5 +1,5 @@
 //! `cottondyke peers ADDR`: asks a running instance what it knows.
-use crate::wire::peers::{encode, Decoder};
+use crate::protocol::peers::{encode, Decoder};
 use cottondyke_cluster::{Message, NodeStatus};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 
 const LIMIT: Duration = Duration::from_secs(3);
 
-pub fn look(addr: SocketAddr) -> Result<NodeStatus, String> {
+pub fn query(addr: SocketAddr) -> Result<NodeStatus, String> {
     let wrong = |e: std::io::Error| format!("{addr}: {e}");
     let mut stream = TcpStream::connect_timeout(&addr, LIMIT).map_err(wrong)?;
     stream.set_read_timeout(Some(LIMIT)).map_err(wrong)?;
@@ -39,7 +39,7 @@
 }
 
 /// For people.
-pub fn shown(view: &NodeStatus) -> String {
+pub fn render(view: &NodeStatus) -> String {
     let mut text = String::new();
     let part = match (view.is_leader, view.is_replica) {
         (true, _) => "leads the registry",
--- a/crates/server/src/sources.rs
+++ b/crates/server/src/config/files.rs
@@ -2,7 +2,7 @@
 //! missing. The script is evaluated by another program under the system's limits, since no interpreter bounds what
 //! one step may take, and since this one would carry the interpreter's memory for ever.
 use crate::config::Config;
-use cottondyke_operator_config::{ConfigError, OperatorConfig};
+use cottondyke_operator_config::{ConfigError as OperatorConfigError, OperatorConfig};
 use std::io::Read;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -17,12 +17,12 @@
 
 /// Where the files are.
 #[derive(Clone, Debug, Default)]
-pub struct Sources {
+pub struct ConfigFiles {
     pub config: Option<String>,
     pub operator: Option<String>,
 }
 
-impl Sources {
+impl ConfigFiles {
     pub fn read(&self) -> Result<Config, String> {
         let operator = self.operator.as_deref().map(evaluated).transpose()?;
         match (&self.config, operator) {
@@ -80,7 +80,7 @@
             "{EVALUATOR} ended with {status}: expected the script to need less"
         )));
     }
-    let result: Result<OperatorConfig, ConfigError> =
+    let result: Result<OperatorConfig, OperatorConfigError> =
         serde_json::from_slice(&text).map_err(|e| broke(e.to_string()))?;
     result.map_err(|wrong| wrong.to_string())
 }
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,5 +1,7 @@
 //! What the program is told at its start.
-use crate::time::span_of_ms;
+pub mod files;
+
+use crate::clock::span_of_ms;
 use cottondyke_admission::policy::AdmissionController;
 use cottondyke_operator_config::{Effect, HandlerSpec, OperatorConfig, SourceLocation};
 use cottondyke_settings::{self as settings, WireNames, Wrong};
--- a/crates/server/src/intake.rs
+++ b/crates/server/src/connection/reader.rs
@@ -1,9 +1,9 @@
 //! One sidecar's connection: reads frames and hands them to the desk, writes what the desk answers.
-use crate::answer::{self, Outgoing, Progress, Written};
-use crate::input::{ConnId, Input};
-use crate::room::Room;
-use crate::wire::sidecar::{Decoder, Message, Names};
-use crate::wire::Malformed;
+use crate::connection::writer::{self, Progress, WriteOutcome};
+use crate::event::{ConnectionId, Event, Outgoing};
+use crate::protocol::sidecar::{Decoder, Frame, NameTable};
+use crate::protocol::ProtocolError;
+use crate::resource_limits::ResourceLimits;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
@@ -27,10 +27,10 @@
 const LINGER: Duration = Duration::from_millis(2_000);
 
 /// What every connection is served with.
-pub struct Front {
-    pub names: Rc<Names>,
-    pub room: Rc<Room>,
-    pub desk: Sender<Input>,
+pub struct ConnectionContext {
+    pub names: Rc<NameTable>,
+    pub room: Rc<ResourceLimits>,
+    pub desk: Sender<Event>,
     /// How long a sidecar may take nothing of what is written to it.
     pub write_timeout: Duration,
 }
@@ -38,31 +38,31 @@
 /// How a sidecar stopped sending.
 enum End {
     /// It has sent its last, and may still read.
-    Finished,
+    HalfClosed,
     /// The connection is no more.
     Gone,
 }
 
-pub async fn serve(conn: ConnId, stream: Async<TcpStream>, front: &Front) {
+pub async fn serve(conn: ConnectionId, stream: Async<TcpStream>, front: &ConnectionContext) {
     let _ = stream.get_ref().set_nodelay(true);
     let (writer, outgoing) = async_channel::bounded::<Outgoing>(MOST_WAITING);
-    if front.desk.send(Input::Opened(conn, writer)).await.is_err() {
+    if front.desk.send(Event::Opened(conn, writer)).await.is_err() {
         return;
     }
     let progress = Progress::default();
     let over = outgoing.clone();
     let reading = async {
         let last = match read(conn, &stream, front, &progress, &over).await {
-            Ok(End::Gone) => return Written::Broken,
-            Ok(End::Finished) => Input::Finished(conn),
-            Err(Malformed(why)) => Input::Malformed(conn, why),
+            Ok(End::Gone) => return WriteOutcome::Broken,
+            Ok(End::HalfClosed) => Event::HalfClosed(conn),
+            Err(ProtocolError(why)) => Event::ProtocolError(conn, why),
         };
         let _ = front.desk.send(last).await;
         // The writer ends the connection once the desk has settled what is open.
         std::future::pending().await
     };
     let ended = reading
-        .or(answer::write(
+        .or(writer::write(
             &stream,
             outgoing,
             &progress,
@@ -71,7 +71,7 @@
         .await;
     drop(over);
     // From here on nothing that comes is handed on: what is read after the half-close could not be answered.
-    if ended == Written::All && stream.get_ref().shutdown(Shutdown::Write).is_ok() {
+    if ended == WriteOutcome::All && stream.get_ref().shutdown(Shutdown::Write).is_ok() {
         let late = async {
             Timer::after(LINGER).await;
         };
@@ -79,7 +79,7 @@
     }
 }
 
-async fn linger(stream: &Async<TcpStream>, front: &Front) {
+async fn linger(stream: &Async<TcpStream>, front: &ConnectionContext) {
     let quiet = || async {
         Timer::after(LINGER_QUIET).await;
         Ok(0)
@@ -98,12 +98,12 @@
 
 /// Reads until the sidecar ends its side, or the desk has let it go.
 async fn read(
-    conn: ConnId,
+    conn: ConnectionId,
     stream: &Async<TcpStream>,
-    front: &Front,
+    front: &ConnectionContext,
     progress: &Progress,
     over: &Receiver<Outgoing>,
-) -> Result<End, Malformed> {
+) -> Result<End, ProtocolError> {
     let mut decoder = Decoder::new(front.names.clone());
     let mut part = front.room.part();
     let mut whole_by = Some(Instant::now() + WHOLE_WITHIN);
@@ -124,7 +124,7 @@
         let count = match stream.read_with(&mut take).or(late).await {
             // What came in the same moment counts, though the timer was seen first.
             Err(e) if e.kind() == io::ErrorKind::TimedOut && whole_by.is_some() => {
-                take(stream.get_ref()).map_err(|_| Malformed("no whole frame in time"))?
+                take(stream.get_ref()).map_err(|_| ProtocolError("no whole frame in time"))?
             }
             Ok(count) => count,
             Err(_) => return Ok(End::Gone),
@@ -132,31 +132,31 @@
         if count == 0 {
             let midway = decoder.midway() > 0;
             return if midway {
-                Err(Malformed("the connection ended in a frame"))
+                Err(ProtocolError("the connection ended in a frame"))
             } else {
-                Ok(End::Finished)
+                Ok(End::HalfClosed)
             };
         }
         // Nothing more is taken from a sidecar that was cut off.
         if over.is_closed() {
-            return Ok(End::Finished);
+            return Ok(End::HalfClosed);
         }
         let mut any = false;
         while let Some(message) = decoder.message()? {
             any = true;
             let input = match message {
-                Message::Req(req) if progress.open.get() < MOST_OPEN => Input::Req(conn, req),
-                Message::Req(req) => Input::Surplus(conn, req.stream),
-                Message::Unfit(stream, why) => Input::Unfit(conn, stream, why),
-                Message::Check { stream, deep } => Input::Check { conn, stream, deep },
-                Message::Cancel(stream) => Input::Cancelled(conn, stream),
+                Frame::Request(req) if progress.open.get() < MOST_OPEN => Event::Request(conn, req),
+                Frame::Request(req) => Event::ExcessRequest(conn, req.stream),
+                Frame::InvalidRequest(stream, why) => Event::InvalidRequest(conn, stream, why),
+                Frame::HealthCheck { stream, deep } => Event::HealthCheck { conn, stream, deep },
+                Frame::Cancel(stream) => Event::Cancelled(conn, stream),
             };
-            if !matches!(input, Input::Check { .. } | Input::Cancelled(..)) {
+            if !matches!(input, Event::HealthCheck { .. } | Event::Cancelled(..)) {
                 progress.open.set(progress.open.get() + 1);
             }
             progress.read.set(progress.read.get() + 1);
             if front.desk.send(input).await.is_err() {
-                return Ok(End::Finished);
+                return Ok(End::HalfClosed);
             }
         }
         progress.midway.set(decoder.midway() > 0);
@@ -166,7 +166,7 @@
             (_, false) => whole_by.or_else(|| Some(Instant::now() + WHOLE_WITHIN)),
         };
         if !part.set(decoder.midway().saturating_sub(SMALL)) {
-            return Err(Malformed("too much lies here in unfinished frames"));
+            return Err(ProtocolError("too much lies here in unfinished frames"));
         }
         // One that sends without a pause takes its turn beside the others.
         future::yield_now().await;
--- a/crates/server/src/answer.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,20 +1,10 @@
 //! The way back to the sidecars: who is connected, what is said to them, and the writing of it.
-use crate::input::ConnId;
-use crate::time::{duration, span_of_ms};
-use crate::wire::sidecar::Reply;
-use async_channel::{Receiver, Sender};
-use async_io::{Async, Timer};
+use crate::event::{ConnectionId, Outgoing};
+use crate::protocol::sidecar::Response;
+use async_channel::Sender;
 use cottondyke_types::{Time, SECOND};
-use futures_lite::{AsyncWriteExt, FutureExt};
-use std::cell::Cell;
 use std::collections::BTreeMap;
-use std::io;
-use std::net::TcpStream;
-use std::time::Duration;
 
-/// A sidecar that takes nothing for this long is given up, or for the longest client timeout where that is longer: so
-/// none is cut off while an answer of it may still be in time.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// From telling a sidecar to send no more to closing; what crosses takes at most 50 ms. The second holds where
 /// other connections need the room.
 const CROSSING: Time = SECOND;
@@ -24,96 +14,6 @@
 /// A connection that has sent nothing yet is no worse than others for this long.
 const YOUNG: Time = Time(1_000);
 
-/// What the desk hands a connection's writer.
-pub enum Outgoing {
-    /// An encoded reply, and whether it settles a req.
-    Reply { bytes: Vec<u8>, settles: bool },
-    /// Close, if the desk has taken all that was read here: `taken` inputs. What crosses this keeps it open.
-    Close { taken: u64 },
-}
-
-/// How far the reader of a connection has come, for its writer to see.
-#[derive(Default)]
-pub struct Progress {
-    /// Reqs read and not yet answered on the wire.
-    pub open: Cell<usize>,
-    /// Inputs that were read, whether or not the desk has taken them yet.
-    pub read: Cell<u64>,
-    /// Whether a frame has come in part.
-    pub midway: Cell<bool>,
-}
-
-impl Progress {
-    /// Guards reqs that cross a close: one that was read and not taken, half a frame, or bytes that lie unread keep
-    /// the connection open. What comes after this look is read by nobody, so it never runs; its sidecar sends it
-    /// again elsewhere.
-    fn quiet(&self, stream: &Async<TcpStream>, taken: u64) -> bool {
-        let unread = stream.get_ref().peek(&mut [0]).is_ok_and(|count| count > 0);
-        self.read.get() == taken && !self.midway.get() && !unread
-    }
-}
-
-/// How the writing of a connection ended.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Written {
-    /// All that was handed over is written, and no more will be.
-    All,
-    /// The sidecar takes nothing any more.
-    Broken,
-}
-
-/// How long a sidecar may take nothing.
-pub fn write_timeout(longest_ms: f64) -> Duration {
-    WRITE_TIMEOUT.max(duration(span_of_ms(longest_ms)))
-}
-
-/// Writes what the desk hands over, until it hands over no more or closes a connection that is quiet.
-pub async fn write(
-    stream: &Async<TcpStream>,
-    outgoing: Receiver<Outgoing>,
-    progress: &Progress,
-    write_timeout: Duration,
-) -> Written {
-    let mut bytes = Vec::new();
-    while let Ok(first) = outgoing.recv().await {
-        let (mut settled, mut close) = (0, None);
-        bytes.clear();
-        for one in std::iter::once(first).chain(std::iter::from_fn(|| outgoing.try_recv().ok())) {
-            match one {
-                Outgoing::Reply {
-                    bytes: reply,
-                    settles,
-                } => {
-                    bytes.extend_from_slice(&reply);
-                    settled += usize::from(settles);
-                }
-                Outgoing::Close { taken } => close = Some(taken),
-            }
-        }
-        // Before the first byte goes: a sidecar may send its next req as soon as it has an answer, while others of
-        // this batch are still being written.
-        progress
-            .open
-            .set(progress.open.get().saturating_sub(settled));
-        let mut written = 0;
-        while written < bytes.len() {
-            // Guards slow links: what counts is that nothing is taken, not how long all of it takes.
-            let stuck = async {
-                Timer::after(write_timeout).await;
-                Err(io::ErrorKind::TimedOut.into())
-            };
-            match (&mut &*stream).write(&bytes[written..]).or(stuck).await {
-                Ok(count) if count > 0 => written += count,
-                _ => return Written::Broken,
-            }
-        }
-        if close.is_some_and(|taken| progress.quiet(stream, taken)) {
-            return Written::All;
-        }
-    }
-    Written::All
-}
-
 struct Connection {
     /// None once the desk has nothing more to say here: the writer writes what it has and closes.
     outgoing: Option<Sender<Outgoing>>,
@@ -143,14 +43,14 @@
 
 /// The connections, as the desk knows them: from their opening until they are closed, their last bytes written.
 #[derive(Default)]
-pub struct Connections {
-    conns: BTreeMap<ConnId, Connection>,
+pub struct ConnectionTable {
+    conns: BTreeMap<ConnectionId, Connection>,
     /// The free value that goes out with every answer and check.
     pub say: Option<f64>,
 }
 
-impl Connections {
-    pub fn opened(&mut self, now: Time, conn: ConnId, outgoing: Sender<Outgoing>) {
+impl ConnectionTable {
+    pub fn opened(&mut self, now: Time, conn: ConnectionId, outgoing: Sender<Outgoing>) {
         let connection = Connection {
             outgoing: Some(outgoing),
             open: 0,
@@ -165,12 +65,12 @@
         self.conns.insert(conn, connection);
     }
 
-    pub fn closed(&mut self, conn: ConnId) {
+    pub fn closed(&mut self, conn: ConnectionId) {
         self.conns.remove(&conn);
     }
 
     /// A req or a check came on it. False where it can carry no answer any more: what came must not run.
-    pub fn took(&mut self, now: Time, conn: ConnId) -> bool {
+    pub fn took(&mut self, now: Time, conn: ConnectionId) -> bool {
         let live = self.heard(now, conn);
         if let Some(connection) = self.conns.get_mut(&conn).filter(|_| live) {
             connection.open += 1;
@@ -179,7 +79,7 @@
     }
 
     /// Something came on it, be it what needs no answer. False where it can carry none any more.
-    pub fn heard(&mut self, now: Time, conn: ConnId) -> bool {
+    pub fn heard(&mut self, now: Time, conn: ConnectionId) -> bool {
         let Some(connection) = self.conns.get_mut(&conn).filter(|o| o.outgoing.is_some()) else {
             return false;
         };
@@ -188,16 +88,16 @@
         true
     }
 
-    pub fn prove(&mut self, conn: ConnId) {
+    pub fn prove(&mut self, conn: ConnectionId) {
         self.conns.entry(conn).and_modify(|o| o.proven = true);
     }
 
-    pub fn proven(&self, conn: ConnId) -> bool {
+    pub fn proven(&self, conn: ConnectionId) -> bool {
         self.conns.get(&conn).is_some_and(|o| o.proven)
     }
 
     /// Sends a reply where the connection still stands. One whose queue is full reads nothing: it is dropped.
-    pub fn send(&mut self, now: Time, conn: ConnId, reply: &Reply) {
+    pub fn send(&mut self, now: Time, conn: ConnectionId, reply: &Response) {
         let Some(connection) = self.conns.get_mut(&conn) else {
             return;
         };
@@ -208,7 +108,7 @@
         let settles = reply.settles();
         reply.encode(self.say, &mut bytes);
         if outgoing
-            .try_send(Outgoing::Reply { bytes, settles })
+            .try_send(Outgoing::Response { bytes, settles })
             .is_err()
         {
             tracing::warn!(
@@ -223,20 +123,20 @@
         self.end_if_settled(conn);
     }
 
-    pub fn fault(&mut self, now: Time, conn: ConnId, why: &'static str) {
-        self.send(now, conn, &Reply::Fault(why));
+    pub fn fault(&mut self, now: Time, conn: ConnectionId, why: &'static str) {
+        self.send(now, conn, &Response::Fault(why));
         self.end(conn);
     }
 
     /// Closes the connection, from which nothing more is read, once nothing is open on it.
-    pub fn end(&mut self, conn: ConnId) {
+    pub fn end(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.ending = true;
         }
         self.end_if_settled(conn);
     }
 
-    fn end_if_settled(&mut self, conn: ConnId) {
+    fn end_if_settled(&mut self, conn: ConnectionId) {
         if let Some(connection) = self
             .conns
             .get_mut(&conn)
@@ -257,8 +157,8 @@
         untold.into_iter().for_each(|conn| self.tell(now, conn));
     }
 
-    fn tell(&mut self, now: Time, conn: ConnId) {
-        self.send(now, conn, &Reply::NoMore);
+    fn tell(&mut self, now: Time, conn: ConnectionId) {
+        self.send(now, conn, &Response::NoMore);
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.told = Some(now);
         }
--- a/crates/server/src/cpu.rs
+++ b/crates/server/src/cpu_usage.rs
@@ -3,7 +3,7 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant};
 
-pub struct Gauge {
+pub struct CpuSampler {
     at: Instant,
     used: Duration,
 }
@@ -19,9 +19,9 @@
     )
 }
 
-impl Gauge {
+impl CpuSampler {
     pub fn start() -> Self {
-        Gauge {
+        CpuSampler {
             at: Instant::now(),
             used: used(),
         }
--- a/crates/server/src/keys.rs
+++ b/crates/server/src/dedup.rs
@@ -1,7 +1,7 @@
 //! Which reqs repeat which: the table behind idempotency keys and shared answers. What a try repeats goes by the time
 //! at which it came to the machine, however late it is read: so an entry outlives its dedup window by a tail, in
 //! which only tries that came within the window still find it.
-use crate::work::Output;
+use crate::protocol::sidecar::RunOutput;
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     Open,
-    Done(Option<Rc<Output>>),
+    Done(Option<Rc<RunOutput>>),
     Failed,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct DedupEntry {
     key: IdempotencyKey,
     /// What came to the machine before this repeats it; an open read's entry has no end yet.
     until: Option<Time>,
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct DedupTable {
     by_key: BTreeMap<IdempotencyKey, RequestId>,
-    entries: BTreeMap<RequestId, Entry>,
+    entries: BTreeMap<RequestId, DedupEntry>,
     ends: BTreeMap<(Time, RequestId), ()>,
     bytes: usize,
 }
@@ -39,7 +39,7 @@
     pub fn repeats(&mut self, now: Time, arrived: Time, key: &IdempotencyKey) -> Option<RequestId> {
         self.expire(now);
         let id = self.by_key.get(key)?;
-        let within = |e: &Entry| e.until.is_none_or(|until| arrived < until);
+        let within = |e: &DedupEntry| e.until.is_none_or(|until| arrived < until);
         self.entries.get(id).is_some_and(within).then_some(*id)
     }
 
@@ -59,7 +59,7 @@
         }
         self.entries.insert(
             id,
-            Entry {
+            DedupEntry {
                 key,
                 until,
                 tail,
@@ -77,7 +77,7 @@
         }
     }
 
-    fn drop_entry(&mut self, id: RequestId) -> Option<Entry> {
+    fn drop_entry(&mut self, id: RequestId) -> Option<DedupEntry> {
         let entry = self.entries.remove(&id)?;
         if let Outcome::Done(Some(result)) = &entry.outcome {
             self.bytes -= result.size();
@@ -94,7 +94,7 @@
         &mut self,
         now: Time,
         id: RequestId,
-        result: Option<Rc<Output>>,
+        result: Option<Rc<RunOutput>>,
         fresh: Time,
         most: usize,
     ) {
--- a/crates/server/src/desk.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -1,21 +1,20 @@
 //! The desk: the one owner of the decider, of the table of reqs and of the timers. Everything that happens
 //! comes to it as a value; it asks the decider and carries the results out in the order in which they stand.
 //! It never waits on a socket.
-use crate::answer::Connections;
+use crate::clock::{ms, since_unix, span_of_ms, Clock};
+use crate::cluster::ClusterDriver;
 use crate::config::Config;
-use crate::cpu;
-use crate::drain::{self, Stage};
-use crate::fleet::Fleet;
-use crate::health::Health;
-use crate::input::{ConnId, Input, Lines};
-use crate::keys::{DedupTable, IdempotencyKey, Outcome};
-use crate::report::News;
-use crate::room::Room;
-use crate::time::{ms, since_unix, span_of_ms, Clock};
-use crate::wire::engine::Command;
-use crate::wire::sidecar::{Reply, Req, Stream};
-use crate::wire::WireId;
-use crate::work::{self, Event, Job, Output, Works};
+use crate::connection::table::ConnectionTable;
+use crate::cpu_usage::CpuSampler;
+use crate::dedup::{DedupTable, IdempotencyKey, Outcome};
+use crate::event::{ConnectionId, Event, ReportUpdate, TaskChannels};
+use crate::execution::{self, ExecutionEvent, ExecutionRequest, Executors};
+use crate::health_check::HealthChecker;
+use crate::protocol::engine::EngineCommand;
+use crate::protocol::sidecar::{Request, Response, RunOutput, StreamId};
+use crate::protocol::WireId;
+use crate::resource_limits::ResourceLimits;
+use crate::shutdown::{self, ShutdownPhase};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -42,9 +41,9 @@
 const TALLY: Time = SECOND;
 
 /// What stands behind a req's id, from its arrival until it is answered and no run of it goes on.
-struct Entry {
-    conn: ConnId,
-    stream: Stream,
+struct InFlightRequest {
+    conn: ConnectionId,
+    stream: StreamId,
     wire: WireId,
     new: Arrival,
     arrived: Time,
@@ -55,7 +54,7 @@
     joined: Option<RequestId>,
 }
 
-impl Entry {
+impl InFlightRequest {
     /// By when it must be answered: as its caller tells, else by the client timeout.
     fn due(&self, timeout: Time) -> Time {
         self.arrived
@@ -68,22 +67,22 @@
 
 /// What went wrong in the last second: one line at the most, whatever the number.
 #[derive(Default)]
-struct Tally {
+struct LogCounters {
     unfit: u64,
     malformed: u64,
     errored: u64,
     shed: u64,
 }
 
-impl Tally {
-    fn log(self, calls: work::engine::Tally) {
-        let Tally {
+impl LogCounters {
+    fn log(self, calls: execution::engine::EngineCounters) {
+        let LogCounters {
             unfit,
             malformed,
             errored,
             shed,
         } = self;
-        let work::engine::Tally {
+        let execution::engine::EngineCounters {
             not_begun,
             failed,
             refused,
@@ -104,24 +103,24 @@
     }
 }
 
-pub struct Desk {
+pub struct RequestDispatcher {
     config: Rc<Config>,
     clock: Clock,
     started: Time,
     admission: AdmissionController,
-    reqs: BTreeMap<RequestId, Entry>,
+    reqs: BTreeMap<RequestId, InFlightRequest>,
     /// The ids of all in `reqs`, as they stand on the wire.
     wires: BTreeSet<WireId>,
     next_id: u32,
-    connections: Connections,
-    works: Works,
-    fleet: Option<Rc<Fleet>>,
-    room: Rc<Room>,
+    connections: ConnectionTable,
+    works: Executors,
+    fleet: Option<Rc<ClusterDriver>>,
+    room: Rc<ResourceLimits>,
     keys: DedupTable,
-    health: Health,
+    health: HealthChecker,
     /// How long the last req of a proven connection lay unread.
     lately: Time,
-    news: Sender<News>,
+    news: Sender<ReportUpdate>,
     moves: Sender<SocketAddr>,
     wakes: BTreeSet<Time>,
     /// Until when gauges that were asked for are waited for.
@@ -129,26 +128,26 @@
     /// Joined reqs whose answer is known, told to the decider once its results are carried out.
     joined: VecDeque<(RequestId, RunOutcome)>,
     /// What kinds of work told while results were carried out, taken after them.
-    events: VecDeque<Event>,
-    cpu: cpu::Gauge,
+    events: VecDeque<ExecutionEvent>,
+    cpu: CpuSampler,
     next_chores: Time,
-    tally: Tally,
+    tally: LogCounters,
     next_tally: Time,
     notice: Option<Time>,
     close: Option<Sender<()>>,
 }
 
-impl Desk {
+impl RequestDispatcher {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         config: Rc<Config>,
         admission: AdmissionController,
         clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
-        inputs: Sender<Input>,
-        room: Rc<Room>,
-        lines: Lines,
-        fleet: Option<Rc<Fleet>>,
+        inputs: Sender<Event>,
+        room: Rc<ResourceLimits>,
+        lines: TaskChannels,
+        fleet: Option<Rc<ClusterDriver>>,
     ) -> Self {
         let now = clock.now();
         let classes = config
@@ -159,7 +158,13 @@
             .collect();
         let busy = config.places.cpu_utilization_column;
         let engine = config.engine.map(|_| {
-            work::engine::Runs::new(now, config.records, busy, executor.clone(), inputs.clone())
+            execution::engine::EngineExecutor::new(
+                now,
+                config.records,
+                busy,
+                executor.clone(),
+                inputs.clone(),
+            )
         });
         let pages = config.operator.as_ref().map(|operator| {
             let plan = operator.plan(&config.known());
@@ -169,7 +174,7 @@
                 .iter()
                 .map(|name| operator.value(name))
                 .collect();
-            work::pages::Runs::new(
+            execution::aggregation::AggregationExecutor::new(
                 clock,
                 plan,
                 (config.seed, values),
@@ -178,8 +183,8 @@
                 inputs,
             )
         });
-        let works = Works::new(engine, pages, classes, config.kinds.clone());
-        Desk {
+        let works = Executors::new(engine, pages, classes, config.kinds.clone());
+        RequestDispatcher {
             config,
             clock,
             started: now,
@@ -187,12 +192,12 @@
             reqs: BTreeMap::new(),
             wires: BTreeSet::new(),
             next_id: 0,
-            connections: Connections::default(),
+            connections: ConnectionTable::default(),
             works,
             fleet,
             room,
             keys: DedupTable::default(),
-            health: Health::default(),
+            health: HealthChecker::default(),
             lately: Time(0),
             news: lines.news,
             moves: lines.engine,
@@ -200,9 +205,9 @@
             asked: None,
             joined: VecDeque::new(),
             events: VecDeque::new(),
-            cpu: cpu::Gauge::start(),
+            cpu: CpuSampler::start(),
             next_chores: clock.now(),
-            tally: Tally::default(),
+            tally: LogCounters::default(),
             next_tally: clock.now(),
             notice: None,
             close: Some(lines.close),
@@ -210,7 +215,7 @@
     }
 
     /// Takes inputs until the server has left.
-    pub async fn run(mut self, inputs: Receiver<Input>) {
+    pub async fn run(mut self, inputs: Receiver<Event>) {
         // An engine's hello is what starts the decider; without one, nothing is waited for.
         if self.works.engine.is_none() {
             self.wake(self.clock.now(), LoadSample::default());
@@ -248,7 +253,7 @@
             self.connections.send(
                 now,
                 conn,
-                &Reply::Checked {
+                &Response::HealthStatus {
                     stream,
                     good: false,
                 },
@@ -268,7 +273,7 @@
                 .works
                 .engine
                 .as_mut()
-                .map(work::engine::Runs::ask_gauges);
+                .map(execution::engine::EngineExecutor::ask_gauges);
             match asked {
                 Some(true) => self.asked = Some(now + GAUGES_WITHIN),
                 Some(false) => self.wake(now, LoadSample::default()),
@@ -296,8 +301,8 @@
             } else {
                 CHORES
             };
-        let stage = drain::stage(self.notice, self.left(), now);
-        self.connections.chores(now, stage >= Stage::Closed);
+        let stage = shutdown::stage(self.notice, self.left(), now);
+        self.connections.chores(now, stage >= ShutdownPhase::Closed);
         self.make_room(now);
         if let Some(engine) = &mut self.works.engine {
             engine.chores(now);
@@ -309,16 +314,17 @@
         }
         self.forget_runs(now);
         self.keys.expire(now);
-        if stage >= Stage::Closed && self.close.take().is_some() {
+        if stage >= ShutdownPhase::Closed && self.close.take().is_some() {
             self.connections.no_more(now);
         }
-        if stage >= Stage::Ended {
+        if stage >= ShutdownPhase::Ended {
             self.connections.close_idle();
         }
         // The end of the process is a close of every connection at once: it waits until each has written its answers
         // and read what its sidecar still sent, or its time is over.
         let answered = self.reqs.values().all(|r| r.answered);
-        stage == Stage::Over || stage >= Stage::Closed && self.connections.count() == 0 && answered
+        stage == ShutdownPhase::Over
+            || stage >= ShutdownPhase::Closed && self.connections.count() == 0 && answered
     }
 
     /// From the notice to leave until the end.
@@ -340,39 +346,39 @@
         self.carry_all(now, actions);
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: Event) {
         let now = self.clock.now();
         match input {
-            Input::Opened(conn, outgoing) => {
+            Event::Opened(conn, outgoing) => {
                 self.connections.opened(now, conn, outgoing);
                 self.make_room(now);
                 if self.close.is_none() {
                     self.connections.no_more(now);
                 }
             }
-            Input::Req(conn, req) => self.arrived(now, conn, req),
-            Input::Surplus(conn, stream) => {
+            Event::Request(conn, req) => self.arrived(now, conn, req),
+            Event::ExcessRequest(conn, stream) => {
                 self.connections.took(now, conn);
                 self.connections.send(
                     now,
                     conn,
-                    &Reply::Shed {
+                    &Response::Shed {
                         stream,
                         after_ms: 0.0,
                         last: false,
                     },
                 );
             }
-            Input::Unfit(conn, stream, why) => {
+            Event::InvalidRequest(conn, stream, why) => {
                 tracing::debug!(conn = conn.0, why, "a req that cannot be run");
                 self.tally.unfit += 1;
                 self.connections.took(now, conn);
-                self.connections.send(now, conn, &Reply::Errored(stream));
+                self.connections.send(now, conn, &Response::Errored(stream));
             }
-            Input::Check { conn, stream, deep } => self.checked(now, conn, stream, deep),
-            Input::Cancelled(conn, stream) => self.cancelled(now, conn, stream),
-            Input::Finished(conn) => self.connections.end(conn),
-            Input::Malformed(conn, why) => {
+            Event::HealthCheck { conn, stream, deep } => self.checked(now, conn, stream, deep),
+            Event::Cancelled(conn, stream) => self.cancelled(now, conn, stream),
+            Event::HalfClosed(conn) => self.connections.end(conn),
+            Event::ProtocolError(conn, why) => {
                 tracing::debug!(
                     conn = conn.0,
                     why,
@@ -381,17 +387,17 @@
                 self.tally.malformed += 1;
                 self.connections.fault(now, conn, why);
             }
-            Input::Closed(conn) => {
+            Event::Closed(conn) => {
                 self.connections.closed(conn);
                 self.gone(now, conn);
             }
-            Input::EngineUp { age_ms, outlet } => self.engine_up(now, age_ms, outlet),
-            Input::EngineDown(unsent) => {
+            Event::EngineUp { age_ms, outlet } => self.engine_up(now, age_ms, outlet),
+            Event::EngineDown(unsent) => {
                 if let Some(engine) = &mut self.works.engine {
                     engine.down(now, unsent);
                 }
             }
-            Input::Notice(notice) => {
+            Event::EngineMessage(notice) => {
                 let told = self
                     .works
                     .engine
@@ -401,7 +407,7 @@
                     .flatten()
                     .for_each(|event| self.worked(now, event));
             }
-            Input::Called(id, no, result) => {
+            Event::RecordsCallEnded(id, no, result) => {
                 let told = self
                     .works
                     .engine
@@ -409,7 +415,7 @@
                     .and_then(|engine| engine.called(now, id, no, result));
                 told.into_iter().for_each(|event| self.worked(now, event));
             }
-            Input::Fetched(call, outcome) => {
+            Event::DependencyCallEnded(call, outcome) => {
                 let told = self
                     .works
                     .pages
@@ -419,15 +425,15 @@
                     .flatten()
                     .for_each(|event| self.worked(now, event));
             }
-            Input::Reload(Ok(new)) => self.reload(now, *new),
-            Input::Reload(Err(wrong)) => {
+            Event::Reload(Ok(new)) => self.reload(now, *new),
+            Event::Reload(Err(wrong)) => {
                 tracing::error!(
                     wrong,
                     "the configuration read anew is no good; the old one stays in force"
                 );
             }
-            Input::Leave if self.notice.is_some() => tracing::info!("told to leave again"),
-            Input::Leave => {
+            Event::Shutdown if self.notice.is_some() => tracing::info!("told to leave again"),
+            Event::Shutdown => {
                 tracing::info!(open = self.reqs.len(), "told to leave");
                 self.notice = Some(now);
                 let actions = self.admission.drain(now, self.left());
@@ -467,12 +473,12 @@
         if config.control != self.config.control {
             config
                 .control
-                .map(|control| self.news.try_send(News::Moved(control)));
+                .map(|control| self.news.try_send(ReportUpdate::Moved(control)));
         }
         if let Some(engine) = &mut self.works.engine {
             engine.moved(config.records);
         }
-        self.room.told(&config);
+        self.room.set(config.connections, config.memory);
         let shown = |addr: Option<SocketAddr>| addr.map_or("none".to_string(), |a| a.to_string());
         tracing::info!(
             engine = shown(config.engine),
@@ -504,7 +510,7 @@
 
     /// The first hello tells when the engine started. The decider reckons from there, but not from before this
     /// program could observe anything. Nothing has run by then: what is open arrives anew.
-    fn engine_up(&mut self, now: Time, age_ms: f64, outlet: Sender<Command>) {
+    fn engine_up(&mut self, now: Time, age_ms: f64, outlet: Sender<EngineCommand>) {
         let Some(engine) = &mut self.works.engine else {
             return;
         };
@@ -541,23 +547,24 @@
         open.into_iter().for_each(|id| self.again(now, id));
     }
 
-    fn checked(&mut self, now: Time, conn: ConnId, stream: Stream, deep: bool) {
+    fn checked(&mut self, now: Time, conn: ConnectionId, stream: StreamId, deep: bool) {
         self.connections.took(now, conn);
         match self.health.answer(deep, self.works.is_up()) {
-            Some(good) => self
-                .connections
-                .send(now, conn, &Reply::Checked { stream, good }),
+            Some(good) => {
+                self.connections
+                    .send(now, conn, &Response::HealthStatus { stream, good })
+            }
             None => match self
                 .works
                 .engine
                 .as_mut()
-                .and_then(work::engine::Runs::test)
+                .and_then(execution::engine::EngineExecutor::test)
             {
                 Some(tag) => self.health.testing(now, tag, conn, stream),
                 None => self.connections.send(
                     now,
                     conn,
-                    &Reply::Checked {
+                    &Response::HealthStatus {
                         stream,
                         good: false,
                     },
@@ -576,7 +583,7 @@
         }
     }
 
-    fn arrived(&mut self, now: Time, conn: ConnId, req: Req) {
+    fn arrived(&mut self, now: Time, conn: ConnectionId, req: Request) {
         // Guards effects: what was read on a connection that carries no answer any more would run for nobody, and
         // its sidecar, which saw the connection fail, may send it again elsewhere.
         if !self.connections.took(now, conn) {
@@ -588,7 +595,7 @@
             tracing::debug!(conn = conn.0, id = ?req.id, "an id that is open already");
             self.tally.unfit += 1;
             let (conn, stream) = self.copy_of(conn, &req);
-            self.connections.send(now, conn, &Reply::Errored(stream));
+            self.connections.send(now, conn, &Response::Errored(stream));
             return;
         }
         let id = self.fresh_id();
@@ -615,7 +622,7 @@
             tracing::debug!(conn = conn.0, id = ?req.id, "a repeat from where the engine has known no req");
             self.tally.unfit += 1;
             self.connections
-                .send(now, conn, &Reply::Errored(req.stream));
+                .send(now, conn, &Response::Errored(req.stream));
             return;
         }
         let (repeats, key) = if copied { (None, None) } else { (repeats, key) };
@@ -638,7 +645,7 @@
             client_wait: req.wait.map(|ms| (span_of_ms(ms) - lay).max(Time(0))),
         };
         self.wires.insert(req.id);
-        let entry = Entry {
+        let entry = InFlightRequest {
             conn,
             stream: req.stream,
             wire: req.id,
@@ -658,7 +665,7 @@
     /// Which of two reqs with one id is the copy. Guards sidecars against a client that copies their reqs and is read
     /// first: where the engine has known a req of the later connection and none of the earlier, the later takes the
     /// place of the earlier, and its answer.
-    fn copy_of(&mut self, conn: ConnId, req: &Req) -> (ConnId, Stream) {
+    fn copy_of(&mut self, conn: ConnectionId, req: &Request) -> (ConnectionId, StreamId) {
         let later = (conn, req.stream);
         if !self.connections.proven(conn) {
             return later;
@@ -693,16 +700,16 @@
         self.keys.keep(id, key.clone(), until, tail);
     }
 
-    fn worked(&mut self, now: Time, event: Event) {
+    fn worked(&mut self, now: Time, event: ExecutionEvent) {
         if let Some(actions) = self.told(now, event) {
             self.carry_all(now, actions);
         }
     }
 
     /// What a kind of work tells, and what the decider makes of it.
-    fn told(&mut self, now: Time, event: Event) -> Option<Actions> {
+    fn told(&mut self, now: Time, event: ExecutionEvent) -> Option<Actions> {
         match event {
-            Event::Ended(id, end, output) => {
+            ExecutionEvent::Ended(id, end, output) => {
                 let waiting = if end == RunOutcome::NotStarted {
                     self.never_started(id)
                 } else {
@@ -716,9 +723,11 @@
                 self.carry_all(now, actions);
                 waiting.into_iter().for_each(|id| self.again(now, id));
             }
-            Event::CallWanted(id) => return Some(self.admission.call_wanted(now, id)),
-            Event::CallEnded(id, end) => return Some(self.admission.call_ended(now, id, end)),
-            Event::LoadSample(busy) => {
+            ExecutionEvent::CallWanted(id) => return Some(self.admission.call_wanted(now, id)),
+            ExecutionEvent::CallEnded(id, end) => {
+                return Some(self.admission.call_ended(now, id, end))
+            }
+            ExecutionEvent::LoadSample(busy) => {
                 self.asked = None;
                 return Some(self.admission.tick(
                     now,
@@ -728,15 +737,15 @@
                     },
                 ));
             }
-            Event::Lives(id) => {
+            ExecutionEvent::Lives(id) => {
                 if let Some(entry) = self.reqs.get(&id) {
                     self.connections.prove(entry.conn);
                 }
             }
-            Event::Tested(tag, good) => {
+            ExecutionEvent::Tested(tag, good) => {
                 if let Some((conn, stream)) = self.health.tested(tag) {
                     self.connections
-                        .send(now, conn, &Reply::Checked { stream, good });
+                        .send(now, conn, &Response::HealthStatus { stream, good });
                 }
             }
         }
@@ -753,7 +762,8 @@
         for id in lost.map(|(id, _)| *id).collect::<Vec<_>>() {
             tracing::warn!("a run that never ended is given up");
             // It may have run, so its entry stays.
-            if let Some(actions) = self.run_over(now, id, RunOutcome::NotStarted, Output::default())
+            if let Some(actions) =
+                self.run_over(now, id, RunOutcome::NotStarted, RunOutput::default())
             {
                 self.carry_all(now, actions);
             }
@@ -808,7 +818,7 @@
         now: Time,
         id: RequestId,
         end: RunOutcome,
-        output: Output,
+        output: RunOutput,
     ) -> Option<Actions> {
         let entry = self.reqs.get_mut(&id).filter(|e| e.running)?;
         entry.running = false;
@@ -819,9 +829,9 @@
         let (stream, shared) = (entry.stream, entry.key.is_some());
         let kept = (end == RunOutcome::Completed && shared).then(|| Rc::new(output.clone()));
         let reply = if end == RunOutcome::Completed {
-            Reply::Done(stream, output)
+            Response::Done(stream, output)
         } else {
-            Reply::Errored(stream)
+            Response::Errored(stream)
         };
         self.answer(now, id, reply);
         if shared {
@@ -838,7 +848,7 @@
     }
 
     /// Reqs that wait for the answer of `of` get it.
-    fn settle_joined(&mut self, now: Time, of: RequestId, result: Option<Rc<Output>>) {
+    fn settle_joined(&mut self, now: Time, of: RequestId, result: Option<Rc<RunOutput>>) {
         let waiting = self
             .reqs
             .iter()
@@ -847,10 +857,10 @@
         for (id, stream) in waiting {
             let (reply, end) = match &result {
                 Some(result) => (
-                    Reply::Done(stream, Output::clone(result)),
+                    Response::Done(stream, RunOutput::clone(result)),
                     RunOutcome::Completed,
                 ),
-                None => (Reply::Errored(stream), RunOutcome::Failed),
+                None => (Response::Errored(stream), RunOutcome::Failed),
             };
             self.answer(now, id, reply);
             self.joined.push_back((id, end));
@@ -858,7 +868,7 @@
     }
 
     /// The final answer, once.
-    fn answer(&mut self, now: Time, id: RequestId, reply: Reply) {
+    fn answer(&mut self, now: Time, id: RequestId, reply: Response) {
         let Some(entry) = self.reqs.get_mut(&id) else {
             return;
         };
@@ -876,26 +886,28 @@
 
     /// The sidecar waits for a req no longer: it is answered at once, and the decider told. One with a key goes on, for
     /// its repeats.
-    fn cancelled(&mut self, now: Time, conn: ConnId, stream: Stream) {
+    fn cancelled(&mut self, now: Time, conn: ConnectionId, stream: StreamId) {
         self.connections.heard(now, conn);
-        let of = |e: &Entry| e.conn == conn && e.stream == stream && !e.answered && e.key.is_none();
+        let of = |e: &InFlightRequest| {
+            e.conn == conn && e.stream == stream && !e.answered && e.key.is_none()
+        };
         let Some(id) = self.reqs.iter().find(|(_, e)| of(e)).map(|(id, _)| *id) else {
             return;
         };
-        self.answer(now, id, Reply::Errored(stream));
+        self.answer(now, id, Response::Errored(stream));
         let actions = self.admission.caller_gone(now, id);
         self.carry_all(now, actions);
     }
 
     /// Nobody hears what a lost connection still owes: the decider is told of all that was open on it. A req with
     /// a key goes on, for its repeats.
-    fn gone(&mut self, now: Time, conn: ConnId) {
+    fn gone(&mut self, now: Time, conn: ConnectionId) {
         let open = self
             .reqs
             .iter()
             .filter(|(_, e)| e.conn == conn && !e.answered && e.key.is_none());
         for id in open.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.answer(now, id, Reply::Errored(Stream(0)));
+            self.answer(now, id, Response::Errored(StreamId(0)));
             let actions = self.admission.caller_gone(now, id);
             self.carry_all(now, actions);
         }
@@ -931,7 +943,7 @@
             };
             let (stream, running) = (entry.stream, entry.running);
             self.tally.errored += 1;
-            self.answer(now, id, Reply::Errored(stream));
+            self.answer(now, id, Response::Errored(stream));
             if !running {
                 self.never_ran(now, id);
             }
@@ -940,7 +952,7 @@
             let Some(entry) = self.reqs.get(&shed.id) else {
                 continue;
             };
-            let reply = Reply::Shed {
+            let reply = Response::Shed {
                 stream: entry.stream,
                 after_ms: ms(shed.retry_after),
                 last: shed.do_not_retry,
@@ -960,7 +972,7 @@
             };
             entry.running = true;
             let (target, timeout) = self.config.times[entry.new.handler.0];
-            let job = Job {
+            let job = ExecutionRequest {
                 wire: entry.wire,
                 handler: entry.new.handler,
                 customer: entry.new.tenant,
@@ -986,7 +998,7 @@
         }
         if let Some(good) = actions.health.filter(|_| self.works.ready()) {
             if self.health.set(good) {
-                let _ = self.news.try_send(News::Health(good));
+                let _ = self.news.try_send(ReportUpdate::Health(good));
             }
         }
         self.connections.say = actions.advice.or(self.connections.say);
--- a/crates/server/src/work/pages.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -1,12 +1,13 @@
 //! Pages composed by the program. What is decided of them is in `cottondyke_dependency`; here its actions become
 //! tasks, and answers become bytes.
-use super::{Event, Job, Output};
-use crate::client::Pool;
-use crate::fetch::fetch;
-use crate::fleet::{self, Fleet};
-use crate::input::Input;
-use crate::time::Clock;
-use crate::wire::WireId;
+use super::{ExecutionEvent, ExecutionRequest};
+use crate::clock::Clock;
+use crate::cluster::{self, ClusterDriver};
+use crate::event::Event;
+use crate::outbound::dependency_call::fetch;
+use crate::outbound::http_client::ConnectionPool;
+use crate::protocol::sidecar::RunOutput;
+use crate::protocol::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use cottondyke_admission::types::RunOutcome;
@@ -20,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-pub struct Runs {
+pub struct AggregationExecutor {
     pages: Aggregator,
     /// The page of each handler that has one.
     by_handler: Vec<Option<usize>>,
@@ -28,33 +29,33 @@
     calls: BTreeMap<CallId, Task<()>>,
     /// Calls that nobody waits for, listened to until then.
     listening: BTreeSet<(Time, CallId)>,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     clock: Clock,
     /// Where shares of dependencies are lent.
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<ClusterDriver>>,
     /// The value of each handler's reqs.
     values: Vec<f64>,
     /// When use is to be looked at next.
     look: Time,
     executor: Rc<LocalExecutor<'static>>,
-    inputs: Sender<Input>,
+    inputs: Sender<Event>,
 }
 
-impl Runs {
+impl AggregationExecutor {
     /// `by_handler`: the place in the plan of each handler's page.
     pub fn new(
         clock: Clock,
         (mut plan, by_handler): (Plan, Vec<Option<usize>>),
         (seed, values): (u64, Vec<f64>),
-        fleet: Option<Rc<Fleet>>,
+        fleet: Option<Rc<ClusterDriver>>,
         executor: Rc<LocalExecutor<'static>>,
-        inputs: Sender<Input>,
+        inputs: Sender<Event>,
     ) -> Self {
         let now = clock.now();
         if let Some(fleet) = &fleet {
             fleet.lend(&mut plan);
         }
-        Runs {
+        AggregationExecutor {
             clock,
             fleet,
             values,
@@ -76,7 +77,7 @@
         now: Time,
         mut plan: Plan,
         by_handler: Vec<Option<usize>>,
-    ) -> Vec<Event> {
+    ) -> Vec<ExecutionEvent> {
         if let Some(fleet) = &self.fleet {
             fleet.lend(&mut plan);
         }
@@ -89,9 +90,19 @@
         self.by_handler.get(handler).is_some_and(Option::is_some)
     }
 
-    pub fn start(&mut self, now: Time, id: RequestId, job: &Job, may_repeat: bool) -> Vec<Event> {
+    pub fn start(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        job: &ExecutionRequest,
+        may_repeat: bool,
+    ) -> Vec<ExecutionEvent> {
         let Some(page) = self.by_handler.get(job.handler.0).copied().flatten() else {
-            return vec![Event::Ended(id, RunOutcome::Failed, Output::default())];
+            return vec![ExecutionEvent::Ended(
+                id,
+                RunOutcome::Failed,
+                RunOutput::default(),
+            )];
         };
         self.wires.insert(id, job.wire);
         if let Some(fleet) = &self.fleet {
@@ -113,7 +124,7 @@
         self.carry(now, actions)
     }
 
-    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Event> {
+    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
         let actions = self.pages.cancel(now, id);
         self.carry(now, actions)
     }
@@ -141,11 +152,11 @@
             .min()
     }
 
-    pub fn timer(&mut self, now: Time) -> Vec<Event> {
+    pub fn timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
         let actions = self.pages.handle_timer(now);
         let mut events = self.carry(now, actions);
         if let Some(fleet) = self.fleet.clone().filter(|_| self.look <= now) {
-            self.look = now + fleet::LOOK;
+            self.look = now + cluster::LOOK;
             let (actions, uses) = self.pages.poll_usage(now);
             events.extend(self.carry(now, actions));
             fleet.used(now, &uses);
@@ -163,7 +174,7 @@
         events
     }
 
-    pub fn fetched(&mut self, now: Time, call: CallId, outcome: CallResult) -> Vec<Event> {
+    pub fn fetched(&mut self, now: Time, call: CallId, outcome: CallResult) -> Vec<ExecutionEvent> {
         // One whose task was dropped may have sent its end before.
         if self.calls.remove(&call).is_none() {
             return Vec::new();
@@ -205,7 +216,7 @@
         }
     }
 
-    fn carry(&mut self, now: Time, actions: Vec<Action>) -> Vec<Event> {
+    fn carry(&mut self, now: Time, actions: Vec<Action>) -> Vec<ExecutionEvent> {
         let mut events = Vec::new();
         for action in actions {
             match action {
@@ -226,7 +237,7 @@
                     let task = self.executor.spawn(async move {
                         let outcome =
                             fetch(pool, (clock, stamp), to, wire, body, within, reuse).await;
-                        let _ = inputs.send(Input::Fetched(call, outcome)).await;
+                        let _ = inputs.send(Event::DependencyCallEnded(call, outcome)).await;
                     });
                     self.calls.insert(call, task);
                 }
@@ -240,10 +251,12 @@
                         AggregationResult::Parts(parts) => {
                             (RunOutcome::Completed, composed(&parts))
                         }
-                        AggregationResult::Failed => (RunOutcome::Failed, Output::default()),
-                        AggregationResult::Cancelled => (RunOutcome::Cancelled, Output::default()),
+                        AggregationResult::Failed => (RunOutcome::Failed, RunOutput::default()),
+                        AggregationResult::Cancelled => {
+                            (RunOutcome::Cancelled, RunOutput::default())
+                        }
                     };
-                    events.push(Event::Ended(run, end, output));
+                    events.push(ExecutionEvent::Ended(run, end, output));
                 }
                 Action::GateChanged {
                     dependency,
@@ -251,7 +264,7 @@
                     limit,
                 } => match stage {
                     CircuitState::Open { until } => {
-                        let rest_ms = crate::time::ms(until - now);
+                        let rest_ms = crate::clock::ms(until - now);
                         tracing::warn!(%dependency, rest_ms, limit, "its breaker opened");
                     }
                     CircuitState::HalfOpen { .. } => {
@@ -268,7 +281,7 @@
 }
 
 /// The answer's body: each part with its state, and the names of those that are not whole.
-fn composed(parts: &[PartResult]) -> Output {
+fn composed(parts: &[PartResult]) -> RunOutput {
     let partial: Vec<&str> = parts
         .iter()
         .filter(|p| p.source != PartSource::Primary)
@@ -310,7 +323,7 @@
     }
     body.extend(b"}}");
     let partial = (!partial.is_empty()).then(|| partial.join(",").into());
-    Output { body, partial }
+    RunOutput { body, partial }
 }
 
 #[cfg(test)]
--- a/crates/server/src/work/engine.rs
+++ b/crates/server/src/execution/engine.rs
@@ -1,12 +1,12 @@
 //! Runs on the engine: which there are, what each waits for, and what a broken link may have lost. The calls that
 //! runs ask for are made here once the decider lets them out.
-use super::{Event, Job, Output};
-use crate::call;
-use crate::client::CallError;
-use crate::input::{CallNo, Input};
-use crate::run::Engine;
-use crate::wire::engine::{Command, Notice, NoticeNo, Tag};
-use crate::wire::WireId;
+use super::{ExecutionEvent, ExecutionRequest};
+use crate::event::{CallError, CallNumber, Event};
+use crate::execution::command_queue::EngineCommandQueue;
+use crate::outbound::records_call;
+use crate::protocol::engine::{EngineCommand, EngineMessage, MessageNumber, Tag};
+use crate::protocol::sidecar::RunOutput;
+use crate::protocol::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use cottondyke_admission::types::RunOutcome;
@@ -18,7 +18,7 @@
 /// What was written to the engine this long before its link broke may not have been read.
 const MAYBE_LOST: Time = SECOND;
 
-struct Run {
+struct EngineRun {
     wire: WireId,
     class: Rc<str>,
     body: Rc<[u8]>,
@@ -28,15 +28,15 @@
     /// Whether the engine has shown that it runs.
     begun: bool,
     /// The call that the run waits for.
-    need: Option<(NoticeNo, Vec<u8>)>,
+    need: Option<(MessageNumber, Vec<u8>)>,
     /// When the run was told to go on from its call, and how, until the engine shows that it has.
-    told: Option<(Time, Command)>,
-    call: Option<(CallNo, Task<()>)>,
+    told: Option<(Time, EngineCommand)>,
+    call: Option<(CallNumber, Task<()>)>,
 }
 
-impl Run {
-    fn command(&self) -> Command {
-        Command::Run {
+impl EngineRun {
+    fn command(&self) -> EngineCommand {
+        EngineCommand::Run {
             id: self.wire,
             class: self.class.clone(),
             body: self.body.clone(),
@@ -46,15 +46,15 @@
 
 /// Calls of the last second that brought nothing, and commands that were refused.
 #[derive(Default)]
-pub struct Tally {
+pub struct EngineCounters {
     pub not_begun: u64,
     pub failed: u64,
     pub refused: u64,
 }
 
-pub struct Runs {
-    link: Engine,
-    runs: BTreeMap<RequestId, Run>,
+pub struct EngineExecutor {
+    link: EngineCommandQueue,
+    runs: BTreeMap<RequestId, EngineRun>,
     by_wire: BTreeMap<WireId, RequestId>,
     /// The gauge of the cores among those that the engine reads out.
     busy: Option<usize>,
@@ -66,20 +66,20 @@
     records: Option<SocketAddr>,
     calls: u64,
     executor: Rc<LocalExecutor<'static>>,
-    inputs: Sender<Input>,
-    pub tally: Tally,
+    inputs: Sender<Event>,
+    pub tally: EngineCounters,
 }
 
-impl Runs {
+impl EngineExecutor {
     pub fn new(
         now: Time,
         records: Option<SocketAddr>,
         busy: Option<usize>,
         executor: Rc<LocalExecutor<'static>>,
-        inputs: Sender<Input>,
+        inputs: Sender<Event>,
     ) -> Self {
-        Runs {
-            link: Engine::default(),
+        EngineExecutor {
+            link: EngineCommandQueue::default(),
             runs: BTreeMap::new(),
             by_wire: BTreeMap::new(),
             busy,
@@ -89,12 +89,18 @@
             calls: 0,
             executor,
             inputs,
-            tally: Tally::default(),
+            tally: EngineCounters::default(),
         }
     }
 
-    pub fn start(&mut self, id: RequestId, job: &Job, class: Rc<str>, replayable: bool) {
-        let run = Run {
+    pub fn start(
+        &mut self,
+        id: RequestId,
+        job: &ExecutionRequest,
+        class: Rc<str>,
+        replayable: bool,
+    ) {
+        let run = EngineRun {
             wire: job.wire,
             class,
             body: job.body.clone(),
@@ -113,7 +119,7 @@
     /// Asks for the run's end, which comes as an event once the engine has carried it out.
     pub fn stop(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get(&id) {
-            self.link.send(Command::Halt(run.wire));
+            self.link.send(EngineCommand::Halt(run.wire));
         }
     }
 
@@ -138,11 +144,11 @@
         self.by_wire.clear();
     }
 
-    pub fn up(&mut self, now: Time, outlet: Sender<Command>) {
+    pub fn up(&mut self, now: Time, outlet: Sender<EngineCommand>) {
         self.link.up(now, outlet);
     }
 
-    pub fn down(&mut self, now: Time, unsent: Vec<Command>) {
+    pub fn down(&mut self, now: Time, unsent: Vec<EngineCommand>) {
         self.broke = now;
         self.link.down(unsent);
     }
@@ -161,7 +167,7 @@
 
     /// Asks the engine to test itself; none while there is no link.
     pub fn test(&mut self) -> Option<Tag> {
-        self.link.ask(Command::Test)
+        self.link.ask(EngineCommand::Test)
     }
 
     /// Asks for gauges; false where none will come.
@@ -181,41 +187,41 @@
         }
     }
 
-    fn run_of(&mut self, wire: WireId) -> Option<(RequestId, &mut Run)> {
+    fn run_of(&mut self, wire: WireId) -> Option<(RequestId, &mut EngineRun)> {
         let id = *self.by_wire.get(&wire)?;
         self.runs.get_mut(&id).map(|run| (id, run))
     }
 
-    pub fn noticed(&mut self, notice: Notice) -> Vec<Event> {
+    pub fn noticed(&mut self, notice: EngineMessage) -> Vec<ExecutionEvent> {
         match notice {
-            Notice::Done {
+            EngineMessage::Done {
                 id, end, result, ..
             } => {
                 let id = self.by_wire.get(&id);
-                id.map(|id| Event::Ended(*id, end, Output::whole(result)))
+                id.map(|id| ExecutionEvent::Ended(*id, end, RunOutput::whole(result)))
                     .into_iter()
                     .collect()
             }
-            Notice::Need { no, id, body } => {
+            EngineMessage::Need { no, id, body } => {
                 let Some((id, run)) = self.run_of(id) else {
                     return Vec::new();
                 };
                 (run.need, run.told, run.begun) = (Some((no, body)), None, true);
-                vec![Event::Lives(id), Event::CallWanted(id)]
+                vec![ExecutionEvent::Lives(id), ExecutionEvent::CallWanted(id)]
             }
-            Notice::Stats { tag, gauges } => {
+            EngineMessage::Stats { tag, gauges } => {
                 self.link.gauges_came(tag);
                 if self.link.passed(tag) {
                     let again = self.commands_to_repeat();
                     self.link.resume(again);
                 } else if self.asked.take_if(|asked| *asked == tag).is_some() {
                     let busy = self.busy.and_then(|place| gauges.get(place).copied());
-                    return vec![Event::LoadSample(busy.filter(|b| b.is_finite()))];
+                    return vec![ExecutionEvent::LoadSample(busy.filter(|b| b.is_finite()))];
                 }
                 Vec::new()
             }
-            Notice::Tested { tag, good } => vec![Event::Tested(tag, good)],
-            Notice::Refused { command, id } => {
+            EngineMessage::Tested { tag, good } => vec![ExecutionEvent::Tested(tag, good)],
+            EngineMessage::Refused { command, id } => {
                 let Some((id, run)) = id.and_then(|id| self.run_of(id)) else {
                     return Vec::new();
                 };
@@ -223,18 +229,21 @@
                 // Any other says that this command was one too many, not that there is no run.
                 let none = command == "RUN" && !run.begun || command == "HALT" && !run.wanted;
                 self.tally.refused += 1;
-                let over =
-                    none.then(|| Event::Ended(id, RunOutcome::NotStarted, Output::default()));
+                let over = none.then(|| {
+                    ExecutionEvent::Ended(id, RunOutcome::NotStarted, RunOutput::default())
+                });
                 over.into_iter().collect()
             }
-            Notice::Hello { .. } | Notice::Remark(_) | Notice::Unknown(_) => Vec::new(),
+            EngineMessage::Hello { .. } | EngineMessage::Remark(_) | EngineMessage::Unknown(_) => {
+                Vec::new()
+            }
         }
     }
 
     /// What may have been lost with the link though it was written whole: the commands of replayable runs that
     /// showed no sign of life, and for runs that were told to go on shortly before, that.
-    fn commands_to_repeat(&self) -> Vec<Command> {
-        let lost = |run: &Run| {
+    fn commands_to_repeat(&self) -> Vec<EngineCommand> {
+        let lost = |run: &EngineRun| {
             let told = run
                 .told
                 .as_ref()
@@ -258,15 +267,15 @@
         };
         let Some((_, body)) = &run.need else { return };
         self.calls += 1;
-        let no = CallNo(self.calls);
+        let no = CallNumber(self.calls);
         let (records, inputs) = (self.records, self.inputs.clone());
         let (of, body) = (run.wire, body.clone());
         let task = self.executor.spawn(async move {
             let result = match records {
-                Some(records) => call::call(records, of, body, cap).await,
+                Some(records) => records_call::call(records, of, body, cap).await,
                 None => Err(CallError::NotBegun("nothing lies below")),
             };
-            let _ = inputs.send(Input::Called(id, no, result)).await;
+            let _ = inputs.send(Event::RecordsCallEnded(id, no, result)).await;
         });
         run.call = Some((no, task));
     }
@@ -275,15 +284,15 @@
         &mut self,
         now: Time,
         id: RequestId,
-        no: CallNo,
+        no: CallNumber,
         result: Result<Vec<u8>, CallError>,
-    ) -> Option<Event> {
+    ) -> Option<ExecutionEvent> {
         let run = self.runs.get_mut(&id)?;
         let (_, call) = run.call.take_if(|(of, _)| *of == no)?;
         drop(call);
         let end = match result {
             Ok(reply) => {
-                let feed = Command::Feed(run.wire, reply);
+                let feed = EngineCommand::Feed(run.wire, reply);
                 (run.need, run.told) = (None, Some((now, feed.clone())));
                 self.link.send(feed);
                 cottondyke_admission::types::CallOutcome::Completed
@@ -297,7 +306,7 @@
                 error.end()
             }
         };
-        Some(Event::CallEnded(id, end))
+        Some(ExecutionEvent::CallEnded(id, end))
     }
 
     /// The run goes on without its call.
@@ -306,7 +315,7 @@
             return;
         };
         if let Some((need, _)) = run.need.take() {
-            let skip = Command::Skip(run.wire, need);
+            let skip = EngineCommand::Skip(run.wire, need);
             run.told = Some((now, skip.clone()));
             self.link.send(skip);
         }
--- a/crates/server/src/run.rs
+++ b/crates/server/src/execution/engine_link.rs
@@ -1,9 +1,8 @@
 //! The link to the engine: kept open, taken up again where it broke.
-use crate::input::Input;
-use crate::wire::engine::{Command, Decoder, Notice, NoticeNo, Tag};
+use crate::event::Event;
+use crate::protocol::engine::{Decoder, EngineCommand, EngineMessage, MessageNumber};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use cottondyke_types::{Time, SECOND};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::collections::VecDeque;
 use std::future::Future;
@@ -13,17 +12,14 @@
 const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Commands that may wait while the engine reads none; past that no halt is repeated. All others are one a req.
-const MOST_WAITING: usize = 1_024;
 const READ: usize = 16_384;
 /// How long a link that was left for another stays open.
 const LEFT_OPEN: Duration = Duration::from_secs(1);
-const FENCE_WITHIN: Time = SECOND;
 
 /// Connects again and again, with growing pauses; the notices read whole are never asked for again. `moves`
 /// tells new addresses of the engine.
-pub async fn keep(mut addr: SocketAddr, moves: Receiver<SocketAddr>, desk: Sender<Input>) {
-    let mut last = NoticeNo(0);
+pub async fn keep(mut addr: SocketAddr, moves: Receiver<SocketAddr>, desk: Sender<Event>) {
+    let mut last = MessageNumber(0);
     let mut pause = SHORTEST_PAUSE;
     let mut before = None;
     loop {
@@ -75,13 +71,13 @@
 /// was left for it stays open a little: closed with notices unread, it could take the last commands with it.
 async fn attached(
     stream: &Async<TcpStream>,
-    last: &mut NoticeNo,
-    desk: &Sender<Input>,
+    last: &mut MessageNumber,
+    desk: &Sender<Event>,
     moving: impl Future<Output = ()>,
     before: &mut Option<Async<TcpStream>>,
 ) -> bool {
     let (outlet, commands) = async_channel::unbounded();
-    let _ = outlet.try_send(Command::Attach(*last));
+    let _ = outlet.try_send(EngineCommand::Attach(*last));
     let mut unsent = VecDeque::new();
     let mut greeted = None;
     let why = {
@@ -105,16 +101,16 @@
         .chain(std::iter::from_fn(|| commands.try_recv().ok()))
         .collect();
     if greeted.is_some() {
-        let _ = desk.send(Input::EngineDown(left)).await;
+        let _ = desk.send(Event::EngineDown(left)).await;
     }
     greeted.is_some()
 }
 
 async fn read(
     stream: &Async<TcpStream>,
-    last: &mut NoticeNo,
-    desk: &Sender<Input>,
-    outlet: Sender<Command>,
+    last: &mut MessageNumber,
+    desk: &Sender<Event>,
+    outlet: Sender<EngineCommand>,
     greeted: &mut Option<()>,
 ) -> &'static str {
     let mut decoder = Decoder::default();
@@ -137,22 +133,22 @@
                 continue;
             }
             let input = match notice {
-                Notice::Hello { age_ms } => {
+                EngineMessage::Hello { age_ms } => {
                     *greeted = Some(());
-                    Input::EngineUp {
+                    Event::EngineUp {
                         age_ms,
                         outlet: outlet.clone(),
                     }
                 }
-                Notice::Remark(_) => {
+                EngineMessage::Remark(_) => {
                     *last = number.unwrap_or(*last);
                     continue;
                 }
-                Notice::Unknown(line) => {
+                EngineMessage::Unknown(line) => {
                     tracing::warn!(line = line.get(..80).unwrap_or(&line), "an unknown notice");
                     continue;
                 }
-                other => Input::Notice(other),
+                other => Event::EngineMessage(other),
             };
             if desk.send(input).await.is_err() {
                 return "the desk has ended";
@@ -165,8 +161,8 @@
 /// Writes commands; what was not written to its last byte stays in `unsent`.
 async fn write(
     stream: &Async<TcpStream>,
-    commands: &Receiver<Command>,
-    unsent: &mut VecDeque<(Command, usize)>,
+    commands: &Receiver<EngineCommand>,
+    unsent: &mut VecDeque<(EngineCommand, usize)>,
 ) -> &'static str {
     let mut bytes = Vec::new();
     while let Ok(first) = commands.recv().await {
@@ -189,112 +185,3 @@
     }
     "the desk let it go"
 }
-
-/// What the desk knows of the engine: the link's way in, and what waits for a link.
-#[derive(Default)]
-pub struct Engine {
-    outlet: Option<Sender<Command>>,
-    /// After a link was taken up again, its answer shows that all earlier notices are read. It is waited for
-    /// until the time beside it.
-    fence: Option<(Tag, Time)>,
-    backlog: Vec<Command>,
-    tags: u64,
-    /// Gauges that were asked for and have not come: one question at a time.
-    unanswered: Option<Tag>,
-    /// Whether the engine has ever said hello.
-    pub greeted: bool,
-}
-
-impl Engine {
-    pub fn up(&mut self, now: Time, outlet: Sender<Command>) {
-        self.greeted = true;
-        self.outlet = Some(outlet);
-        self.fence = self.ask(Command::Stat).map(|tag| (tag, now + FENCE_WITHIN));
-    }
-
-    /// What was not sent whole was not carried out: it waits, as what comes meanwhile does.
-    pub fn down(&mut self, unsent: Vec<Command>) {
-        (self.outlet, self.fence, self.unanswered) = (None, None, None);
-        let since = std::mem::take(&mut self.backlog);
-        unsent
-            .into_iter()
-            .chain(since)
-            .for_each(|command| self.send(command));
-    }
-
-    /// True once the fence is passed: now the backlog can go out.
-    pub fn passed(&mut self, tag: Tag) -> bool {
-        self.fence.take_if(|(fence, _)| *fence == tag).is_some()
-    }
-
-    /// True once, when the fence has not been answered in time: what waited can wait no longer.
-    pub fn overdue(&mut self, now: Time) -> bool {
-        self.fence.take_if(|(_, until)| *until <= now).is_some()
-    }
-
-    /// Sends what waited, after runs that may have been lost with the last link.
-    pub fn resume(&mut self, again: Vec<Command>) {
-        let backlog = std::mem::take(&mut self.backlog);
-        again
-            .into_iter()
-            .chain(backlog)
-            .for_each(|command| self.send(command));
-    }
-
-    pub fn waits(&self, command: &Command) -> bool {
-        self.backlog.contains(command)
-    }
-
-    pub fn forget(&mut self) {
-        self.backlog.clear();
-    }
-
-    pub fn send(&mut self, command: Command) {
-        let halt = matches!(command, Command::Halt(_));
-        let command = match &self.outlet {
-            Some(outlet) if halt && outlet.len() >= MOST_WAITING => return,
-            Some(outlet) if self.fence.is_none() => match outlet.try_send(command) {
-                Ok(()) => return,
-                Err(closed) => closed.into_inner(),
-            },
-            _ => command,
-        };
-        // Halts are asked for again and again; gauges and tests are of no use later.
-        let useless = matches!(
-            command,
-            Command::Stat(_) | Command::Test(_) | Command::Attach(_)
-        );
-        let twice = halt && self.backlog.contains(&command);
-        if !useless && !twice {
-            self.backlog.push(command);
-        }
-    }
-
-    /// Asks for gauges or a test; none while there is no link.
-    pub fn ask(&mut self, command: fn(Tag) -> Command) -> Option<Tag> {
-        let tag = Tag(self.tags);
-        self.tags += 1;
-        let sent = self
-            .outlet
-            .as_ref()
-            .is_some_and(|outlet| outlet.try_send(command(tag)).is_ok());
-        sent.then_some(tag)
-    }
-
-    /// Asks for gauges, unless the last were not sent yet.
-    pub fn ask_gauges(&mut self) -> Option<Tag> {
-        if self.unanswered.is_none() {
-            self.unanswered = self.ask(Command::Stat);
-            return self.unanswered;
-        }
-        None
-    }
-
-    pub fn gauges_came(&mut self, tag: Tag) {
-        self.unanswered.take_if(|asked| *asked == tag);
-    }
-
-    pub fn is_up(&self) -> bool {
-        self.outlet.is_some()
-    }
-}
--- a/crates/server/src/work/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -1,37 +1,19 @@
 //! What a started req does. A kind of work is told `start` and `stop`, and ends each run exactly once with an
-//! `Event::Ended`; it knows nothing of connections, and the decider hears of it by the desk alone.
+//! `ExecutionEvent::Ended`; it knows nothing of connections, and the decider hears of it by the desk alone.
+pub mod aggregation;
+pub mod command_queue;
 pub mod engine;
-pub mod pages;
+pub mod engine_link;
+
+use crate::protocol::sidecar::RunOutput;
 use cottondyke_admission::types::{CallOutcome, RunOutcome};
 use cottondyke_types::{Idempotency, RequestId, TenantId, Time};
 use std::rc::Rc;
 
-/// What a run brought.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Output {
-    pub body: Vec<u8>,
-    /// The parts that are not whole, by name and joined by commas; none where all is whole.
-    pub partial: Option<Rc<str>>,
-}
-
-impl Output {
-    pub fn whole(body: Vec<u8>) -> Self {
-        Output {
-            body,
-            partial: None,
-        }
-    }
-
-    /// The room that it takes where it is kept, in bytes.
-    pub fn size(&self) -> usize {
-        self.body.len() + self.partial.as_ref().map_or(0, |names| names.len())
-    }
-}
-
 /// A req as a kind of work needs it.
 #[derive(Clone, Debug)]
-pub struct Job {
-    pub wire: crate::wire::WireId,
+pub struct ExecutionRequest {
+    pub wire: crate::protocol::WireId,
     pub handler: cottondyke_types::HandlerId,
     pub customer: Option<TenantId>,
     pub body: Rc<[u8]>,
@@ -42,39 +24,39 @@
 
 /// What a kind of work tells the desk.
 #[derive(Debug)]
-pub enum Event {
+pub enum ExecutionEvent {
     /// The run shows that it goes on.
     Lives(RequestId),
-    Ended(RequestId, RunOutcome, Output),
+    Ended(RequestId, RunOutcome, RunOutput),
     /// The run needs a call that the decider lets out.
     CallWanted(RequestId),
     CallEnded(RequestId, CallOutcome),
     /// The part of the cores in use, asked for by the desk.
     LoadSample(Option<f64>),
     /// A test that the desk asked for.
-    Tested(crate::wire::engine::Tag, bool),
+    Tested(crate::protocol::engine::Tag, bool),
 }
 
 /// The kinds of work that this server has, and which handler goes to which. Events come back from every input,
 /// for the desk to take in their order.
-pub struct Works {
+pub struct Executors {
     /// None where the program serves on its own.
-    pub engine: Option<engine::Runs>,
+    pub engine: Option<engine::EngineExecutor>,
     /// None without an operator's file.
-    pub pages: Option<pages::Runs>,
+    pub pages: Option<aggregation::AggregationExecutor>,
     classes: Vec<Rc<str>>,
     kinds: Vec<Idempotency>,
 }
 
-impl Works {
+impl Executors {
     /// `classes` and `kinds` by handler.
     pub fn new(
-        engine: Option<engine::Runs>,
-        pages: Option<pages::Runs>,
+        engine: Option<engine::EngineExecutor>,
+        pages: Option<aggregation::AggregationExecutor>,
         classes: Vec<Rc<str>>,
         kinds: Vec<Idempotency>,
     ) -> Self {
-        Works {
+        Executors {
             engine,
             pages,
             classes,
@@ -84,15 +66,24 @@
 
     /// Whether anything can run: with an engine, only once it has said hello.
     pub fn ready(&self) -> bool {
-        self.engine.as_ref().is_none_or(engine::Runs::greeted)
+        self.engine
+            .as_ref()
+            .is_none_or(engine::EngineExecutor::greeted)
     }
 
     /// Whether what runs reqs can be reached now.
     pub fn is_up(&self) -> bool {
-        self.engine.as_ref().is_none_or(engine::Runs::is_up)
+        self.engine
+            .as_ref()
+            .is_none_or(engine::EngineExecutor::is_up)
     }
 
-    pub fn start(&mut self, now: Time, id: RequestId, job: &Job) -> Vec<Event> {
+    pub fn start(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        job: &ExecutionRequest,
+    ) -> Vec<ExecutionEvent> {
         let (place, ready) = (job.handler.0, self.ready());
         let replayable = self.kinds[place] == Idempotency::Idempotent;
         match (&mut self.pages, &mut self.engine) {
@@ -100,13 +91,19 @@
             (Some(pages), _) if pages.has(place) && !ready => {}
             (Some(pages), _) if pages.has(place) => return pages.start(now, id, job, replayable),
             (_, Some(engine)) => engine.start(id, job, self.classes[place].clone(), replayable),
-            (_, None) => return vec![Event::Ended(id, RunOutcome::Failed, Output::default())],
+            (_, None) => {
+                return vec![ExecutionEvent::Ended(
+                    id,
+                    RunOutcome::Failed,
+                    RunOutput::default(),
+                )]
+            }
         }
         Vec::new()
     }
 
     /// Asks for a run's end.
-    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<Event> {
+    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
         if let Some(engine) = &mut self.engine {
             engine.stop(id);
         }
@@ -146,10 +143,12 @@
     }
 
     pub fn next(&self) -> Option<Time> {
-        self.pages.as_ref().and_then(pages::Runs::next)
+        self.pages
+            .as_ref()
+            .and_then(aggregation::AggregationExecutor::next)
     }
 
-    pub fn timer(&mut self, now: Time) -> Vec<Event> {
+    pub fn timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
         let due = self.next().is_some_and(|at| at <= now);
         self.pages
             .as_mut()
@@ -158,7 +157,7 @@
     }
 
     /// Once a second: lines for the log.
-    pub fn tally(&mut self, now: Time) -> engine::Tally {
+    pub fn tally(&mut self, now: Time) -> engine::EngineCounters {
         if let Some(pages) = &mut self.pages {
             pages.chores(now);
         }
--- a/crates/server/src/health.rs
+++ b/crates/server/src/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: answered from what the decider set, or by work that the engine does.
-use crate::input::ConnId;
-use crate::wire::engine::Tag;
-use crate::wire::sidecar::Stream;
+use crate::event::ConnectionId;
+use crate::protocol::engine::Tag;
+use crate::protocol::sidecar::StreamId;
 use cottondyke_types::Time;
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 const MOST_TESTS: usize = 64;
 
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct HealthChecker {
     /// What the decider set; before it has, checks are answered by what the engine does.
     stored: Option<bool>,
-    tests: BTreeMap<Tag, (Time, ConnId, Stream)>,
+    tests: BTreeMap<Tag, (Time, ConnectionId, StreamId)>,
 }
 
-impl Health {
+impl HealthChecker {
     /// True if that is news.
     pub fn set(&mut self, good: bool) -> bool {
         self.stored.replace(good) != Some(good)
@@ -33,18 +33,18 @@
         })
     }
 
-    pub fn testing(&mut self, now: Time, tag: Tag, conn: ConnId, stream: Stream) {
+    pub fn testing(&mut self, now: Time, tag: Tag, conn: ConnectionId, stream: StreamId) {
         self.tests.insert(tag, (now + TEST_WITHIN, conn, stream));
     }
 
-    pub fn tested(&mut self, tag: Tag) -> Option<(ConnId, Stream)> {
+    pub fn tested(&mut self, tag: Tag) -> Option<(ConnectionId, StreamId)> {
         self.tests
             .remove(&tag)
             .map(|(_, conn, stream)| (conn, stream))
     }
 
     /// The checks that have waited long enough.
-    pub fn overdue(&mut self, now: Time) -> Vec<(ConnId, Stream)> {
+    pub fn overdue(&mut self, now: Time) -> Vec<(ConnectionId, StreamId)> {
         let late: Vec<_> = self
             .tests
             .iter()
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,6 +1,13 @@
-//! The backend on sockets. Modules follow the stages of a req: `accept` takes connections, `intake` reads,
-//! the `desk` owns the decider and carries out what it decides, `run` speaks with the engine, `call` with the
-//! records service, `answer` writes. Beside them `keys`, `health`, `report` and `drain`.
+//! The server of cottondyke on sockets: it reads requests from sidecars, lets the admission controller decide what is
+//! admitted, runs what is admitted and writes the responses.
+//!
+//! Modules by floor, from the ground; none imports one that stands after it:
+//!
+//! - [`clock`], [`protocol`] (bytes to messages and back), [`config`] and [`event`] (what reaches the dispatcher);
+//! - [`resource_limits`], [`cpu_usage`], [`shutdown`], [`health_check`], [`dedup`], [`signal`];
+//! - [`connection`], [`listener`], [`outbound`], [`load_report`], [`cluster`], [`execution`];
+//! - [`dispatcher`], the sole owner of the admission controller, the in-flight requests and the timers;
+//! - [`app`], which puts all together.
 #![expect(
     missing_docs,
     unreachable_pub,
@@ -8,25 +15,21 @@
     reason = "not yet read through; see docs/ROADMAP.md"
 )]
 
-pub mod accept;
-pub mod answer;
-pub mod call;
-pub mod client;
+pub mod app;
+pub mod clock;
+pub mod cluster;
 pub mod config;
-pub mod cpu;
-pub mod desk;
-pub mod drain;
-pub mod fetch;
-pub mod fleet;
-pub mod health;
-pub mod input;
-pub mod intake;
-pub mod keys;
-pub mod report;
-pub mod room;
-pub mod run;
-pub mod serve;
-pub mod sources;
-pub mod time;
-pub mod wire;
-pub mod work;
+pub mod connection;
+pub mod cpu_usage;
+pub mod dedup;
+pub mod dispatcher;
+pub mod event;
+pub mod execution;
+pub mod health_check;
+pub mod listener;
+pub mod load_report;
+pub mod outbound;
+pub mod protocol;
+pub mod resource_limits;
+pub mod shutdown;
+pub mod signal;
--- a/crates/server/src/accept.rs
+++ b/crates/server/src/listener.rs
@@ -1,6 +1,6 @@
 //! Takes connections from sidecars, within the budget of descriptors.
-use crate::input::{ConnId, Input};
-use crate::intake::{self, Front};
+use crate::connection::reader::{self, ConnectionContext};
+use crate::event::{ConnectionId, Event};
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -29,7 +29,7 @@
 pub async fn listen(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
-    front: Rc<Front>,
+    front: Rc<ConnectionContext>,
     close: Receiver<()>,
 ) {
     let mut next = 0;
@@ -89,22 +89,22 @@
 /// Serves a connection in a task of its own.
 fn take(
     executor: &LocalExecutor<'static>,
-    front: &Rc<Front>,
+    front: &Rc<ConnectionContext>,
     next: &mut u64,
     stream: Async<TcpStream>,
 ) {
-    let (conn, permit, front) = (ConnId(*next), front.room.permit(), front.clone());
+    let (conn, permit, front) = (ConnectionId(*next), front.room.permit(), front.clone());
     *next += 1;
     let task = async move {
-        guarded(conn, intake::serve(conn, stream, &front)).await;
-        let _ = front.desk.send(Input::Closed(conn)).await;
+        guarded(conn, reader::serve(conn, stream, &front)).await;
+        let _ = front.desk.send(Event::Closed(conn)).await;
         drop(permit);
     };
     executor.spawn(task).detach();
 }
 
 /// Serves a connection; a panic in its handling ends that connection alone.
-pub async fn guarded(conn: ConnId, serving: impl Future<Output = ()>) {
+pub async fn guarded(conn: ConnectionId, serving: impl Future<Output = ()>) {
     if AssertUnwindSafe(serving).catch_unwind().await.is_err() {
         tracing::error!(
             conn = conn.0,
--- a/crates/server/src/report.rs
+++ b/crates/server/src/load_report.rs
@@ -1,5 +1,6 @@
 //! Reports to the control plane, one each second and one at each change. It may be down, slow or odd: serving goes on.
-use crate::wire::http::{self, Decoder};
+use crate::event::ReportUpdate;
+use crate::protocol::http::{self, Decoder};
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -10,16 +11,8 @@
 const EACH: Duration = Duration::from_secs(1);
 const LIMIT: Duration = Duration::from_millis(800);
 
-/// What the desk tells.
-pub enum News {
-    /// What health checks hear.
-    Health(bool),
-    /// The control plane's new address.
-    Moved(SocketAddr),
-}
-
 /// Reports until the program ends. News goes out at once, whatever report still waits for its answer.
-pub async fn keep(mut addr: SocketAddr, name: String, changes: Receiver<News>) {
+pub async fn keep(mut addr: SocketAddr, name: String, changes: Receiver<ReportUpdate>) {
     let path = format!("/v2/endpoints/{name}");
     let mut beat = Timer::interval_at(std::time::Instant::now(), EACH);
     let (mut failing, mut ready) = (false, false);
@@ -31,8 +24,8 @@
         let mut news = heard(&changes).or(due).await;
         let result = loop {
             match news.take() {
-                Some(News::Health(good)) => ready = good,
-                Some(News::Moved(to)) => addr = to,
+                Some(ReportUpdate::Health(good)) => ready = good,
+                Some(ReportUpdate::Moved(to)) => addr = to,
                 None => {}
             }
             let condition = if ready { "Ready" } else { "NotReady" };
@@ -57,7 +50,7 @@
     }
 }
 
-async fn heard(changes: &Receiver<News>) -> Option<News> {
+async fn heard(changes: &Receiver<ReportUpdate>) -> Option<ReportUpdate> {
     match changes.recv().await {
         Ok(news) => Some(news),
         Err(_) => std::future::pending().await,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -4,8 +4,9 @@
     reason = "not yet read through; see docs/ROADMAP.md"
 )]
 
-use cottondyke::sources::Sources;
-use cottondyke::{config::Config, drain, fleet, serve};
+use cottondyke::cluster::status;
+use cottondyke::config::files::ConfigFiles;
+use cottondyke::{app, config::Config, signal};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
@@ -34,7 +35,7 @@
     command: String,
     addr: Option<String>,
     json: bool,
-    sources: Sources,
+    sources: ConfigFiles,
     log: LevelFilter,
 }
 
@@ -43,7 +44,7 @@
         command: String::new(),
         addr: None,
         json: false,
-        sources: Sources::default(),
+        sources: ConfigFiles::default(),
         log: LevelFilter::INFO,
     };
     let mut words = lexopt::Parser::from_env();
@@ -91,7 +92,7 @@
         "check" | "serve" => {
             // First of all: until this stands, a signal has its default action, and a SIGHUP that comes while the
             // files are read would end the program.
-            let signals = match (usage.command == "serve").then(drain::signals).transpose() {
+            let signals = match (usage.command == "serve").then(signal::signals).transpose() {
                 Ok(signals) => signals,
                 Err(wrong) => return fail(&format!("cannot watch for signals: {wrong}"), 1),
             };
@@ -112,7 +113,7 @@
                 .with_max_level(usage.log)
                 .with_ansi(false);
             log.with_writer(std::io::stderr).init();
-            if let Err(wrong) = serve::serve(signals, sources, config) {
+            if let Err(wrong) = app::serve(signals, sources, config) {
                 return fail(&wrong, 1);
             }
         }
@@ -124,9 +125,9 @@
                 );
                 return fail(&what, 2);
             };
-            match fleet::look::look(addr) {
+            match status::query(addr) {
                 Ok(view) if usage.json => println!("{}", serde_json::json!(view)),
-                Ok(view) => print!("{}", fleet::look::shown(&view)),
+                Ok(view) => print!("{}", status::render(&view)),
                 Err(wrong) => return fail(&wrong, 1),
             }
         }
--- a/crates/server/src/fetch.rs
+++ b/crates/server/src/outbound/dependency_call.rs
@@ -1,7 +1,8 @@
 //! Calls to the dependencies of pages: what is asked, and what a reply says of the dependency.
-use crate::client::{self, CallError, Pool};
-use crate::time::{ms, Clock};
-use crate::wire::{http, WireId};
+use crate::clock::{ms, Clock};
+use crate::event::CallError;
+use crate::outbound::http_client::{self, ConnectionPool};
+use crate::protocol::{http, WireId};
 use cottondyke_dependency::{CallResult, Dependency, SendTimestamp};
 use cottondyke_types::Time;
 use std::cell::Cell;
@@ -9,7 +10,7 @@
 
 /// Asks `to`. Dropping the future closes its connection. Nothing here limits its time: who waits does.
 pub async fn fetch(
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     (clock, stamp): (Clock, Rc<SendTimestamp>),
     to: Rc<Dependency>,
     of: WireId,
@@ -31,7 +32,7 @@
     let pooled = if reuse { pool.take(to.addr) } else { None };
     let (used, connected) = match pooled {
         Some(stream) => (true, Ok(stream)),
-        None => (false, client::connect(to.addr).await),
+        None => (false, http_client::connect(to.addr).await),
     };
     let Ok(mut stream) = connected else {
         return CallResult::Rejected;
@@ -44,7 +45,7 @@
     }
     stamp.record_send(now);
     let (sending, heard) = (Cell::new(false), Cell::new(false));
-    let (reply, again) = match client::exchange(&mut stream, &bytes, &sending, &heard).await {
+    let (reply, again) = match http_client::exchange(&mut stream, &bytes, &sending, &heard).await {
         Ok(got) => got,
         Err(_) if used && !heard.get() => return CallResult::StaleConnection,
         Err(CallError::NotBegun(_)) => return CallResult::Rejected,
--- a/crates/server/src/client.rs
+++ b/crates/server/src/outbound/http_client.rs
@@ -1,9 +1,9 @@
 //! The one HTTP/1.1 client: calls to the records service, each on a connection of its own, and calls to
 //! dependencies, on pooled ones. A connection is used again only after a reply that ended where it said, with
 //! nothing behind it; one that has been forgotten or written to meanwhile is found out before it is used.
-use crate::wire::http::{self, Decoder};
+use crate::event::CallError;
+use crate::protocol::http::{self, Decoder};
 use async_io::Async;
-use cottondyke_admission::types::CallOutcome;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,30 +15,10 @@
 /// A connection unused for this long is closed: most services keep theirs a little longer.
 const IDLE: Duration = Duration::from_secs(4);
 
-/// Why a call brought no result, told by how far it had come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallError {
-    NotBegun(&'static str),
-    /// It may go on.
-    MaybeBegun(&'static str),
-    /// It was begun, and goes on no longer.
-    Ended(&'static str),
-}
-
-impl CallError {
-    pub fn end(self) -> CallOutcome {
-        match self {
-            CallError::NotBegun(_) => CallOutcome::NotExecuted,
-            CallError::MaybeBegun(_) => CallOutcome::Indeterminate,
-            CallError::Ended(_) => CallOutcome::Failed,
-        }
-    }
-}
-
-pub type Stream = Async<TcpStream>;
+pub type HttpConnection = Async<TcpStream>;
 
-pub async fn connect(addr: SocketAddr) -> Result<Stream, CallError> {
-    let stream = Stream::connect(addr)
+pub async fn connect(addr: SocketAddr) -> Result<HttpConnection, CallError> {
+    let stream = HttpConnection::connect(addr)
         .await
         .map_err(|_| CallError::NotBegun("no connection"))?;
     let _ = stream.get_ref().set_nodelay(true);
@@ -49,11 +29,11 @@
 /// back. With the reply, whether the connection may be used again. A service may answer before it has read the
 /// request, and close: that reply counts, though the rest can no longer be written.
 pub async fn exchange(
-    stream: &mut Stream,
+    stream: &mut HttpConnection,
     request: &[u8],
     sending: &Cell<bool>,
     heard: &Cell<bool>,
-) -> Result<(http::Reply, bool), CallError> {
+) -> Result<(http::Response, bool), CallError> {
     sending.set(true);
     let (stream, sent) = (&*stream, Cell::new(None));
     let writing = async {
@@ -89,13 +69,13 @@
 
 /// Connections that are not in use, by address; those used last are used first.
 #[derive(Default)]
-pub struct Pool {
-    idle: RefCell<BTreeMap<SocketAddr, Vec<(Stream, Instant)>>>,
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<SocketAddr, Vec<(HttpConnection, Instant)>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A connection on which nothing has come, not even its end.
-    pub fn take(&self, addr: SocketAddr) -> Option<Stream> {
+    pub fn take(&self, addr: SocketAddr) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let of = idle.get_mut(&addr)?;
         while let Some((stream, since)) = of.pop() {
@@ -109,7 +89,7 @@
     }
 
     /// Keeps a connection, of which `most` may lie idle.
-    pub fn give(&self, addr: SocketAddr, stream: Stream, most: usize) {
+    pub fn give(&self, addr: SocketAddr, stream: HttpConnection, most: usize) {
         let mut idle = self.idle.borrow_mut();
         let of = idle.entry(addr).or_default();
         if of.len() < most {
--- a/crates/server/src/call.rs
+++ b/crates/server/src/outbound/records_call.rs
@@ -1,9 +1,10 @@
 //! Calls to the records service, each on a connection of its own: what comes after a reply is read by no other
 //! call, and one that was forgotten by the service is not written to.
-use crate::client::{self, CallError};
-use crate::time::{duration, ms};
-use crate::wire::http;
-use crate::wire::WireId;
+use crate::clock::{duration, ms};
+use crate::event::CallError;
+use crate::outbound::http_client;
+use crate::protocol::http;
+use crate::protocol::WireId;
 use async_io::Timer;
 use cottondyke_types::Time;
 use futures_lite::FutureExt;
@@ -38,12 +39,12 @@
     cap: Time,
     sending: &Cell<bool>,
 ) -> Result<Vec<u8>, CallError> {
-    let mut stream = client::connect(addr).await?;
+    let mut stream = http_client::connect(addr).await?;
     let wait = (ms(cap).ceil() as u64).to_string();
     let headers = [("Op-Of", of.as_str()), ("Op-Wait-Ms", wait.as_str())];
     let mut bytes = Vec::new();
     http::request("POST", PATH, &addr.to_string(), &headers, &body, &mut bytes);
-    let (reply, _) = client::exchange(&mut stream, &bytes, sending, &Cell::new(false)).await?;
+    let (reply, _) = http_client::exchange(&mut stream, &bytes, sending, &Cell::new(false)).await?;
     match reply.status {
         200 => Ok(reply.body),
         503 | 409 if reply.not_begun => Err(CallError::NotBegun("turned away")),
--- a/crates/server/src/wire/engine.rs
+++ b/crates/server/src/protocol/engine.rs
@@ -1,5 +1,5 @@
 //! Lines between the server and its engine.
-use super::{Malformed, Pending, WireId};
+use super::{ProtocolError, ReadBuffer, WireId};
 use cottondyke_admission::types::RunOutcome;
 use std::rc::Rc;
 
@@ -8,14 +8,14 @@
 
 /// Numbers the notices of one life of the server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct NoticeNo(pub u64);
+pub struct MessageNumber(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Tag(pub u64);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Command {
-    Attach(NoticeNo),
+pub enum EngineCommand {
+    Attach(MessageNumber),
     Run {
         id: WireId,
         class: Rc<str>,
@@ -23,12 +23,12 @@
     },
     Halt(WireId),
     Feed(WireId, Vec<u8>),
-    Skip(WireId, NoticeNo),
+    Skip(WireId, MessageNumber),
     Stat(Tag),
     Test(Tag),
 }
 
-impl Command {
+impl EngineCommand {
     pub fn encode(&self, to: &mut Vec<u8>) {
         let mut put = |line: String, body: Option<&[u8]>| {
             to.extend(line.as_bytes());
@@ -39,32 +39,32 @@
             to.extend(b"\r\n");
         };
         match self {
-            Command::Attach(last) => put(format!("ATTACH {}", last.0), None),
-            Command::Run { id, class, body } => {
+            EngineCommand::Attach(last) => put(format!("ATTACH {}", last.0), None),
+            EngineCommand::Run { id, class, body } => {
                 put(format!("RUN {} {class}", id.as_str()), Some(body))
             }
-            Command::Halt(id) => put(format!("HALT {}", id.as_str()), None),
-            Command::Feed(id, body) => put(format!("FEED {}", id.as_str()), Some(body)),
-            Command::Skip(id, need) => put(format!("SKIP {} {}", id.as_str(), need.0), None),
-            Command::Stat(tag) => put(format!("STAT {}", tag.0), None),
-            Command::Test(tag) => put(format!("TEST {}", tag.0), None),
+            EngineCommand::Halt(id) => put(format!("HALT {}", id.as_str()), None),
+            EngineCommand::Feed(id, body) => put(format!("FEED {}", id.as_str()), Some(body)),
+            EngineCommand::Skip(id, need) => put(format!("SKIP {} {}", id.as_str(), need.0), None),
+            EngineCommand::Stat(tag) => put(format!("STAT {}", tag.0), None),
+            EngineCommand::Test(tag) => put(format!("TEST {}", tag.0), None),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
+pub enum EngineMessage {
     Hello {
         age_ms: f64,
     },
     Done {
-        no: NoticeNo,
+        no: MessageNumber,
         id: WireId,
         end: RunOutcome,
         result: Vec<u8>,
     },
     Need {
-        no: NoticeNo,
+        no: MessageNumber,
         id: WireId,
         body: Vec<u8>,
     },
@@ -80,15 +80,15 @@
         command: String,
         id: Option<WireId>,
     },
-    Remark(Option<NoticeNo>),
+    Remark(Option<MessageNumber>),
     Unknown(String),
 }
 
-impl Notice {
-    pub fn number(&self) -> Option<NoticeNo> {
+impl EngineMessage {
+    pub fn number(&self) -> Option<MessageNumber> {
         match self {
-            Notice::Done { no, .. } | Notice::Need { no, .. } => Some(*no),
-            Notice::Remark(no) => *no,
+            EngineMessage::Done { no, .. } | EngineMessage::Need { no, .. } => Some(*no),
+            EngineMessage::Remark(no) => *no,
             _ => None,
         }
     }
@@ -96,7 +96,7 @@
 
 #[derive(Debug, Default)]
 pub struct Decoder {
-    pending: Pending,
+    pending: ReadBuffer,
 }
 
 impl Decoder {
@@ -105,26 +105,26 @@
     }
 
     /// The next notice, once it has come whole with its body. After an error the link is of no more use.
-    pub fn notice(&mut self) -> Result<Option<Notice>, Malformed> {
+    pub fn notice(&mut self) -> Result<Option<EngineMessage>, ProtocolError> {
         let Some((line, end)) = self.pending.line() else {
             let long = self.pending.rest().len() > MOST_LINE;
             return if long {
-                Err(Malformed("a line without an end"))
+                Err(ProtocolError("a line without an end"))
             } else {
                 Ok(None)
             };
         };
-        let line = std::str::from_utf8(line).map_err(|_| Malformed("a line is not text"))?;
+        let line = std::str::from_utf8(line).map_err(|_| ProtocolError("a line is not text"))?;
         let words: Vec<&str> = line.split(' ').collect();
         let length = match words[0] {
             "DONE" | "NEED" => words
                 .last()
                 .and_then(|w| w.parse().ok())
-                .ok_or(Malformed("no length"))?,
+                .ok_or(ProtocolError("no length"))?,
             _ => 0,
         };
         if length > MOST_BODY {
-            return Err(Malformed("a body is too long"));
+            return Err(ProtocolError("a body is too long"));
         }
         let with_body = matches!(words[0], "DONE" | "NEED");
         let whole = end + if with_body { length + 2 } else { 0 };
@@ -133,21 +133,21 @@
         };
         let body = if with_body {
             body.strip_suffix(b"\r\n")
-                .ok_or(Malformed("a body without its end"))?
+                .ok_or(ProtocolError("a body without its end"))?
                 .to_vec()
         } else {
             Vec::new()
         };
-        let notice = notice(&words, body).ok_or(Malformed("a notice that cannot be read"))?;
+        let notice = notice(&words, body).ok_or(ProtocolError("a notice that cannot be read"))?;
         self.pending.take(whole);
         Ok(Some(notice))
     }
 }
 
-fn notice(words: &[&str], body: Vec<u8>) -> Option<Notice> {
+fn notice(words: &[&str], body: Vec<u8>) -> Option<EngineMessage> {
     let number = |w: &str| w.parse().ok();
     Some(match *words {
-        ["HELLO", _, ms] => Notice::Hello {
+        ["HELLO", _, ms] => EngineMessage::Hello {
             age_ms: ms
                 .parse::<f64>()
                 .ok()
@@ -161,34 +161,34 @@
                 "late" => RunOutcome::NotStarted,
                 _ => return None,
             };
-            Notice::Done {
-                no: NoticeNo(number(no)?),
+            EngineMessage::Done {
+                no: MessageNumber(number(no)?),
                 id: WireId::new(id)?,
                 end,
                 result: body,
             }
         }
-        ["NEED", no, id, _] => Notice::Need {
-            no: NoticeNo(number(no)?),
+        ["NEED", no, id, _] => EngineMessage::Need {
+            no: MessageNumber(number(no)?),
             id: WireId::new(id)?,
             body,
         },
-        ["STATS", tag, ref gauges @ ..] => Notice::Stats {
+        ["STATS", tag, ref gauges @ ..] => EngineMessage::Stats {
             tag: Tag(number(tag)?),
             gauges: gauges
                 .iter()
                 .map(|g| g.parse().unwrap_or(f64::NAN))
                 .collect(),
         },
-        ["TESTED", tag, end] => Notice::Tested {
+        ["TESTED", tag, end] => EngineMessage::Tested {
             tag: Tag(number(tag)?),
             good: end == "fine",
         },
-        ["NO", command, id] => Notice::Refused {
+        ["NO", command, id] => EngineMessage::Refused {
             command: command.to_string(),
             id: WireId::new(id),
         },
-        ["NOTE", no, ..] => Notice::Remark(number(no).map(NoticeNo)),
-        _ => Notice::Unknown(words.join(" ")),
+        ["NOTE", no, ..] => EngineMessage::Remark(number(no).map(MessageNumber)),
+        _ => EngineMessage::Unknown(words.join(" ")),
     })
 }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/protocol/http.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 as a client speaks it: one request, one reply. What follows the reply is never read.
-use super::{Malformed, Pending};
+use super::{ProtocolError, ReadBuffer};
 
 const MOST_HEAD: usize = 16_384;
 const MOST_BODY: usize = 262_144;
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
+pub struct Response {
     pub status: u16,
     /// The service says that the call never ran.
     pub not_begun: bool,
@@ -42,8 +42,8 @@
 
 #[derive(Debug, Default)]
 pub struct Decoder {
-    pending: Pending,
-    head: Option<(Reply, Body)>,
+    pending: ReadBuffer,
+    head: Option<(Response, Body)>,
 }
 
 impl Decoder {
@@ -57,13 +57,13 @@
     }
 
     /// The reply, once it has come whole.
-    pub fn reply(&mut self) -> Result<Option<Reply>, Malformed> {
+    pub fn reply(&mut self) -> Result<Option<Response>, ProtocolError> {
         while self.head.is_none() {
             let rest = self.pending.rest();
             let Some(end) = head_end(rest) else {
                 let long = rest.len() > MOST_HEAD;
                 return if long {
-                    Err(Malformed("a head without an end"))
+                    Err(ProtocolError("a head without an end"))
                 } else {
                     Ok(None)
                 };
@@ -84,7 +84,7 @@
             }
             Body::Chunked if self.chunks(&mut reply.body)? => return Ok(Some(reply)),
             _ if self.pending.rest().len() > MOST_BODY => {
-                return Err(Malformed("a body is too long"))
+                return Err(ProtocolError("a body is too long"))
             }
             _ => {}
         }
@@ -93,12 +93,12 @@
     }
 
     /// Moves whole chunks over; true after the last.
-    fn chunks(&mut self, to: &mut Vec<u8>) -> Result<bool, Malformed> {
+    fn chunks(&mut self, to: &mut Vec<u8>) -> Result<bool, ProtocolError> {
         loop {
             let Some((line, end)) = self.pending.line() else {
                 let long = self.pending.rest().len() > MOST_HEAD;
                 return if long {
-                    Err(Malformed("a chunk without a size"))
+                    Err(ProtocolError("a chunk without a size"))
                 } else {
                     Ok(false)
                 };
@@ -109,7 +109,7 @@
             let size = size.and_then(|s| usize::from_str_radix(s.trim(), 16).ok());
             let size = size
                 .filter(|s| *s <= MOST_BODY - to.len())
-                .ok_or(Malformed("a chunk's size"))?;
+                .ok_or(ProtocolError("a chunk's size"))?;
             if size == 0 {
                 let trailer = &self.pending.rest()[end..];
                 let done = trailer
@@ -127,7 +127,7 @@
             to.extend(
                 chunk
                     .strip_suffix(b"\r\n")
-                    .ok_or(Malformed("a chunk without its end"))?,
+                    .ok_or(ProtocolError("a chunk without its end"))?,
             );
             self.pending.take(end + size + 2);
         }
@@ -141,14 +141,14 @@
         .map(|at| at + 4)
 }
 
-fn head(bytes: &[u8]) -> Result<(Reply, Body), Malformed> {
-    let text = std::str::from_utf8(bytes).map_err(|_| Malformed("a head is not text"))?;
+fn head(bytes: &[u8]) -> Result<(Response, Body), ProtocolError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| ProtocolError("a head is not text"))?;
     let mut lines = text.split("\r\n");
     let mut first = lines.next().unwrap_or_default().splitn(3, ' ');
     let version = first
         .next()
         .filter(|v| v.starts_with("HTTP/1."))
-        .ok_or(Malformed("not HTTP/1"))?;
+        .ok_or(ProtocolError("not HTTP/1"))?;
     let mut close = version == "HTTP/1.0";
     let status = first
         .next()
@@ -156,21 +156,21 @@
         .and_then(|s| s.parse::<u16>().ok());
     let status = status
         .filter(|s| (100..600).contains(s))
-        .ok_or(Malformed("no status"))?;
+        .ok_or(ProtocolError("no status"))?;
     let mut body = (status != 200).then_some(Body::Sized(0));
     let (bodiless, mut not_begun) = (body.is_some(), false);
     for line in lines.filter(|l| !l.is_empty()) {
         let (name, value) = line
             .split_once(':')
-            .ok_or(Malformed("a header without a colon"))?;
+            .ok_or(ProtocolError("a header without a colon"))?;
         let (name, value) = (name.to_ascii_lowercase(), value.trim());
         match name.as_str() {
             "content-length" if body != Some(Body::Chunked) && !bodiless => {
                 let digits = value.bytes().all(|b| b.is_ascii_digit());
                 let length = value.parse().ok().filter(|l| digits && *l <= MOST_BODY);
-                let length = length.ok_or(Malformed("a length"))?;
+                let length = length.ok_or(ProtocolError("a length"))?;
                 if matches!(body, Some(Body::Sized(other)) if other != length) {
-                    return Err(Malformed("two lengths"));
+                    return Err(ProtocolError("two lengths"));
                 }
                 body = Some(Body::Sized(length));
             }
@@ -179,7 +179,7 @@
                 body = if chunked {
                     Some(Body::Chunked)
                 } else {
-                    Err(Malformed("an unknown encoding"))?
+                    Err(ProtocolError("an unknown encoding"))?
                 };
             }
             "connection" => {
@@ -192,9 +192,9 @@
         }
     }
     // One that ends with its connection may have been cut short: it is not believed.
-    let body = body.ok_or(Malformed("a body without a length"))?;
+    let body = body.ok_or(ProtocolError("a body without a length"))?;
     Ok((
-        Reply {
+        Response {
             status,
             not_begun,
             close,
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/protocol/mod.rs
@@ -8,12 +8,12 @@
 /// Bytes that came and are not yet decoded. They take only as much room as has come, whatever length a
 /// message announces.
 #[derive(Debug, Default)]
-pub struct Pending {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     taken: usize,
 }
 
-impl Pending {
+impl ReadBuffer {
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.taken);
         self.taken = 0;
@@ -50,7 +50,7 @@
 
 /// What cannot be decoded any further, in words.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// The id that a req bears on the wire, kept as it came.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/server/src/wire/sidecar.rs
+++ b/crates/server/src/protocol/sidecar.rs
@@ -1,6 +1,5 @@
 //! Frames between sidecars and the server.
-use super::{Malformed, Pending, WireId};
-use crate::work::Output;
+use super::{ProtocolError, ReadBuffer, WireId};
 use cottondyke_types::{HandlerId, TenantId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -28,11 +27,11 @@
 const BAD: u8 = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stream(pub u32);
+pub struct StreamId(pub u32);
 
 /// What the settings say of reqs: the names of handlers and customers in their order, and how long one lives.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     pub handlers: Vec<String>,
     pub customers: Vec<String>,
     /// The longest client timeout.
@@ -40,8 +39,8 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Req {
-    pub stream: Stream,
+pub struct Request {
+    pub stream: StreamId,
     pub id: WireId,
     pub handler: HandlerId,
     pub customer: Option<TenantId>,
@@ -59,31 +58,31 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Message {
-    Req(Req),
+pub enum Frame {
+    Request(Request),
     /// A req that can be answered, not run.
-    Unfit(Stream, &'static str),
-    Check {
-        stream: Stream,
+    InvalidRequest(StreamId, &'static str),
+    HealthCheck {
+        stream: StreamId,
         deep: bool,
     },
     /// The sidecar waits for this req no longer.
-    Cancel(Stream),
+    Cancel(StreamId),
 }
 
 #[derive(Debug)]
 pub struct Decoder {
-    names: Rc<Names>,
-    pending: Pending,
+    names: Rc<NameTable>,
+    pending: ReadBuffer,
     through: u32,
     ahead: BTreeSet<u32>,
 }
 
 impl Decoder {
-    pub fn new(names: Rc<Names>) -> Self {
+    pub fn new(names: Rc<NameTable>) -> Self {
         Decoder {
             names,
-            pending: Pending::default(),
+            pending: ReadBuffer::default(),
             through: 0,
             ahead: BTreeSet::new(),
         }
@@ -99,38 +98,37 @@
     }
 
     /// The next message, once it has come whole. After an error nothing more can be decoded.
-    pub fn message(&mut self) -> Result<Option<Message>, Malformed> {
+    pub fn message(&mut self) -> Result<Option<Frame>, ProtocolError> {
         let rest = self.pending.rest();
         let Some(head) = rest.first_chunk::<HEAD>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
         if !LENGTH.contains(&length) {
-            return Err(Malformed("a frame's length is out of bounds"));
+            return Err(ProtocolError("a frame's length is out of bounds"));
         }
         let Some(frame) = rest.get(HEAD..HEAD + length) else {
             return Ok(None);
         };
-        let stream = Stream(u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]));
+        let stream = StreamId(u32::from_be_bytes([frame[1], frame[2], frame[3], frame[4]]));
         let (kind, payload) = (frame[0], &frame[5..]);
         let message = match kind {
-            REQUEST if stream.0 == 0 => return Err(Malformed("a req on stream 0")),
-            REQUEST => {
-                req(&self.names, stream, payload).unwrap_or_else(|why| Message::Unfit(stream, why))
-            }
+            REQUEST if stream.0 == 0 => return Err(ProtocolError("a req on stream 0")),
+            REQUEST => req(&self.names, stream, payload)
+                .unwrap_or_else(|why| Frame::InvalidRequest(stream, why)),
             CHECK => {
                 let deep = fields(payload).map(|(fields, _)| fields.contains(&("deep", "1")));
-                Message::Check {
+                Frame::HealthCheck {
                     stream,
-                    deep: deep.map_err(Malformed)?,
+                    deep: deep.map_err(ProtocolError)?,
                 }
             }
-            CANCEL if stream.0 > 0 => Message::Cancel(stream),
-            _ => return Err(Malformed("a frame of unknown type")),
+            CANCEL if stream.0 > 0 => Frame::Cancel(stream),
+            _ => return Err(ProtocolError("a frame of unknown type")),
         };
         self.pending.take(HEAD + length);
         if kind == REQUEST && !self.first_use(stream.0) {
-            return Err(Malformed("a stream number used twice"));
+            return Err(ProtocolError("a stream number used twice"));
         }
         Ok(Some(message))
     }
@@ -178,7 +176,7 @@
     Ok((fields, rest))
 }
 
-fn req(names: &Names, stream: Stream, payload: &[u8]) -> Result<Message, &'static str> {
+fn req(names: &NameTable, stream: StreamId, payload: &[u8]) -> Result<Frame, &'static str> {
     let (fields, body) = fields(payload)?;
     let one = |name: &str, twice: &'static str| {
         let mut found = fields.iter().filter(|f| f.0 == name).map(|f| f.1);
@@ -243,7 +241,7 @@
     if body.len() > MOST_BODY {
         return Err("the body is too long");
     }
-    Ok(Message::Req(Req {
+    Ok(Frame::Request(Request {
         stream,
         id: WireId::new(id).ok_or("id is not 16 hex digits")?,
         handler: HandlerId(handler),
@@ -258,18 +256,40 @@
     }))
 }
 
+/// What a run brought.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RunOutput {
+    pub body: Vec<u8>,
+    /// The parts that are not whole, by name and joined by commas; none where all is whole.
+    pub partial: Option<Rc<str>>,
+}
+
+impl RunOutput {
+    pub fn whole(body: Vec<u8>) -> Self {
+        RunOutput {
+            body,
+            partial: None,
+        }
+    }
+
+    /// The room that it takes where it is kept, in bytes.
+    pub fn size(&self) -> usize {
+        self.body.len() + self.partial.as_ref().map_or(0, |names| names.len())
+    }
+}
+
 /// What the server says to a sidecar.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
-    Done(Stream, Output),
+pub enum Response {
+    Done(StreamId, RunOutput),
     Shed {
-        stream: Stream,
+        stream: StreamId,
         after_ms: f64,
         last: bool,
     },
-    Errored(Stream),
-    Checked {
-        stream: Stream,
+    Errored(StreamId),
+    HealthStatus {
+        stream: StreamId,
         good: bool,
     },
     /// An error that belongs to no req.
@@ -277,26 +297,26 @@
     NoMore,
 }
 
-impl Reply {
+impl Response {
     /// Whether it is the final answer to a req.
     pub fn settles(&self) -> bool {
         matches!(
             self,
-            Reply::Done(..) | Reply::Shed { .. } | Reply::Errored(_)
+            Response::Done(..) | Response::Shed { .. } | Response::Errored(_)
         )
     }
 
     /// Whether it answers something that came, be it a req or a check.
     pub fn answers(&self) -> bool {
-        self.settles() || matches!(self, Reply::Checked { .. })
+        self.settles() || matches!(self, Response::HealthStatus { .. })
     }
 
     /// Appends the frame; `say` is the free value from this answer on.
     pub fn encode(&self, say: Option<f64>, to: &mut Vec<u8>) {
         let own = |fields: &mut Vec<(&'static str, String)>| {
-            if let Reply::Done(
+            if let Response::Done(
                 _,
-                Output {
+                RunOutput {
                     partial: Some(names),
                     ..
                 },
@@ -304,20 +324,20 @@
             {
                 fields.push(("partial", names.to_string()));
             }
-            if let Reply::Shed { after_ms, last, .. } = self {
+            if let Response::Shed { after_ms, last, .. } = self {
                 fields.extend((*after_ms > 0.0).then(|| ("after", after_ms.to_string())));
                 fields.extend(last.then(|| ("last", "1".to_string())));
             }
         };
         let (kind, stream, code, body): (u8, u32, Option<u8>, &[u8]) = match self {
-            Reply::Done(stream, output) => (ANSWER, stream.0, Some(SERVED), &output.body),
-            Reply::Shed { stream, .. } => (ANSWER, stream.0, Some(REFUSED), &[]),
-            Reply::Errored(stream) => (ANSWER, stream.0, Some(FAILED), &[]),
-            Reply::Checked { stream, good } => {
+            Response::Done(stream, output) => (ANSWER, stream.0, Some(SERVED), &output.body),
+            Response::Shed { stream, .. } => (ANSWER, stream.0, Some(REFUSED), &[]),
+            Response::Errored(stream) => (ANSWER, stream.0, Some(FAILED), &[]),
+            Response::HealthStatus { stream, good } => {
                 (CHECKED, stream.0, Some(if *good { GOOD } else { BAD }), &[])
             }
-            Reply::Fault(why) => (ANSWER, 0, Some(FAILED), why.as_bytes()),
-            Reply::NoMore => (NO_MORE, 0, None, &[]),
+            Response::Fault(why) => (ANSWER, 0, Some(FAILED), why.as_bytes()),
+            Response::NoMore => (NO_MORE, 0, None, &[]),
         };
         let start = to.len();
         to.extend([0; HEAD]);
--- a/crates/server/src/room.rs
+++ b/crates/server/src/resource_limits.rs
@@ -1,6 +1,5 @@
 //! The budgets of descriptors and memory. All that takes either asks here; the configuration sets both, anew on
 //! SIGHUP.
-use crate::config::Config;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,7 +13,7 @@
 /// Bytes read at once, by any connection: they are decoded before the next one reads.
 const READ: usize = 32_768;
 
-pub struct Room {
+pub struct ResourceLimits {
     connections: Cell<usize>,
     memory: Cell<usize>,
     taken: Cell<usize>,
@@ -23,9 +22,9 @@
     bytes: RefCell<Vec<u8>>,
 }
 
-impl Room {
+impl ResourceLimits {
     pub fn new(connections: usize, memory: usize) -> Rc<Self> {
-        Rc::new(Room {
+        Rc::new(ResourceLimits {
             connections: Cell::new(connections),
             memory: Cell::new(memory),
             taken: Cell::new(0),
@@ -35,16 +34,16 @@
         })
     }
 
-    pub fn told(&self, config: &Config) {
-        self.connections.set(config.connections);
-        self.memory.set(config.memory);
+    pub fn set(&self, connections: usize, memory: usize) {
+        self.connections.set(connections);
+        self.memory.set(memory);
         let _ = self.given_back.0.try_send(());
     }
 
-    pub fn permit(self: &Rc<Self>) -> Option<Permit> {
+    pub fn permit(self: &Rc<Self>) -> Option<ConnectionPermit> {
         (!self.full()).then(|| {
             self.taken.set(self.taken.get() + 1);
-            Permit(self.clone())
+            ConnectionPermit(self.clone())
         })
     }
 
@@ -68,8 +67,8 @@
         )
     }
 
-    pub fn part(self: &Rc<Self>) -> Part {
-        Part(self.clone(), 0)
+    pub fn part(self: &Rc<Self>) -> BufferReservation {
+        BufferReservation(self.clone(), 0)
     }
 
     /// What results kept for repeats may take, in bytes.
@@ -91,9 +90,9 @@
 }
 
 /// One connection's descriptor, given back at its end.
-pub struct Permit(Rc<Room>);
+pub struct ConnectionPermit(Rc<ResourceLimits>);
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.taken.set(self.0.taken.get() - 1);
         let _ = self.0.given_back.0.try_send(());
@@ -101,19 +100,19 @@
 }
 
 /// What a connection's frame in part takes, given back at its end.
-pub struct Part(Rc<Room>, usize);
+pub struct BufferReservation(Rc<ResourceLimits>, usize);
 
-impl Part {
+impl BufferReservation {
     /// Takes `size` in place of what was taken; false where there is no room.
     pub fn set(&mut self, size: usize) -> bool {
-        let Part(room, taken) = self;
+        let BufferReservation(room, taken) = self;
         room.parts.set(room.parts.get() - *taken + size);
         *taken = size;
         size == 0 || room.parts.get() <= room.memory.get() / PARTS
     }
 }
 
-impl Drop for Part {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/crates/server/tests/closing.rs
+++ b/crates/server/tests/connection_close.rs
@@ -3,11 +3,11 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use cottondyke::answer::Outgoing;
-use cottondyke::input::{ConnId, Input};
-use cottondyke::intake::{self, Front};
-use cottondyke::room::Room;
-use cottondyke::wire::sidecar::Names;
+
+use cottondyke::connection::reader::{self, ConnectionContext};
+use cottondyke::event::{ConnectionId, Event, Outgoing};
+use cottondyke::protocol::sidecar::NameTable;
+use cottondyke::resource_limits::ResourceLimits;
 use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, IO_TIMEOUT};
 use futures_lite::{future, AsyncReadExt};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
@@ -24,7 +24,7 @@
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
     sidecar: FakeSidecar,
-    desk: Receiver<Input>,
+    desk: Receiver<Event>,
     outgoing: Sender<Outgoing>,
     /// The connection's handling.
     ended: Task<()>,
@@ -47,22 +47,23 @@
         sidecar.0.set_nodelay(true).unwrap();
         sidecar.0.set_read_timeout(Some(IO_TIMEOUT)).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
-        let names = Names {
+        let names = NameTable {
             handlers: vec!["greet".into()],
             customers: Vec::new(),
             longest_ms: 2_000.0,
         };
         let (to_desk, desk) = async_channel::bounded(room);
-        let front = Front {
+        let front = ConnectionContext {
             names: Rc::new(names),
-            room: Room::new(8, 1 << 20),
+            room: ResourceLimits::new(8, 1 << 20),
             desk: to_desk,
             write_timeout: WRITE_TIMEOUT,
         };
         let executor = Rc::new(LocalExecutor::new());
-        let ended = executor.spawn(async move { intake::serve(ConnId(0), stream, &front).await });
+        let ended =
+            executor.spawn(async move { reader::serve(ConnectionId(0), stream, &front).await });
         async_io::block_on(executor.clone().run(async move {
-            let Ok(Input::Opened(_, outgoing)) = desk.recv().await else {
+            let Ok(Event::Opened(_, outgoing)) = desk.recv().await else {
                 panic!("no connection")
             };
             test(Rig {
@@ -84,7 +85,7 @@
     fn reply(&self, stream: u32, body: &[u8]) {
         let bytes = frame(2, stream, &[vec![1], payload(&[], body)].concat());
         self.outgoing
-            .try_send(Outgoing::Reply {
+            .try_send(Outgoing::Response {
                 bytes,
                 settles: true,
             })
@@ -105,7 +106,7 @@
 
     async fn taken(&self) -> u32 {
         match self.desk.recv().await {
-            Ok(Input::Req(_, req)) => req.stream.0,
+            Ok(Event::Request(_, req)) => req.stream.0,
             _ => panic!("expected a req"),
         }
     }
--- a/crates/server/tests/leaving.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -1,15 +1,15 @@
 //! The desk at the end of the process, with the test in the place of its connections, so that it says when an answer
 //! that was handed over is written.
 use async_executor::LocalExecutor;
-use cottondyke::answer::Outgoing;
+
+use cottondyke::clock::Clock;
 use cottondyke::config::Config;
-use cottondyke::desk::Desk;
-use cottondyke::input::{ConnId, Input, Lines};
-use cottondyke::room::Room;
-use cottondyke::time::Clock;
-use cottondyke::wire::engine::{Command, Notice, NoticeNo};
-use cottondyke::wire::sidecar::{Req, Stream};
-use cottondyke::wire::WireId;
+use cottondyke::dispatcher::RequestDispatcher;
+use cottondyke::event::{ConnectionId, Event, Outgoing, TaskChannels};
+use cottondyke::protocol::engine::{EngineCommand, EngineMessage, MessageNumber};
+use cottondyke::protocol::sidecar::{Request, StreamId};
+use cottondyke::protocol::WireId;
+use cottondyke::resource_limits::ResourceLimits;
 use cottondyke_admission::types::RunOutcome;
 use cottondyke_types::HandlerId;
 use futures_lite::{future, FutureExt};
@@ -20,10 +20,10 @@
 
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
-    inputs: async_channel::Sender<Input>,
+    inputs: async_channel::Sender<Event>,
     /// What the engine is told.
-    commands: async_channel::Receiver<Command>,
-    engine: async_channel::Sender<Command>,
+    commands: async_channel::Receiver<EngineCommand>,
+    engine: async_channel::Sender<EngineCommand>,
 }
 
 impl Rig {
@@ -42,13 +42,13 @@
         let (news, _news) = async_channel::unbounded();
         let (moves, _moves) = async_channel::unbounded();
         let (close, _closed) = async_channel::bounded(1);
-        let lines = Lines {
+        let lines = TaskChannels {
             news,
             engine: moves,
             close,
         };
-        let room = Room::new(100, 1 << 20);
-        let desk = Desk::new(
+        let room = ResourceLimits::new(100, 1 << 20);
+        let desk = RequestDispatcher::new(
             config,
             admission,
             clock,
@@ -75,20 +75,20 @@
         async_io::block_on(executor.run(leaves.or(tests)))
     }
 
-    fn tell(&self, input: Input) {
+    fn tell(&self, input: Event) {
         self.inputs.try_send(input).unwrap();
     }
 
     /// The engine is there, and has answered the question that fences off what was before.
     async fn engine_up(&self) {
-        self.tell(Input::EngineUp {
+        self.tell(Event::EngineUp {
             age_ms: 1.0,
             outlet: self.engine.clone(),
         });
-        let Ok(Command::Stat(tag)) = self.commands.recv().await else {
+        let Ok(EngineCommand::Stat(tag)) = self.commands.recv().await else {
             panic!("the fence comes first")
         };
-        self.tell(Input::Notice(Notice::Stats {
+        self.tell(Event::EngineMessage(EngineMessage::Stats {
             tag,
             gauges: Vec::new(),
         }));
@@ -96,15 +96,15 @@
 
     fn open(&self, conn: u64, most: usize) -> async_channel::Receiver<Outgoing> {
         let (outlet, outgoing) = async_channel::bounded(most);
-        self.tell(Input::Opened(ConnId(conn), outlet));
+        self.tell(Event::Opened(ConnectionId(conn), outlet));
         outgoing
     }
 
     fn ask(&self, conn: u64, stream: u32) {
         let id = WireId::new(&format!("{stream:016x}")).unwrap();
         let at = cottondyke_test_support::fakes::unix_ms();
-        let req = Req {
-            stream: Stream(stream),
+        let req = Request {
+            stream: StreamId(stream),
             id,
             handler: HandlerId(0),
             customer: None,
@@ -116,7 +116,7 @@
             mark: None,
             body: Vec::new(),
         };
-        self.tell(Input::Req(ConnId(conn), req));
+        self.tell(Event::Request(ConnectionId(conn), req));
     }
 
     /// Lets the desk do all that it can do now.
@@ -130,7 +130,7 @@
     /// Those that were told to run.
     fn runs(&self) -> usize {
         std::iter::from_fn(|| self.commands.try_recv().ok())
-            .filter(|command| matches!(command, Command::Run { .. }))
+            .filter(|command| matches!(command, EngineCommand::Run { .. }))
             .count()
     }
 }
@@ -144,10 +144,10 @@
         let left = Rig::run(|rig| async move {
             let outgoing = rig.open(1, 100);
             rig.ask(1, 1);
-            rig.tell(Input::Leave);
+            rig.tell(Event::Shutdown);
             // The writer takes all that is handed over, and may have written none of it: the connection stands.
             while !matches!(outgoing.recv().await, Ok(Outgoing::Close { .. }) if closes) {}
-            rig.tell(Input::Closed(ConnId(1)));
+            rig.tell(Event::Closed(ConnectionId(1)));
             future::pending().await
         });
         assert!(
@@ -167,9 +167,9 @@
         let _other = rig.open(2, 100);
         // The second answer finds the queue full: the connection is dropped, with a req behind.
         for stream in 1..=2 {
-            rig.tell(Input::Check {
-                conn: ConnId(1),
-                stream: Stream(stream),
+            rig.tell(Event::HealthCheck {
+                conn: ConnectionId(1),
+                stream: StreamId(stream),
                 deep: false,
             });
         }
@@ -211,26 +211,26 @@
             for event in &order {
                 rig.tell(match event {
                     0 => {
-                        let (no, end) = (NoticeNo(1), RunOutcome::Completed);
-                        Input::Notice(Notice::Done {
+                        let (no, end) = (MessageNumber(1), RunOutcome::Completed);
+                        Event::EngineMessage(EngineMessage::Done {
                             no,
                             id,
                             end,
                             result: Vec::new(),
                         })
                     }
-                    1 => Input::Cancelled(ConnId(1), Stream(1)),
-                    2 => Input::Closed(ConnId(1)),
-                    3 => Input::Finished(ConnId(1)),
-                    4 => Input::Malformed(ConnId(1), "on purpose"),
-                    _ => Input::Leave,
+                    1 => Event::Cancelled(ConnectionId(1), StreamId(1)),
+                    2 => Event::Closed(ConnectionId(1)),
+                    3 => Event::HalfClosed(ConnectionId(1)),
+                    4 => Event::ProtocolError(ConnectionId(1), "on purpose"),
+                    _ => Event::Shutdown,
                 });
             }
             rig.settle().await;
             let at = |event| order.iter().position(|e| *e == event);
             let settled = std::iter::from_fn(|| outgoing.try_recv().ok());
             let settled = settled
-                .filter(|one| matches!(one, Outgoing::Reply { settles: true, .. }))
+                .filter(|one| matches!(one, Outgoing::Response { settles: true, .. }))
                 .count();
             assert_eq!(settled, usize::from(at(2) > at(0).min(at(1))), "{order:?}");
         });
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -3,8 +3,8 @@
 //! The evaluator `cottondyke-script` must lie beside the program: `cargo build -p cottondyke-script`.
 #![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
 
-use cottondyke::fleet::look::shown;
-use cottondyke::wire::peers::encode;
+use cottondyke::cluster::status::render;
+use cottondyke::protocol::peers::encode;
 use cottondyke_cluster::{Message, NodeStatus};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -224,7 +224,7 @@
 #[test]
 fn a_view_is_rendered_word_for_word_when_it_is_shown() {
     let view: NodeStatus = serde_json::from_str(VIEW).unwrap();
-    assert_eq!(shown(&view), VIEW_SHOWN);
+    assert_eq!(render(&view), VIEW_SHOWN);
     assert_eq!(
         format!("{}\n", serde_json::json!(view)),
         VIEW,
@@ -246,7 +246,7 @@
         set(&mut other, "keeps", &keeps.to_string());
         set(&mut other, "leader", leader);
         let view: NodeStatus = serde_json::from_value(other).unwrap();
-        assert_eq!(shown(&view).lines().next(), Some(expected));
+        assert_eq!(render(&view).lines().next(), Some(expected));
     }
 }
 
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -1,7 +1,7 @@
 //! The folder of an instance as the versions in use wrote it, taken over by this one.
 use async_executor::LocalExecutor;
-use cottondyke::fleet::{self, look::look};
-use cottondyke::time::Clock;
+use cottondyke::clock::Clock;
+use cottondyke::cluster::{self, status::query};
 use cottondyke_cluster::NodeStatus;
 use cottondyke_operator_config::{OperatorConfig, Peers};
 use std::path::Path;
@@ -31,13 +31,13 @@
     };
     let executor = Rc::new(LocalExecutor::new());
     let operator = OperatorConfig::default();
-    let started = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1).unwrap();
-    let second = fleet::start(&operator, &peers, Clock::start(), executor.clone(), 1);
+    let started = cluster::start(&operator, &peers, Clock::start(), executor.clone(), 1).unwrap();
+    let second = cluster::start(&operator, &peers, Clock::start(), executor.clone(), 1);
     assert!(second.is_err());
     let asking = std::thread::spawn(move || {
         let end = Instant::now() + Duration::from_secs(20);
         loop {
-            let view = look(listen).unwrap();
+            let view = query(listen).unwrap();
             if view.is_leader || Instant::now() > end {
                 return view;
             }
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -2,10 +2,10 @@
 //! golden/ hold one case a line: for an encoder the bytes, for a decoder the bytes, ` => ` and what is
 //! read from them. Bytes that are not printable are escaped as in Rust; `\*9x` stands for nine x.
 
-use cottondyke::wire::engine::{self, Command, Notice, NoticeNo, Tag};
-use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
-use cottondyke::wire::{http, peers, Malformed, Pending, WireId};
-use cottondyke::work::Output;
+use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, MessageNumber, Tag};
+use cottondyke::protocol::sidecar::RunOutput;
+use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
+use cottondyke::protocol::{http, peers, ProtocolError, ReadBuffer, WireId};
 use cottondyke_admission::types::RunOutcome;
 use std::rc::Rc;
 
@@ -55,7 +55,7 @@
 }
 
 /// All that a decoder reads, up to its error or its end.
-fn all(mut next: impl FnMut() -> Result<Option<String>, Malformed>) -> Vec<String> {
+fn all(mut next: impl FnMut() -> Result<Option<String>, ProtocolError>) -> Vec<String> {
     let mut read = Vec::new();
     loop {
         match next() {
@@ -79,7 +79,7 @@
 /// What a sidecar's frames are read as where there are these customers.
 fn frames_text(customers: &[&str], bytes: &[u8]) -> String {
     let listed = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    let mut names = Names::default();
+    let mut names = NameTable::default();
     (names.handlers, names.customers) = (listed(&["a", "b"]), listed(customers));
     names.longest_ms = 2_000.0;
     let mut decoder = sidecar::Decoder::new(Rc::new(names));
@@ -92,9 +92,9 @@
     joined(read)
 }
 
-fn message_text(message: Message) -> String {
+fn message_text(message: Frame) -> String {
     match message {
-        Message::Req(req) => {
+        Frame::Request(req) => {
             let (stream, id, handler) = (req.stream.0, req.id.as_str(), req.handler.0);
             let (customer, at, retry) = (req.customer.map(|c| c.0), req.at, req.retry);
             let (wait, hint, kb, mark) = (req.wait, req.hint, req.kb, req.mark);
@@ -102,9 +102,9 @@
             let first = format!("req {stream} {id} {handler} {customer:?} {at} {retry}");
             format!("{first} {wait:?} {hint:?} {kb} {mark:?} '{body}'")
         }
-        Message::Unfit(stream, why) => format!("unfit {} {why}", stream.0),
-        Message::Check { stream, deep } => format!("check {} {deep}", stream.0),
-        Message::Cancel(stream) => format!("cancel {}", stream.0),
+        Frame::InvalidRequest(stream, why) => format!("unfit {} {why}", stream.0),
+        Frame::HealthCheck { stream, deep } => format!("check {} {deep}", stream.0),
+        Frame::Cancel(stream) => format!("cancel {}", stream.0),
     }
 }
 
@@ -124,19 +124,19 @@
 fn writes_golden_bytes_when_replying_to_a_sidecar() {
     let done = |stream, body: &[u8], partial: Option<&str>| {
         let (body, partial) = (body.to_vec(), partial.map(Rc::from));
-        Reply::Done(Stream(stream), Output { body, partial })
+        Response::Done(StreamId(stream), RunOutput { body, partial })
     };
     let shed = |after_ms, last| {
-        let stream = Stream(3);
-        Reply::Shed {
+        let stream = StreamId(3);
+        Response::Shed {
             stream,
             after_ms,
             last,
         }
     };
     let checked = |good| {
-        let stream = Stream(5);
-        Reply::Checked { stream, good }
+        let stream = StreamId(5);
+        Response::HealthStatus { stream, good }
     };
     let replies = [
         (done(0x0102_0304, b"ok\r\n", None), None),
@@ -147,12 +147,12 @@
         (shed(0.0, true), None),
         (shed(1.5, false), None),
         (shed(250.0, true), Some(0.0)),
-        (Reply::Errored(Stream(4)), None),
-        (Reply::Errored(Stream(4)), Some(1.0)),
+        (Response::Errored(StreamId(4)), None),
+        (Response::Errored(StreamId(4)), Some(1.0)),
         (checked(true), None),
         (checked(false), Some(2.5)),
-        (Reply::Fault("why not"), None),
-        (Reply::NoMore, Some(3.0)),
+        (Response::Fault("why not"), None),
+        (Response::NoMore, Some(3.0)),
         (done(1, b"", Some(&"x".repeat(300))), None),
     ];
     let file = include_str!("golden/sidecar_out.txt");
@@ -163,29 +163,29 @@
 fn writes_golden_bytes_when_commanding_the_engine() {
     let (class, body) = (Rc::from("browse"), Rc::from(&b"\0\xff\r\n"[..]));
     let commands = [
-        Command::Attach(NoticeNo(41)),
-        Command::Attach(NoticeNo(u64::MAX)),
-        Command::Run {
+        EngineCommand::Attach(MessageNumber(41)),
+        EngineCommand::Attach(MessageNumber(u64::MAX)),
+        EngineCommand::Run {
             id: id(),
             class,
             body,
         },
-        Command::Halt(id()),
-        Command::Feed(id(), b"abc".to_vec()),
-        Command::Feed(id(), vec![]),
-        Command::Skip(id(), NoticeNo(7)),
-        Command::Stat(Tag(5)),
-        Command::Test(Tag(6)),
+        EngineCommand::Halt(id()),
+        EngineCommand::Feed(id(), b"abc".to_vec()),
+        EngineCommand::Feed(id(), vec![]),
+        EngineCommand::Skip(id(), MessageNumber(7)),
+        EngineCommand::Stat(Tag(5)),
+        EngineCommand::Test(Tag(6)),
     ];
     let file = include_str!("golden/engine_out.txt");
     writes(file, &commands, |command, to| command.encode(to));
 }
 
-fn notice_text(notice: Notice) -> String {
+fn notice_text(notice: EngineMessage) -> String {
     let number = notice.number().map(|no| format!(" (no. {})", no.0));
     let text = match notice {
-        Notice::Hello { age_ms } => format!("hello {age_ms}"),
-        Notice::Done {
+        EngineMessage::Hello { age_ms } => format!("hello {age_ms}"),
+        EngineMessage::Done {
             no,
             id,
             end,
@@ -200,18 +200,18 @@
             let (id, result) = (id.as_str(), result.escape_ascii());
             format!("done {} {id} {end} '{result}'", no.0)
         }
-        Notice::Need { no, id, body } => {
+        EngineMessage::Need { no, id, body } => {
             let (id, body) = (id.as_str(), body.escape_ascii());
             format!("need {} {id} '{body}'", no.0)
         }
-        Notice::Stats { tag, gauges } => format!("stats {} {gauges:?}", tag.0),
-        Notice::Tested { tag, good } => format!("tested {} {good}", tag.0),
-        Notice::Refused { command, id } => {
+        EngineMessage::Stats { tag, gauges } => format!("stats {} {gauges:?}", tag.0),
+        EngineMessage::Tested { tag, good } => format!("tested {} {good}", tag.0),
+        EngineMessage::Refused { command, id } => {
             let id = id.as_ref().map(WireId::as_str);
             format!("refused {command} {id:?}")
         }
-        Notice::Remark(_) => "remark".to_string(),
-        Notice::Unknown(line) => format!("unknown '{line}'"),
+        EngineMessage::Remark(_) => "remark".to_string(),
+        EngineMessage::Unknown(line) => format!("unknown '{line}'"),
     };
     text + &number.unwrap_or_default()
 }
@@ -306,7 +306,7 @@
 
 #[test]
 fn takes_lines_off_what_is_pending_when_either_line_end_comes() {
-    let mut pending = Pending::default();
+    let mut pending = ReadBuffer::default();
     pending.feed(b"one\r\ntwo\n\r\nrest\r");
     for (line, length, left) in [(&b"one"[..], 5, 11), (b"two", 4, 7), (b"", 2, 5)] {
         assert_eq!(pending.line(), Some((line, length)));
--- a/crates/server/tests/client.rs
+++ b/crates/server/tests/http_client.rs
@@ -1,14 +1,15 @@
 //! The HTTP client against a service that answers out of turn, on real connections.
 use async_io::Async;
-use cottondyke::client::{exchange, CallError};
-use cottondyke::wire::http;
+use cottondyke::event::CallError;
+use cottondyke::outbound::http_client::exchange;
+use cottondyke::protocol::http;
 use std::cell::Cell;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
 /// What an exchange brings with a service that says `reply` and resets the connection before the request is written.
-fn reset_after(reply: &[u8]) -> Result<(http::Reply, bool), CallError> {
+fn reset_after(reply: &[u8]) -> Result<(http::Response, bool), CallError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut service, _) = listener.accept().unwrap();
--- a/crates/server/tests/accept.rs
+++ b/crates/server/tests/listener.rs
@@ -1,10 +1,10 @@
 //! Accepting, without the rest of the server.
 use async_executor::LocalExecutor;
 use async_io::Async;
-use cottondyke::accept::{guarded, listen};
-use cottondyke::input::{ConnId, Input};
-use cottondyke::intake::Front;
-use cottondyke::room::Room;
+use cottondyke::connection::reader::ConnectionContext;
+use cottondyke::event::{ConnectionId, Event};
+use cottondyke::listener::{guarded, listen};
+use cottondyke::resource_limits::ResourceLimits;
 use cottondyke_test_support::fakes::IO_TIMEOUT;
 use futures_lite::future;
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 /// Guards the server against a panic in one connection's handling: it ends there.
 #[test]
 fn a_panic_stays_with_its_connection() {
-    future::block_on(guarded(ConnId(1), async { panic!("on purpose") }));
+    future::block_on(guarded(ConnectionId(1), async { panic!("on purpose") }));
 }
 
 /// Guards connections that the machine had accepted when the server stopped listening: looking at the end
@@ -28,9 +28,9 @@
     let (desk, inputs) = async_channel::unbounded();
     let (_, close) = async_channel::bounded(1);
     let executor = Rc::new(LocalExecutor::new());
-    let front = Front {
+    let front = ConnectionContext {
         names: Rc::default(),
-        room: Room::new(1, 0),
+        room: ResourceLimits::new(1, 0),
         desk,
         write_timeout: IO_TIMEOUT,
     };
@@ -38,7 +38,7 @@
     async_io::block_on(executor.run(async {
         listening.await;
         for _ in &clients {
-            assert!(matches!(inputs.recv().await, Ok(Input::Opened(..))));
+            assert!(matches!(inputs.recv().await, Ok(Event::Opened(..))));
         }
     }));
 }
--- a/crates/server/tests/wire.rs
+++ b/crates/server/tests/protocol.rs
@@ -1,18 +1,18 @@
 //! The parsers, fed every split and fuzzed bytes; and the small parts that need no socket.
 
-use cottondyke::answer::{Connections, Outgoing};
+use cottondyke::connection::table::ConnectionTable;
 
 use cottondyke::config::Config;
-use cottondyke::drain::{stage, Stage};
-use cottondyke::health::Health;
-use cottondyke::input::ConnId;
-use cottondyke::keys::{DedupTable, Outcome};
-use cottondyke::run::Engine;
-use cottondyke::wire::engine::{self, Command, Notice, Tag};
-use cottondyke::wire::http;
-use cottondyke::wire::sidecar::{self, Message, Names, Reply, Stream};
-use cottondyke::wire::WireId;
-use cottondyke::work::Output;
+use cottondyke::dedup::{DedupTable, Outcome};
+use cottondyke::event::{ConnectionId, Outgoing};
+use cottondyke::execution::command_queue::EngineCommandQueue;
+use cottondyke::health_check::HealthChecker;
+use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, Tag};
+use cottondyke::protocol::http;
+use cottondyke::protocol::sidecar::RunOutput;
+use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
+use cottondyke::protocol::WireId;
+use cottondyke::shutdown::{stage, ShutdownPhase};
 use cottondyke_admission::types::RunOutcome;
 use cottondyke_test_support::fakes::{frame, payload};
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
@@ -20,9 +20,9 @@
 use std::fmt::Debug;
 use std::rc::Rc;
 
-fn names() -> Rc<Names> {
+fn names() -> Rc<NameTable> {
     let handlers = ["browse", "checkout"].map(String::from).to_vec();
-    Rc::new(Names {
+    Rc::new(NameTable {
         handlers,
         customers: vec!["acme".to_string()],
         longest_ms: 2_000.0,
@@ -74,11 +74,21 @@
 parser!(
     sidecar::Decoder,
     sidecar::Decoder::new(names()),
-    Message,
+    Frame,
     message
 );
-parser!(engine::Decoder, engine::Decoder::default(), Notice, notice);
-parser!(http::Decoder, http::Decoder::default(), http::Reply, reply);
+parser!(
+    engine::Decoder,
+    engine::Decoder::default(),
+    EngineMessage,
+    notice
+);
+parser!(
+    http::Decoder,
+    http::Decoder::default(),
+    http::Response,
+    reply
+);
 
 /// The same comes of the bytes whole, in two pieces at every place, and one by one.
 fn splits<P: Parser>(bytes: &[u8]) -> Vec<Result<P::Out, ()>> {
@@ -112,7 +122,7 @@
     bytes.extend(frame(4, 7, &payload(&[("deep", "1")], b"")));
     bytes.extend(frame(1, 2, &payload(&FIELDS[1..], b"")));
     let out = splits::<sidecar::Decoder>(&bytes);
-    let Ok(Message::Req(req)) = &out[0] else {
+    let Ok(Frame::Request(req)) = &out[0] else {
         panic!("{out:?}")
     };
     assert_eq!(
@@ -125,12 +135,15 @@
     );
     assert_eq!(
         out[1],
-        Ok(Message::Check {
-            stream: Stream(7),
+        Ok(Frame::HealthCheck {
+            stream: StreamId(7),
             deep: true
         })
     );
-    assert_eq!(out[2], Ok(Message::Unfit(Stream(2), "class missing")));
+    assert_eq!(
+        out[2],
+        Ok(Frame::InvalidRequest(StreamId(2), "class missing"))
+    );
 }
 
 /// Guards against waiting for a frame that cannot come: its length is judged from the first four bytes.
@@ -138,7 +151,7 @@
 /// before anything is kept for it.
 #[test]
 fn words_come_through_any_split() {
-    use cottondyke::wire::peers::{encode, Decoder};
+    use cottondyke::protocol::peers::{encode, Decoder};
     let words = [vec![], vec![7; 1], vec![9; 3_000]];
     let bytes: Vec<u8> = words.iter().flat_map(|word| encode(word)).collect();
     for cut in [1, 2, 7, 1_000, bytes.len()] {
@@ -206,17 +219,17 @@
         .into_iter()
         .map(Result::unwrap)
         .collect();
-    assert_eq!(out[0], Notice::Hello { age_ms: 12.5 });
+    assert_eq!(out[0], EngineMessage::Hello { age_ms: 12.5 });
     assert_eq!(
         out[2],
-        Notice::Need {
-            no: engine::NoticeNo(2),
+        EngineMessage::Need {
+            no: engine::MessageNumber(2),
             id,
             body: b"\r\n\r\n".to_vec()
         }
     );
-    let done = Notice::Done {
-        no: engine::NoticeNo(3),
+    let done = EngineMessage::Done {
+        no: engine::MessageNumber(3),
         id,
         end: RunOutcome::Cancelled,
         result: Vec::new(),
@@ -224,19 +237,19 @@
     assert_eq!(out[3], done);
     assert_eq!(
         out[5],
-        Notice::Tested {
+        EngineMessage::Tested {
             tag: engine::Tag(8),
             good: false
         }
     );
     assert_eq!(
         out[6],
-        Notice::Refused {
+        EngineMessage::Refused {
             command: "RUN".to_string(),
             id: None
         }
     );
-    assert_eq!(out[7], Notice::Unknown("NEWS 1".to_string()));
+    assert_eq!(out[7], EngineMessage::Unknown("NEWS 1".to_string()));
     for bad in [
         "DONE 1 x fine 1 0\r\n\r\n",
         "NEED 1 9b1f03aa5c7e2d41 99999999999\r\n",
@@ -254,15 +267,15 @@
 fn commands_stand_as_the_engine_reads_them() {
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
     let mut bytes = Vec::new();
-    let run = Command::Run {
+    let run = EngineCommand::Run {
         id,
         class: "browse".into(),
         body: b"\r\n".as_slice().into(),
     };
     [
         run,
-        Command::Skip(id, engine::NoticeNo(4)),
-        Command::Halt(id),
+        EngineCommand::Skip(id, engine::MessageNumber(4)),
+        EngineCommand::Halt(id),
     ]
     .iter()
     .for_each(|c| c.encode(&mut bytes));
@@ -344,7 +357,7 @@
     /// What the server says can be read back by the sidecar's rules, whatever the body.
     fn answers_are_whole_frames(stream: u32, body: Vec<u8>, say: Option<u16>) -> bool {
         let mut bytes = Vec::new();
-        Reply::Done(Stream(stream), Output::whole(body.clone())).encode(say.map(f64::from), &mut bytes);
+        Response::Done(StreamId(stream), RunOutput::whole(body.clone())).encode(say.map(f64::from), &mut bytes);
         let fields = say.map(|s| ("say", s.to_string()));
         let fields: Vec<_> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
         bytes == frame(2, stream, &[vec![1], payload(&fields, &body)].concat())
@@ -379,7 +392,7 @@
 #[test]
 fn kept_results_are_bounded() {
     let mut keys = DedupTable::default();
-    let result = Rc::new(Output::whole(vec![0; 1 << 20]));
+    let result = Rc::new(RunOutput::whole(vec![0; 1 << 20]));
     for n in 0..40 {
         keys.keep(
             RequestId(n),
@@ -427,13 +440,13 @@
 /// Guards sidecars against connections that send nothing: of those that must go they are first, the young ones not.
 #[test]
 fn silent_connections_go_first() {
-    let mut connections = Connections::default();
+    let mut connections = ConnectionTable::default();
     let conns: Vec<_> = (0..5).map(|_| async_channel::bounded(4)).collect();
     for (n, at) in [(0, 0), (1, 10), (2, 20), (3, 5_000), (4, 5_000)] {
-        connections.opened(Time(at), ConnId(n), conns[n as usize].0.clone());
+        connections.opened(Time(at), ConnectionId(n), conns[n as usize].0.clone());
     }
-    connections.took(Time(10), ConnId(0));
-    connections.send(Time(10), ConnId(0), &Reply::Errored(Stream(1)));
+    connections.took(Time(10), ConnectionId(0));
+    connections.send(Time(10), ConnectionId(0), &Response::Errored(StreamId(1)));
     // What each connection was handed since the last look: replies, and whether it is to close.
     let handed = || -> Vec<(usize, bool)> {
         let of = |outgoing: &async_channel::Receiver<Outgoing>| {
@@ -454,7 +467,7 @@
     // Closing ones count as going already; the idle one is told, and closed after what may cross.
     connections.make_room(Time(5_500), 5, 3);
     assert_eq!(handed(), [(0, false); 5]);
-    (1..=2).for_each(|n| connections.closed(ConnId(n)));
+    (1..=2).for_each(|n| connections.closed(ConnectionId(n)));
     connections.make_room(Time(5_600), 3, 2);
     assert_eq!((connections.count(), handed()[0]), (3, (1, false)));
     connections.make_room(Time(7_000), 3, 2);
@@ -470,30 +483,36 @@
     assert_eq!(
         [at(0), at(2_700), at(2_900), at(3_100), at(3_180)],
         [
-            Stage::Leaving,
-            Stage::Leaving,
-            Stage::Closed,
-            Stage::Ended,
-            Stage::Over
+            ShutdownPhase::Leaving,
+            ShutdownPhase::Leaving,
+            ShutdownPhase::Closed,
+            ShutdownPhase::Ended,
+            ShutdownPhase::Over
         ]
     );
-    assert_eq!(stage(None, Time(32_000), Time(1 << 40)), Stage::Serving);
+    assert_eq!(
+        stage(None, Time(32_000), Time(1 << 40)),
+        ShutdownPhase::Serving
+    );
 }
 
 /// Guards checks against an engine that hangs: a test that does not end is answered as bad in bounded time.
 #[test]
 fn a_check_that_needs_the_engine_ends() {
-    let mut health = Health::default();
+    let mut health = HealthChecker::default();
     assert_eq!(
         [health.answer(true, false), health.answer(false, true)],
         [Some(false), Some(true)]
     );
     assert_eq!(health.answer(true, true), None, "only the engine can tell");
-    health.testing(Time(0), Tag(1), ConnId(1), Stream(2));
+    health.testing(Time(0), Tag(1), ConnectionId(1), StreamId(2));
     assert!(health.overdue(Time(4_999)).is_empty());
-    assert_eq!(health.overdue(Time(5_000)), [(ConnId(1), Stream(2))]);
+    assert_eq!(
+        health.overdue(Time(5_000)),
+        [(ConnectionId(1), StreamId(2))]
+    );
     assert_eq!(health.tested(Tag(1)), None, "one answer");
-    (0..64).for_each(|n| health.testing(Time(0), Tag(n), ConnId(1), Stream(2)));
+    (0..64).for_each(|n| health.testing(Time(0), Tag(n), ConnectionId(1), StreamId(2)));
     assert_eq!(
         health.answer(true, true),
         Some(false),
@@ -511,8 +530,11 @@
 #[test]
 fn commands_wait_for_the_link_and_its_fence() {
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
-    let (skip, halt) = (Command::Skip(id, engine::NoticeNo(1)), Command::Halt(id));
-    let mut engine = Engine::default();
+    let (skip, halt) = (
+        EngineCommand::Skip(id, engine::MessageNumber(1)),
+        EngineCommand::Halt(id),
+    );
+    let mut engine = EngineCommandQueue::default();
     assert_eq!(engine.ask_gauges(), None);
     [&skip, &halt, &halt]
         .into_iter()
@@ -521,7 +543,7 @@
         let (outlet, commands) = async_channel::unbounded();
         engine.up(Time(0), outlet);
         let fence = commands.try_recv();
-        let Ok(Command::Stat(tag)) = fence else {
+        let Ok(EngineCommand::Stat(tag)) = fence else {
             panic!("{fence:?}")
         };
         assert!(commands.is_empty(), "nothing passes the fence");
--- a/crates/server/tests/serve/main.rs
+++ b/crates/server/tests/serve/main.rs
@@ -5,14 +5,14 @@
     reason = "tables of cases and long scenarios"
 )]
 
-mod calls;
-mod conns;
-mod crossings;
+mod aggregations;
+mod connections;
 mod engine;
-mod leaving;
-mod pages;
+mod idempotency;
+mod records_calls;
 mod reload;
-mod reqs;
+mod requests;
 mod restarts;
 mod rig;
-mod start;
+mod shutdown;
+mod startup;
