--- a/crates/chaos/src/trials/budgets.rs
+++ b/crates/chaos/src/trials/budgets.rs
@@ -6,7 +6,7 @@
 use crate::outcome::{Cores, Outcome};
 use crate::Usage;
 use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig, Fault};
-use cottondyke_test_support::faulty_link::{Direction, FaultyLink};
+use cottondyke_test_support::faulty_link::{FaultyLink, LinkState};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io;
@@ -120,10 +120,10 @@
 
 impl Fleet {
     fn start(lent: bool, off: &[&str], usage: &Usage) -> io::Result<Self> {
-        let shape = |place: u64, knee| FakeDependencyConfig {
-            time: Duration::from_millis(60),
-            knee,
-            linger: LINGER.mul_f64(0.5),
+        let shape = |place: u64, concurrency_limit| FakeDependencyConfig {
+            mean_latency: Duration::from_millis(60),
+            concurrency_limit,
+            post_cancel_duration: LINGER.mul_f64(0.5),
             seed: usage.seed.wrapping_mul(31).wrapping_add(place),
         };
         let base =
@@ -234,34 +234,36 @@
         match (trouble.kind, begins) {
             (Kind::Cut, begins) => {
                 let way = if begins {
-                    Direction::Cut
+                    LinkState::Partitioned
                 } else {
-                    Direction::Open
+                    LinkState::Open
                 };
-                self.around(place).for_each(|(_, link)| link.set(way, way));
+                self.around(place)
+                    .for_each(|(_, link)| link.set_directions(way, way));
             }
             (Kind::OneWay(out), begins) => {
                 // Words that it sends, or words that come to it.
                 for (dials, link) in self.around(place) {
                     let (forth, back) = if dials == out {
-                        (Direction::Cut, Direction::Open)
+                        (LinkState::Partitioned, LinkState::Open)
                     } else {
-                        (Direction::Open, Direction::Cut)
+                        (LinkState::Open, LinkState::Partitioned)
                     };
                     if begins {
-                        link.set(forth, back)
+                        link.set_directions(forth, back)
                     } else {
-                        link.set(Direction::Open, Direction::Open)
+                        link.set_directions(LinkState::Open, LinkState::Open)
                     }
                 }
             }
             (Kind::Stall, begins) => {
                 let way = if begins {
-                    Direction::Stalled
+                    LinkState::Stalled
                 } else {
-                    Direction::Open
+                    LinkState::Open
                 };
-                self.around(place).for_each(|(_, link)| link.set(way, way));
+                self.around(place)
+                    .for_each(|(_, link)| link.set_directions(way, way));
             }
             (Kind::Stop, begins) => {
                 if let Some(node) = &self.nodes[place] {
@@ -332,11 +334,11 @@
     }
 
     /// Calls held at the shared dependency by some nodes, in seconds since it began.
-    fn held_s(&self, of: impl Fn(usize) -> bool) -> f64 {
+    fn in_flight_seconds(&self, of: impl Fn(usize) -> bool) -> f64 {
         let counts = self.shared.counts();
         let tag = |tag: &str| usize::from_str_radix(tag, 16).unwrap_or(usize::MAX);
         counts
-            .held_s
+            .in_flight_seconds
             .iter()
             .filter(|(t, _)| of(tag(t)))
             .map(|(_, seconds)| seconds)
@@ -451,7 +453,7 @@
                 .links
                 .iter()
                 .filter(|((from, _), _)| *from == LATE);
-            of.for_each(|(_, link)| link.delay(LATE_BY));
+            of.for_each(|(_, link)| link.deliver_late(LATE_BY));
         }
         // A zone with one keeper is cut off, and all use what they may.
         let majority = move |place: usize| place < NODES && place % ZONES != zone;
@@ -465,34 +467,34 @@
             };
             fleets
                 .iter()
-                .for_each(|fleet| fleet.shared.set(Fault::Slow(4)));
+                .for_each(|fleet| fleet.shared.set_fault(Fault::Slow(4)));
             for ((from, to), link) in &fleets[0].links {
                 if (from % ZONES == zone) != (to % ZONES == zone) {
-                    link.set(Direction::Cut, Direction::Cut);
+                    link.set_directions(LinkState::Partitioned, LinkState::Partitioned);
                 }
             }
         }
         if cut == 1 && now >= at(ZONE + 1.5) {
-            (cut, cut_from) = (2, fleets[0].held_s(majority));
+            (cut, cut_from) = (2, fleets[0].in_flight_seconds(majority));
         }
         if cut == 2 && now >= at(QUIET) {
             cut = 3;
             fleets
                 .iter()
-                .for_each(|fleet| fleet.shared.set(Fault::Slow(2)));
-            side = (fleets[0].held_s(majority) - cut_from) / (QUIET - ZONE - 1.5);
+                .for_each(|fleet| fleet.shared.set_fault(Fault::Slow(2)));
+            side = (fleets[0].in_flight_seconds(majority) - cut_from) / (QUIET - ZONE - 1.5);
             fleets[0]
                 .links
                 .values()
-                .for_each(|link| link.set(Direction::Open, Direction::Open));
+                .for_each(|link| link.set_directions(LinkState::Open, LinkState::Open));
         }
         if last_from.is_none() && now >= at(LAST) {
-            last_from = Some(fleets[0].held_s(|_| true));
+            last_from = Some(fleets[0].in_flight_seconds(|_| true));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     if let Some(from) = last_from {
-        last = (fleets[0].held_s(|_| true) - from) / (END - LAST);
+        last = (fleets[0].in_flight_seconds(|_| true) - from) / (END - LAST);
     }
     let mut late: Vec<String> = Vec::new();
     let (mut values, mut calm, mut metered) = ([0.0; 2], [0.0; 2], [0.0; 2]);
--- a/crates/chaos/src/trials/dependencies.rs
+++ b/crates/chaos/src/trials/dependencies.rs
@@ -38,7 +38,7 @@
         Fault::Hang,
         Fault::Slow(6),
         Fault::Reset,
-        Fault::Late(late),
+        Fault::FixedLatency(late),
         Fault::Corrupt,
         Fault::Fail,
     ];
@@ -70,12 +70,12 @@
     spells.push(Spell {
         from,
         to: from + FAULT,
-        faults: vec![(random.usize(0..3), Fault::Weak(WEAK))],
+        faults: vec![(random.usize(0..3), Fault::Overloaded(WEAK))],
     });
     from += FAULT + REST;
     // Last, no dependency fails, but some calls of all three take ten times their time.
     let faults = (0..3)
-        .map(|place| (place, Fault::Straggle(STRAGGLER)))
+        .map(|place| (place, Fault::LatencyOutliers(STRAGGLER)))
         .collect();
     spells.push(Spell {
         from,
@@ -204,14 +204,14 @@
             spell
                 .faults
                 .iter()
-                .for_each(|(place, fault)| fleet.dependencies[*place].set(*fault));
+                .for_each(|(place, fault)| fleet.dependencies[*place].set_fault(*fault));
         }
         std::thread::sleep(at(spell.to).saturating_duration_since(Instant::now()));
         for fleet in &fleets {
             spell
                 .faults
                 .iter()
-                .for_each(|(place, _)| fleet.dependencies[*place].set(Fault::None));
+                .for_each(|(place, _)| fleet.dependencies[*place].set_fault(Fault::None));
         }
     }
     let stories: Vec<Story> = callers
@@ -306,7 +306,7 @@
         let faults = s
             .faults
             .iter()
-            .map(|(place, fault)| format!("{} {fault:?}", shop::NAMES[*place]));
+            .map(|(place, fault)| format!("{} {fault}", shop::NAMES[*place]));
         let value = |story: &Story, from: f64, to: f64| {
             let worth: Vec<_> = story.within(from, to).collect();
             worth.iter().map(|w| w.value).sum::<f64>() / worth.len().max(1) as f64
--- a/crates/chaos/src/trials/restarts.rs
+++ b/crates/chaos/src/trials/restarts.rs
@@ -24,7 +24,9 @@
         .collect::<io::Result<_>>()?;
     std::thread::sleep(shop::LINGER);
     // Slow, so that limits are reached and calls go on when their node is gone.
-    dependencies.iter().for_each(|d| d.set(Fault::Slow(3)));
+    dependencies
+        .iter()
+        .for_each(|d| d.set_fault(Fault::Slow(3)));
     let mix = Mix {
         handler: "browse",
         rate: 80.0,
--- a/crates/chaos/src/trials/shop.rs
+++ b/crates/chaos/src/trials/shop.rs
@@ -28,9 +28,9 @@
 
 pub fn dependencies(seed: u64) -> io::Result<Vec<FakeDependency>> {
     let shape = |place: u64| FakeDependencyConfig {
-        time: Duration::from_millis(if place == 3 { 30 } else { 60 }),
-        knee: CEILING,
-        linger: LINGER,
+        mean_latency: Duration::from_millis(if place == 3 { 30 } else { 60 }),
+        concurrency_limit: CEILING,
+        post_cancel_duration: LINGER,
         seed: seed.wrapping_mul(31).wrapping_add(place),
     };
     (0..4)
--- /dev/null
+++ b/crates/test-support/src/fakes/fake_engine.rs
@@ -0,0 +1,72 @@
+//! The engine that runs work for the server, as its end of one connection.
+use super::{accept, IO_TIMEOUT};
+use std::io::{self, BufRead, BufReader, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::time::Instant;
+
+/// Commands that carry a body, whose size is their last word.
+const COMMANDS_WITH_BODY: [&str; 2] = ["RUN", "FEED"];
+/// Ends each line and each body.
+const LINE_END: &[u8; 2] = b"\r\n";
+
+/// A command's words, and its body where it has one.
+pub type EngineCommand = (Vec<String>, Vec<u8>);
+
+/// One connection from the server, as the engine sees it.
+#[derive(Debug)]
+pub struct FakeEngine(
+    /// The connection, with what was read ahead of it.
+    pub BufReader<TcpStream>,
+);
+
+impl FakeEngine {
+    /// Waits for the server's next connection.
+    pub fn accept(listener: &TcpListener) -> io::Result<Self> {
+        Ok(FakeEngine(BufReader::new(accept(listener)?)))
+    }
+
+    /// The next command, whatever it is; an error at the end of the connection.
+    pub fn command(&mut self) -> io::Result<EngineCommand> {
+        let mut line = String::new();
+        if self.0.read_line(&mut line)? == 0 {
+            return Err(io::ErrorKind::UnexpectedEof.into());
+        }
+        let words: Vec<String> = line.trim_end().split(' ').map(String::from).collect();
+        let mut body = Vec::new();
+        if COMMANDS_WITH_BODY.contains(&words[0].as_str()) {
+            let size: usize = words[words.len() - 1].parse().map_err(io::Error::other)?;
+            body.resize(size + LINE_END.len(), 0);
+            self.0.read_exact(&mut body)?;
+            body.truncate(size);
+        }
+        Ok((words, body))
+    }
+
+    /// The next command that does not ask for gauges; those that do are answered with fixed ones.
+    pub fn receive_command(&mut self) -> io::Result<EngineCommand> {
+        let deadline = Instant::now() + IO_TIMEOUT;
+        loop {
+            if Instant::now() > deadline {
+                return Err(io::ErrorKind::TimedOut.into());
+            }
+            let (words, body) = self.command()?;
+            if words[0] != "STAT" {
+                return Ok((words, body));
+            }
+            self.send_line(&format!("STATS {} 0.5 1 0.1 3", words[1]))?;
+        }
+    }
+
+    /// Sends one line, whose end is added.
+    pub fn send_line(&mut self, line: &str) -> io::Result<()> {
+        self.0.get_mut().write_all(format!("{line}\r\n").as_bytes())
+    }
+
+    /// Sends one line and a body, whose size is added as the line's last word.
+    pub fn send_line_with_body(&mut self, line: &str, body: &[u8]) -> io::Result<()> {
+        let mut bytes = format!("{line} {}\r\n", body.len()).into_bytes();
+        bytes.extend(body);
+        bytes.extend(LINE_END);
+        self.0.get_mut().write_all(&bytes)
+    }
+}
--- a/crates/test-support/src/faulty_link.rs
+++ b/crates/test-support/src/faulty_link.rs
@@ -1,5 +1,5 @@
-//! A link between two processes: a port that passes on what comes to another, and by command cuts, stalls, slows or
-//! breaks, each direction by itself. Bytes that were held by a stall come late; those held by a cut never do.
+//! A TCP proxy between two processes that on command partitions, stalls, delays or resets connections, each direction
+//! by itself. Bytes that a stall held arrive late; those that a partition dropped never do.
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,225 +7,307 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const READ: usize = 16_384;
-/// How often a direction looks at what it is to do.
-const LOOK: Duration = Duration::from_millis(10);
-/// For how long words are gathered that will come late.
-const GATHER: Duration = Duration::from_millis(700);
-const CONNECT: Duration = Duration::from_secs(1);
+/// Size of a read.
+const READ_BUFFER_BYTES: usize = 16_384;
+/// How often a direction looks at its state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// For how long bytes are collected that will be delivered late.
+const COLLECT_DURATION: Duration = Duration::from_millis(700);
+/// Limit of a connection's set-up, and of a write.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a direction does with bytes.
+/// What a link does with the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Direction {
+pub enum LinkState {
+    /// Forwards them.
     #[default]
     Open,
-    /// Takes them and passes them on once it is open again.
+    /// Holds them, and forwards them once the direction is open again.
     Stalled,
-    /// Takes none; connections that bytes were lost of break once it is open again.
-    Cut,
-    /// Passes each on this much later.
-    Slow(Duration),
+    /// Drops them; connections that lost bytes are reset once the direction is open again.
+    Partitioned,
+    /// Forwards each read this much later.
+    Delayed(Duration),
+}
+
+/// The direction of bytes on a connection, as an index into [`State::directions`].
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    /// From the client, who connected.
+    Outbound = 0,
+    /// Back to the client.
+    Inbound = 1,
+}
+
+/// Which of the link's connections one is.
+#[derive(Clone, Copy)]
+struct ConnectionId {
+    /// Its place among all, from 1.
+    number: u64,
+    /// The resets that came before it.
+    resets: u64,
+}
+
+/// Connections up to one are closed towards their clients, and what those had sent is delivered late.
+#[derive(Clone, Copy, Default)]
+struct LateDelivery {
+    last_connection: u64,
+    delay: Duration,
 }
 
 #[derive(Default)]
 struct State {
-    to: Option<SocketAddr>,
-    /// From who dialled, and back to it.
-    ways: [Direction; 2],
-    /// Connections from before this many breaks are gone.
-    breaks: u64,
-    opened: u64,
-    /// Connections up to this one close on their dialler, and what it had sent comes this much later.
-    late: (u64, Duration),
+    target: Option<SocketAddr>,
+    directions: [LinkState; 2],
+    /// Connections from before the last of these are closed.
+    resets: u64,
+    /// Connections accepted so far.
+    accepted: u64,
+    late_delivery: LateDelivery,
 }
 
-struct Inner {
+struct Shared {
     state: Mutex<State>,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
-impl Inner {
+impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
+
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
+    }
+
+    fn is_partitioned(&self) -> bool {
+        self.state().directions.contains(&LinkState::Partitioned)
+    }
 }
 
-/// A running link; it ends when it is dropped.
+/// A running link; it stops when it is dropped.
 pub struct FaultyLink {
-    /// Where to dial.
+    /// Where clients connect.
     pub addr: SocketAddr,
-    inner: Arc<Inner>,
+    shared: Arc<Shared>,
 }
 
 impl FaultyLink {
-    /// Leads nowhere until it is told.
+    /// Starts one on a free port; until it has a target it closes what connects.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let addr = listener.local_addr()?;
-        let inner = Arc::new(Inner {
+        let shared = Arc::new(Shared {
             state: Mutex::default(),
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
-        let serving = inner.clone();
+        let serving = shared.clone();
         thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                if serving.over.load(Ordering::Relaxed) {
+            for client in listener.incoming().flatten() {
+                if serving.is_stopped() {
                     return;
                 }
-                let inner = serving.clone();
-                // Each wait below has a limit and looks whether the link is over.
-                let _ = thread::Builder::new()
-                    .stack_size(128 << 10)
-                    .spawn(move || carry(&inner, stream));
+                let shared = serving.clone();
+                // Each wait of a connection has a limit and looks whether the link was stopped, so every thread ends.
+                let _ = spawn_thread(move || forward_connection(&shared, client));
             }
         });
-        Ok(FaultyLink { addr, inner })
+        Ok(FaultyLink { addr, shared })
     }
 
-    /// Where it leads from now on; what is open stays.
-    pub fn set_target(&self, to: Option<SocketAddr>) {
-        self.inner.state().to = to;
+    /// Where connections lead from now on; those that are open stay.
+    pub fn set_target(&self, target: Option<SocketAddr>) {
+        self.shared.state().target = target;
     }
 
-    pub fn set(&self, forth: Direction, back: Direction) {
-        self.inner.state().ways = [forth, back];
+    /// Sets both directions: from the clients, and back to them.
+    pub fn set_directions(&self, outbound: LinkState, inbound: LinkState) {
+        self.shared.state().directions = [outbound, inbound];
     }
 
-    /// What is on its way now comes this much later, on connections that their diallers see closed: so it comes after
-    /// words that were sent later.
-    pub fn delay(&self, span: Duration) {
-        let mut state = self.inner.state();
-        state.late = (state.opened, span);
+    /// Delivers what is under way now this much later, on connections that their clients see closed: so it arrives
+    /// after messages that were sent later.
+    pub fn deliver_late(&self, delay: Duration) {
+        let mut state = self.shared.state();
+        state.late_delivery = LateDelivery {
+            last_connection: state.accepted,
+            delay,
+        };
     }
 
-    /// Breaks all that is open.
+    /// Closes all connections that are open.
     pub fn reset_connections(&self) {
-        self.inner.state().breaks += 1;
+        self.shared.state().resets += 1;
     }
 }
 
 impl Drop for FaultyLink {
     fn drop(&mut self) {
-        self.inner.over.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.addr);
     }
 }
 
-fn carry(inner: &Arc<Inner>, from: TcpStream) {
-    let (to, breaks, number) = {
-        let mut state = inner.state();
-        state.opened += 1;
-        (state.to, state.breaks, state.opened)
+fn spawn_thread(work: impl FnOnce() + Send + 'static) -> io::Result<thread::JoinHandle<()>> {
+    thread::Builder::new()
+        .stack_size(crate::THREAD_STACK_BYTES)
+        .spawn(work)
+}
+
+/// Connects a client with the target and forwards both directions until the connection ends.
+fn forward_connection(shared: &Arc<Shared>, client: TcpStream) {
+    let (target, connection) = {
+        let mut state = shared.state();
+        state.accepted += 1;
+        let connection = ConnectionId {
+            number: state.accepted,
+            resets: state.resets,
+        };
+        (state.target, connection)
     };
-    let Some(to) = to else { return };
-    // Nobody comes through a cut, in whichever direction it is.
-    let open = |inner: &Inner| !inner.state().ways.contains(&Direction::Cut);
-    let until = Instant::now() + CONNECT;
-    while !open(inner) {
-        if Instant::now() > until || inner.over.load(Ordering::Relaxed) {
+    let Some(target) = target else { return };
+    // No connection is set up through a partition, in whichever direction it is.
+    let deadline = Instant::now() + CONNECT_TIMEOUT;
+    while shared.is_partitioned() {
+        if Instant::now() > deadline || shared.is_stopped() {
             return;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    let Ok(to) = TcpStream::connect_timeout(&to, CONNECT) else {
+    let Ok(server) = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT) else {
         return;
     };
-    let (Ok(from2), Ok(to2)) = (from.try_clone(), to.try_clone()) else {
+    let (Ok(client_writer), Ok(server_reader)) = (client.try_clone(), server.try_clone()) else {
         return;
     };
-    let of = inner.clone();
-    let back = thread::Builder::new()
-        .stack_size(128 << 10)
-        .spawn(move || pump(&of, 1, to2, from2, (breaks, number)));
-    pump(inner, 0, from, to, (breaks, number));
-    if let Ok(back) = back {
-        let _ = back.join();
+    let inbound_shared = shared.clone();
+    let inbound = spawn_thread(move || {
+        let direction = Direction::Inbound;
+        forward(
+            &inbound_shared,
+            direction,
+            server_reader,
+            client_writer,
+            connection,
+        );
+    });
+    forward(shared, Direction::Outbound, client, server, connection);
+    if let Ok(inbound) = inbound {
+        let _ = inbound.join();
     }
 }
 
-/// Passes bytes on in one direction until either end closes, or the link breaks.
-fn pump(
-    inner: &Inner,
-    way: usize,
+/// Forwards one direction until either end closes or the link resets it, then closes both.
+fn forward(
+    shared: &Shared,
+    direction: Direction,
     mut from: TcpStream,
     mut to: TcpStream,
-    (breaks, number): (u64, u64),
+    connection: ConnectionId,
 ) {
-    let _ = from.set_read_timeout(Some(LOOK));
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = from.set_nodelay(true);
-    let _ = to.set_write_timeout(Some(CONNECT));
-    let mut bytes = vec![0; READ];
-    let mut lost = false;
+    let _ = to.set_write_timeout(Some(CONNECT_TIMEOUT));
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    let mut has_lost_bytes = false;
     loop {
-        let (does, broken, late) = {
-            let state = inner.state();
-            let late = state.late;
+        let (link, was_reset, late_delivery) = {
+            let state = shared.state();
+            let late = state.late_delivery;
             (
-                state.ways[way],
-                state.breaks != breaks,
-                (number <= late.0).then_some(late.1),
+                state.directions[direction as usize],
+                state.resets != connection.resets,
+                (connection.number <= late.last_connection).then_some(late.delay),
             )
         };
-        if let Some(span) = late {
-            if way == 0 {
-                hold_back(inner, &mut from, &mut to, span);
+        if let Some(delay) = late_delivery {
+            if direction == Direction::Outbound {
+                hold_back(shared, &mut from, &mut to, delay);
                 break;
             }
-            // The other direction ends with it.
-            thread::sleep(LOOK);
-            if inner.over.load(Ordering::Relaxed) || to.peek(&mut [0]).is_ok_and(|count| count == 0)
-            {
+            // The inbound direction ends with the outbound one.
+            thread::sleep(POLL_INTERVAL);
+            if shared.is_stopped() || to.peek(&mut [0]).is_ok_and(|count| count == 0) {
                 break;
             }
             continue;
         }
-        if broken || inner.over.load(Ordering::Relaxed) || lost && does != Direction::Cut {
+        let is_open_after_loss = has_lost_bytes && link != LinkState::Partitioned;
+        if was_reset || shared.is_stopped() || is_open_after_loss {
             break;
         }
-        if does == Direction::Stalled {
-            // What comes waits in the system's buffers, as it would before a peer that reads nothing.
-            thread::sleep(LOOK);
+        if link == LinkState::Stalled {
+            // Bytes wait in the system's buffers, as they would before a peer that reads nothing.
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        match from.read(&mut bytes) {
-            Ok(0) => break,
-            Ok(_) if does == Direction::Cut => lost = true,
-            Ok(count) => {
-                if let Direction::Slow(span) = does {
-                    thread::sleep(span);
-                }
-                if to.write_all(&bytes[..count]).is_err() {
-                    break;
-                }
-            }
-            Err(e)
-                if matches!(
-                    e.kind(),
-                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                ) => {}
-            Err(_) => break,
+        match forward_read(link, &mut from, &mut to, &mut buffer) {
+            Forwarded::Nothing | Forwarded::Delivered => {}
+            Forwarded::Dropped => has_lost_bytes = true,
+            Forwarded::Closed => break,
         }
     }
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// Takes what comes for a while, closes on who sent it, and passes it on when its time has come.
-fn hold_back(inner: &Inner, from: &mut TcpStream, to: &mut TcpStream, span: Duration) {
+/// What became of one read.
+enum Forwarded {
+    /// No bytes came in time.
+    Nothing,
+    Delivered,
+    Dropped,
+    /// One of the ends is closed.
+    Closed,
+}
+
+/// Reads once, and delivers or drops what came.
+fn forward_read(
+    link: LinkState,
+    from: &mut TcpStream,
+    to: &mut TcpStream,
+    buffer: &mut [u8],
+) -> Forwarded {
+    match from.read(buffer) {
+        Ok(0) => Forwarded::Closed,
+        Ok(_) if link == LinkState::Partitioned => Forwarded::Dropped,
+        Ok(count) => {
+            if let LinkState::Delayed(delay) = link {
+                thread::sleep(delay);
+            }
+            match to.write_all(&buffer[..count]) {
+                Ok(()) => Forwarded::Delivered,
+                Err(_) => Forwarded::Closed,
+            }
+        }
+        Err(e)
+            if matches!(
+                e.kind(),
+                io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+            ) =>
+        {
+            Forwarded::Nothing
+        }
+        Err(_) => Forwarded::Closed,
+    }
+}
+
+/// Collects bytes for a while, closes the sender's end, and delivers them once the delay has passed.
+fn hold_back(shared: &Shared, from: &mut TcpStream, to: &mut TcpStream, delay: Duration) {
     let start = Instant::now();
-    let (mut kept, mut bytes) = (Vec::new(), vec![0; READ]);
-    while start.elapsed() < GATHER {
-        match from.read(&mut bytes) {
+    let (mut held_back, mut buffer) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
+    while start.elapsed() < COLLECT_DURATION {
+        match from.read(&mut buffer) {
             Ok(0) => break,
-            Ok(count) => kept.extend_from_slice(&bytes[..count]),
+            Ok(count) => held_back.extend_from_slice(&buffer[..count]),
             Err(_) => {}
         }
     }
     let _ = from.shutdown(Shutdown::Both);
-    while start.elapsed() < span && !inner.over.load(Ordering::Relaxed) {
-        thread::sleep(LOOK);
+    while start.elapsed() < delay && !shared.is_stopped() {
+        thread::sleep(POLL_INTERVAL);
     }
-    let _ = to.write_all(&kept);
+    let _ = to.write_all(&held_back);
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for what the server speaks with. They count what crosses their sockets, and fail as a schedule says.
-#![expect(
-    missing_docs,
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
+//! Fake peers of the server on loopback: sidecar, engine, HTTP service, dependency, and faulty links between them.
+//!
+//! Tests, chaos experiments and the demo platform share them. Fakes count what crosses their sockets and fail as a
+//! test or a seeded schedule tells them to.
 
 pub mod fake_dependency;
 pub mod fakes;
 pub mod faulty_link;
+
+/// Stack of a fake's thread, in bytes: fakes start hundreds of threads, and none of them nests calls deeply.
+const THREAD_STACK_BYTES: usize = 128 << 10;
--- a/examples/demo_platform/main.rs
+++ b/examples/demo_platform/main.rs
@@ -90,9 +90,9 @@
 
 fn shop(fault: Fault) -> io::Result<()> {
     let shape = |seed| FakeDependencyConfig {
-        time: std::time::Duration::from_millis(40),
-        knee: 24,
-        linger: std::time::Duration::from_millis(300),
+        mean_latency: std::time::Duration::from_millis(40),
+        concurrency_limit: 24,
+        post_cancel_duration: std::time::Duration::from_millis(300),
         seed,
     };
     let places = [8101, 8102, 8103].into_iter().zip(0..);
@@ -100,8 +100,8 @@
         .map(|(port, seed)| FakeDependency::start_at(([127, 0, 0, 1], port).into(), shape(seed)))
         .collect();
     let all = all?;
-    all[1].set(fault);
-    println!("catalogue, prices and stock on 127.0.0.1:8101 to 8103; prices: {fault:?}");
+    all[1].set_fault(fault);
+    println!("catalogue, prices and stock on 127.0.0.1:8101 to 8103; prices: {fault}");
     loop {
         thread::park();
     }
