--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,15 +1,16 @@
 //! The instance: which word goes to which core, and what each core's effects mean for the others.
+use crate::config::NodeConfig;
+use crate::event::{ClusterEvent, Output};
 use crate::message::Message;
-use cottondyke_consensus::{
-    self as registry, Bootstrap, PersistedState, Replica, ReplicaId, StateMachine, StorageOperation,
-};
+use crate::state_machine::QuotaStateMachine;
+use crate::status::{BudgetStatus, NodeStatus, QuarantineStatus, QuotaStatus};
+use cottondyke_consensus::{self as registry, Bootstrap, PersistedState, Replica, ReplicaId};
 use cottondyke_membership::{self as peers, Member, MemberStatus, Membership};
 use cottondyke_quota::{
-    BudgetSpec, Command, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager, LeaseRequest,
-    QuarantinedQuota, QuotaTable, Usage, MAX_HOLDERS,
+    BudgetSpec, Holder, LeaseHolder, LeaseManager, LeaseRequest, QuarantinedQuota, QuotaTable,
+    Usage, MAX_HOLDERS,
 };
 use cottondyke_types::Time;
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -25,140 +26,6 @@
 /// Keepers whose addresses are noted.
 const MAX_ROUTES: usize = 64;
 
-/// What the registry agrees on.
-#[derive(Debug, Default)]
-pub struct QuotaStateMachine(pub QuotaTable);
-
-impl StateMachine for QuotaStateMachine {
-    fn apply(&mut self, command: &[u8]) {
-        // A command that cannot be read, or meets another state than it was made from, changes nothing anywhere.
-        if let Ok(command) = postcard::from_bytes::<Command>(command) {
-            let _ = self.0.apply(&command);
-        }
-    }
-
-    fn snapshot(&self) -> Vec<u8> {
-        postcard::to_allocvec(&self.0).unwrap_or_default()
-    }
-
-    fn restore(&mut self, bytes: &[u8]) -> bool {
-        postcard::from_bytes(bytes)
-            .map(|table| self.0 = table)
-            .is_ok()
-    }
-}
-
-/// What an instance is told at its start.
-#[derive(Clone, Debug)]
-pub struct NodeConfig {
-    pub holder: Holder,
-    /// An earlier life of this name that is known to be over.
-    pub previous_incarnation: Option<u64>,
-    pub zone: String,
-    /// Where others reach it.
-    pub addr: SocketAddr,
-    /// How often another member is looked after.
-    pub probe_interval: Time,
-    /// Off in trials alone.
-    pub suspicion_enabled: bool,
-    /// The keepers' names and addresses, alike in every instance's file.
-    pub replicas: BTreeMap<String, SocketAddr>,
-    pub budgets: Vec<BudgetSpec>,
-    pub lease_config: LeaseConfig,
-    pub seed: u64,
-}
-
-/// One line for the log.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClusterEvent {
-    QuotaChanged {
-        budget: String,
-        before: u32,
-        now: u32,
-        epoch: Epoch,
-    },
-    /// The lease of all shares is over, or in force again.
-    LeaseChanged(bool),
-    LeadershipChanged(bool),
-    Bootstrapped(usize),
-    MemberUp(Member),
-    MemberDown(Member),
-    SuspicionRefuted,
-    DuplicateName(Member),
-    /// The registry's disk, or what it held, is of no use: this keeper takes part no longer.
-    ReplicaFailed,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// To be sent by itself, without a link.
-    Datagram {
-        to: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    Send {
-        to: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    /// To be carried out in order; then `stored` is called with its number, or `store_failed`.
-    Store(StorageOperation),
-    Notify(ClusterEvent),
-}
-
-/// What an instance knows, for operators. Spans in milliseconds from now.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NodeStatus {
-    pub name: String,
-    #[serde(rename = "life")]
-    pub incarnation: u64,
-    /// The keeper that leads, as far as this instance keeps the registry and knows it.
-    pub leader: Option<String>,
-    #[serde(rename = "leads")]
-    pub is_leader: bool,
-    /// Who is there, this instance first.
-    pub members: Vec<MemberStatus>,
-    #[serde(rename = "keeps")]
-    pub is_replica: bool,
-    /// What is left of the lease of its own shares.
-    pub lease_ms: i64,
-    #[serde(rename = "shares")]
-    pub quotas: Vec<(String, u32)>,
-    /// The table, where this instance keeps it.
-    pub budgets: Vec<BudgetStatus>,
-    /// What is kept back of shares whose holders are silent, where this instance leads.
-    #[serde(rename = "held_back")]
-    pub quarantined: Vec<QuarantineStatus>,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BudgetStatus {
-    pub name: String,
-    #[serde(rename = "whole")]
-    pub units: u32,
-    #[serde(rename = "linger_ms")]
-    pub post_cancel_grace_ms: i64,
-    #[serde(rename = "shares")]
-    pub quotas: Vec<QuotaStatus>,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaStatus {
-    pub holder: String,
-    pub amount: u32,
-    pub epoch: u64,
-    /// Its lease ran out; what is left of it is kept back.
-    pub fenced: bool,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuarantineStatus {
-    pub budget: String,
-    pub holder: String,
-    pub units: u32,
-    #[serde(rename = "for_ms")]
-    pub remaining_ms: i64,
-}
-
 struct ReplicaHost {
     keeper: Replica<QuotaStateMachine>,
     founding: Bootstrap,
--- /dev/null
+++ b/crates/cluster/src/state_machine.rs
@@ -0,0 +1,28 @@
+//! The state machine that the replicas agree on: the quota table.
+
+use cottondyke_consensus::StateMachine;
+use cottondyke_quota::{Command, QuotaTable};
+
+/// The replicated [`QuotaTable`], changed by `postcard`-encoded [`Command`]s.
+#[derive(Debug, Default)]
+pub struct QuotaStateMachine(pub QuotaTable);
+
+impl StateMachine for QuotaStateMachine {
+    fn apply(&mut self, command: &[u8]) {
+        // A command that cannot be decoded, or that was made from another state than it meets, must change nothing
+        // on any replica: every replica sees the same failure, so ignoring it keeps them equal.
+        if let Ok(command) = postcard::from_bytes::<Command>(command) {
+            let _ = self.0.apply(&command);
+        }
+    }
+
+    fn snapshot(&self) -> Vec<u8> {
+        postcard::to_allocvec(&self.0).unwrap_or_default()
+    }
+
+    fn restore(&mut self, bytes: &[u8]) -> bool {
+        postcard::from_bytes(bytes)
+            .map(|table| self.0 = table)
+            .is_ok()
+    }
+}
