--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -34,3 +34,15 @@
     /// Seed of all pseudo-random choices: the same seed and inputs give the same outputs.
     pub seed: u64,
 }
+
+impl NodeConfig {
+    /// Names of the replicas, in their order.
+    pub(crate) fn replica_names(&self) -> Vec<String> {
+        self.replicas.keys().cloned().collect()
+    }
+
+    /// The place of a replica in the order of names.
+    pub(crate) fn replica_index(&self, name: &str) -> Option<usize> {
+        self.replicas.keys().position(|replica| replica == name)
+    }
+}
--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -20,11 +20,20 @@
         epoch: Epoch,
     },
     /// The last of this node's leases expired, or a lease is in force again.
-    LeaseChanged(bool),
+    LeaseChanged {
+        /// Whether a lease is in force now.
+        in_force: bool,
+    },
     /// This node became the leader of the replicas, or stopped being it.
-    LeadershipChanged(bool),
-    /// The replica began with the initial state that this many replicas share.
-    Bootstrapped(usize),
+    LeadershipChanged {
+        /// Whether it is the leader now.
+        is_leader: bool,
+    },
+    /// The replica began with the initial state.
+    Bootstrapped {
+        /// The number of replicas that share this state.
+        replicas: usize,
+    },
     /// A member joined, or came back.
     MemberUp(Member),
     /// A member left, or was declared dead.
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,9 +1,12 @@
-//! One instance among others, without I/O, clock or randomness of its own: the registry's keeper (where it is one),
-//! the granter (while that keeper leads) and the shares of this instance, joined. Real drivers and the simulated
-//! world drive the same code: events go in with the time, `Output`s come out.
-#![expect(missing_docs, reason = "not yet read through; see docs/ROADMAP.md")]
+//! One node of a cluster that shares budgets, as a sans-I/O core.
+//!
+//! [`ClusterNode`] joins four cores: the replica of the quota table (`cottondyke_consensus`, on the few nodes that hold
+//! one), the lease manager (`cottondyke_quota`, on the node whose replica leads), the lease holder (`cottondyke_quota`,
+//! on every node) and the membership (`cottondyke_membership`, on every node). Inputs go in with the current time and
+//! [`Output`]s come out, so that the server's drivers and the simulation run the same code.
 
 mod config;
+mod error;
 mod event;
 mod message;
 mod node;
@@ -11,6 +14,7 @@
 mod status;
 
 pub use config::NodeConfig;
+pub use error::NodeError;
 pub use event::{ClusterEvent, Output};
 pub use message::{Message, MAX_MESSAGE_BYTES};
 pub use node::{ClusterNode, REPLICA_TICK};
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -135,7 +135,8 @@
         lease_config: terms,
         seed: seed ^ life,
     };
-    let instance = ClusterNode::new(setup, saved.as_ref()).map_err(at)?;
+    let instance =
+        ClusterNode::new(setup, saved.as_ref()).map_err(|error| at(error.to_string()))?;
     let fleet = Rc::new_cyclic(|this| ClusterDriver {
         this: this.clone(),
         instance: RefCell::new(instance),
@@ -375,15 +376,21 @@
         } => {
             tracing::debug!(budget, before, now, epoch = epoch.0, "its share changed");
         }
-        ClusterEvent::LeaseChanged(true) => tracing::info!("the lease of its shares is in force"),
-        ClusterEvent::LeaseChanged(false) => {
+        ClusterEvent::LeaseChanged { in_force: true } => {
+            tracing::info!("the lease of its shares is in force")
+        }
+        ClusterEvent::LeaseChanged { in_force: false } => {
             tracing::warn!(
                 "the lease of its shares is over: it uses nothing of the fleet's budgets"
             )
         }
-        ClusterEvent::LeadershipChanged(true) => tracing::info!("leads the registry"),
-        ClusterEvent::LeadershipChanged(false) => tracing::info!("leads the registry no longer"),
-        ClusterEvent::Bootstrapped(keepers) => tracing::info!(keepers, "the registry is founded"),
+        ClusterEvent::LeadershipChanged { is_leader: true } => tracing::info!("leads the registry"),
+        ClusterEvent::LeadershipChanged { is_leader: false } => {
+            tracing::info!("leads the registry no longer")
+        }
+        ClusterEvent::Bootstrapped { replicas } => {
+            tracing::info!(keepers = replicas, "the registry is founded")
+        }
         ClusterEvent::MemberUp(member) => {
             tracing::info!(
                 name = member.name,
