--- a/crates/cluster/src/node/replica.rs
+++ b/crates/cluster/src/node/replica.rs
@@ -124,7 +124,7 @@
             match effect {
                 Effect::Send { to, bytes } => self.send_raft_message(to, bytes),
                 Effect::Store(operation) => self.outputs.push(Output::Store(operation)),
-                Effect::LeadershipChanged(is_leader) => {
+                Effect::LeadershipChanged { is_leader } => {
                     self.handle_leadership_change(now, is_leader);
                 }
                 Effect::ReadIndexConfirmed(number) => self.handle_read_index(number),
--- a/crates/cluster/src/node/replica_host.rs
+++ b/crates/cluster/src/node/replica_host.rs
@@ -44,8 +44,7 @@
         persisted: &PersistedState,
         seed: u64,
     ) -> Result<Self, NodeError> {
-        let replica = Replica::open(persisted, QuotaStateMachine::default(), seed)
-            .map_err(|reason| NodeError::InvalidReplicaState { reason })?;
+        let replica = Replica::open(persisted, QuotaStateMachine::default(), seed)?;
         Ok(ReplicaHost {
             replica,
             bootstrap: Bootstrap::new(name, persisted.id),
@@ -94,7 +93,7 @@
         effects.extend(self.replica.reconcile_members(replica_names));
         if self.ticks.is_multiple_of(SNAPSHOT_REPORT_TICKS) {
             for receiver in self.replica.pending_snapshots() {
-                self.replica.report_snapshot(receiver, true);
+                self.replica.report_snapshot_delivered(receiver);
             }
         }
         effects
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,79 +1,102 @@
-//! How a registry begins, and how a keeper without a state comes to one. Nobody begins a registry alone: the first
-//! keeper in the file's order founds it, only once all others said that they have none either, and writes the set
-//! down before it tells anyone.
+//! How the first group of replicas is formed, and how a replica without a state announces itself.
+//!
+//! No replica forms a group alone: the first one in the order of names does so, only after all others reported that they
+//! have no state either, and it stores the initial members before it sends them to anyone.
 use crate::ReplicaId;
 use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long the word of a keeper without a state counts.
-const FRESH: Time = Time(20_000);
-/// How often one says that it has none.
-const SEEK: Time = Time(2_000);
+/// How long a received probe counts (2 s).
+const PROBE_VALIDITY: Time = Time(20_000);
+/// Time between two probes of one replica (200 ms).
+const PROBE_INTERVAL: Time = Time(2_000);
 
-/// "I have no state": the name and number of who says so.
+/// The statement of a replica that it has no state yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapProbe {
+    /// The configured name of the sender.
     pub name: String,
+    /// The id of the sender's store.
     pub id: ReplicaId,
 }
 
+/// The last probe of another replica.
+#[derive(Debug)]
+struct ReceivedProbe {
+    id: ReplicaId,
+    received_at: Time,
+}
+
+/// The bootstrap of one replica that has no state: when it sends probes, and whether it may form the group.
 #[derive(Debug)]
 pub struct Bootstrap {
-    me: BootstrapProbe,
-    heard: BTreeMap<String, (ReplicaId, Time)>,
-    next: Time,
+    own_probe: BootstrapProbe,
+    received: BTreeMap<String, ReceivedProbe>,
+    next_probe_at: Time,
 }
 
 impl Bootstrap {
+    /// A bootstrap in which no probe was sent or received.
     pub fn new(name: &str, id: ReplicaId) -> Self {
         Bootstrap {
-            me: BootstrapProbe {
+            own_probe: BootstrapProbe {
                 name: name.to_string(),
                 id,
             },
-            heard: BTreeMap::new(),
-            next: Time(i64::MIN / 4),
+            received: BTreeMap::new(),
+            next_probe_at: Time(i64::MIN / 4),
         }
     }
 
-    /// What to say to all other keepers now, if it is time.
+    /// The probe to send to all other replicas now, if one is due.
     pub fn next_probe(&mut self, now: Time) -> Option<BootstrapProbe> {
-        if now < self.next {
+        if now < self.next_probe_at {
             return None;
         }
-        self.next = now + SEEK;
-        Some(self.me.clone())
+        self.next_probe_at = now + PROBE_INTERVAL;
+        Some(self.own_probe.clone())
     }
 
-    /// Another keeper has no state either. The founding set, where this one founds: `names` are the file's keepers.
+    /// Records that another replica has no state either, and returns the initial members where this replica is to form
+    /// the group. `replica_names` are the configured replicas; probes of any other name are ignored.
     pub fn handle_probe(
         &mut self,
         now: Time,
-        seek: &BootstrapProbe,
-        names: &[String],
+        probe: &BootstrapProbe,
+        replica_names: &[String],
     ) -> Option<BTreeMap<ReplicaId, String>> {
-        if !names.contains(&seek.name) || seek.name == self.me.name {
+        if !replica_names.contains(&probe.name) || probe.name == self.own_probe.name {
             return None;
         }
-        self.heard.insert(seek.name.clone(), (seek.id, now));
-        self.initial_members(now, names)
+        let received = ReceivedProbe {
+            id: probe.id,
+            received_at: now,
+        };
+        self.received.insert(probe.name.clone(), received);
+        self.initial_members(now, replica_names)
     }
 
-    /// The set, where this keeper is the first in order and all others were heard lately.
+    /// The initial members, where this replica is the first of `replica_names` in their order and holds a valid probe of
+    /// each of the others.
     pub fn initial_members(
         &self,
         now: Time,
-        names: &[String],
+        replica_names: &[String],
     ) -> Option<BTreeMap<ReplicaId, String>> {
-        if names.iter().min() != Some(&self.me.name) {
+        let own_name = &self.own_probe.name;
+        if replica_names.iter().min() != Some(own_name) {
             return None;
         }
-        let mut set = BTreeMap::from([(self.me.id, self.me.name.clone())]);
-        for name in names.iter().filter(|name| **name != self.me.name) {
-            let (id, _) = self.heard.get(name).filter(|(_, at)| now < *at + FRESH)?;
-            set.insert(*id, name.clone());
+        let mut members = BTreeMap::from([(self.own_probe.id, own_name.clone())]);
+        for name in replica_names.iter().filter(|name| *name != own_name) {
+            let probe = self.received.get(name)?;
+            if now >= probe.received_at + PROBE_VALIDITY {
+                return None;
+            }
+            members.insert(probe.id, name.clone());
         }
-        (set.len() == names.len()).then_some(set)
+        // Two names with one id would make a smaller group than configured.
+        (members.len() == replica_names.len()).then_some(members)
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,28 +1,73 @@
-//! The small table that a fleet agrees on. `Replica` is one replica of it: raft (the crate's `RawNode`) with no
-//! socket, disk or clock of its own. It takes ticks, words of the other keepers and proposals, and gives `Effect`s;
-//! what must be on disk before a word goes out is one `StorageOperation`, and the word waits for it. `sqlite` is the disk.
+//! A small replicated state machine: the Raft algorithm by the crate `raft` (its `RawNode`), without I/O.
 //!
-//! A keeper's number is made with its store and dies with it: one that lost its disk comes back under another, so
-//! it never votes twice in one term. It joins as a learner, and takes its own former place once it has caught up.
-#![expect(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
+//! [`Replica`] is one member of the group. It has no socket, disk or clock of its own: it is driven by ticks, messages
+//! of other replicas and proposals, and returns [`Effect`]s. What must be on disk before a message may be sent is one
+//! [`StorageOperation`], and the message waits until the caller reports it as stored. [`sqlite`] is such a storage.
+//!
+//! The id of a replica is made with its store and lost with it: a replica that lost its disk returns under another id,
+//! so it never votes twice in one term. It joins as a learner, and replaces the previous voter of its name once it has
+//! caught up. [`Bootstrap`] forms the first group.
+//!
+//! ```
+//! use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, StateMachine};
+//! use std::collections::BTreeMap;
+//!
+//! /// The sum of the bytes of all commands.
+//! struct Sum(u64);
+//!
+//! impl StateMachine for Sum {
+//!     fn apply(&mut self, command: &[u8]) {
+//!         self.0 += command.iter().map(|byte| u64::from(*byte)).sum::<u64>();
+//!     }
+//!     fn snapshot(&self) -> Vec<u8> {
+//!         self.0.to_be_bytes().to_vec()
+//!     }
+//!     fn restore(&mut self, bytes: &[u8]) -> bool {
+//!         bytes.try_into().map(|bytes| self.0 = u64::from_be_bytes(bytes)).is_ok()
+//!     }
+//! }
+//!
+//! /// Stores at once what the replica wants stored; there is no other replica to send to.
+//! fn perform(replica: &mut Replica<Sum>, disk: &mut PersistedState, effects: Vec<Effect>) {
+//!     for effect in effects {
+//!         if let Effect::Store(operation) = effect {
+//!             let number = operation.number;
+//!             disk.apply(operation);
+//!             let more = replica.handle_stored(number);
+//!             perform(replica, disk, more);
+//!         }
+//!     }
+//! }
+//!
+//! let id = ReplicaId(1);
+//! let members = BTreeMap::from([(id, "only".to_string())]);
+//! let mut disk = PersistedState::new(id);
+//! disk.apply(Replica::bootstrap_operation(&members, &Sum(0)));
+//! let mut replica = Replica::open(&disk, Sum(0), 7)?;
+//! while !replica.is_leader() {
+//!     let effects = replica.tick();
+//!     perform(&mut replica, &mut disk, effects);
+//! }
+//! let effects = replica.propose(vec![2, 3]).expect("a leader takes proposals");
+//! perform(&mut replica, &mut disk, effects);
+//! assert_eq!(replica.state.0, 5);
+//! # Ok::<(), cottondyke_consensus::OpenError>(())
+//! ```
 
 mod bootstrap;
 mod log;
 mod replica;
 pub mod sqlite;
+mod state_machine;
 mod storage;
 
 pub use bootstrap::{Bootstrap, BootstrapProbe};
-pub use replica::{Effect, ProposalRejected, Replica, StateMachine, ELECTION_TICKS};
-pub use storage::{PersistedState, StorageOperation};
+pub use replica::{Effect, OpenError, ProposalRejected, Replica, ELECTION_TICKS};
+pub use state_machine::StateMachine;
+pub use storage::{EncodedEntry, EncodedSnapshot, PersistedState, StorageOperation};
 
 use serde::{Deserialize, Serialize};
 
-/// The number of one keeper's store, never 0.
+/// The id of one replica's store, never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u64);
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,70 +1,84 @@
-//! The log in memory, as raft reads it. What raft was told to be stored stands here at once; whether it is on disk
-//! is the keeper's matter.
+//! The Raft log in memory, as the crate `raft` reads it through its `Storage` trait. What raft asked to have stored is
+//! visible here at once; [`Replica`](crate::Replica) tracks whether it is on disk yet.
 use crate::storage::PersistedState;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
+/// The snapshot, the entries that follow it, and the hard state.
 #[derive(Debug, Default)]
-pub struct Log {
-    pub hard: HardState,
-    pub conf: ConfState,
+pub(crate) struct RaftLog {
+    pub(crate) hard_state: HardState,
+    pub(crate) configuration: ConfState,
     /// Its data is the state at its index.
-    pub snapshot: Snapshot,
+    pub(crate) snapshot: Snapshot,
+    /// Consecutive, the first at the index after the snapshot's.
     entries: Vec<Entry>,
 }
 
-fn broken(what: impl std::error::Error + Send + Sync + 'static) -> Error {
-    Error::Store(StorageError::Other(Box::new(what)))
-}
-
-impl Log {
-    pub fn restored(saved: &PersistedState) -> Result<Self> {
-        let mut log = Log::default();
-        if let Some(hard) = &saved.hard_state {
-            log.hard = HardState::parse_from_bytes(hard).map_err(broken)?;
+impl RaftLog {
+    /// Decodes what is on disk.
+    pub(crate) fn restore(persisted: &PersistedState) -> Result<Self> {
+        let mut log = RaftLog::default();
+        if let Some(bytes) = &persisted.hard_state {
+            log.hard_state = HardState::parse_from_bytes(bytes).map_err(decode_error)?;
         }
-        if let Some((_, bytes)) = &saved.snapshot {
-            log.snapshot = Snapshot::parse_from_bytes(bytes).map_err(broken)?;
-            log.conf = log.snapshot.get_metadata().get_conf_state().clone();
+        if let Some(snapshot) = &persisted.snapshot {
+            log.snapshot = Snapshot::parse_from_bytes(&snapshot.bytes).map_err(decode_error)?;
+            log.configuration = log.snapshot.get_metadata().get_conf_state().clone();
         }
-        for bytes in saved.entries.values() {
-            log.entries
-                .push(Entry::parse_from_bytes(bytes).map_err(broken)?);
+        for bytes in persisted.entries.values() {
+            let entry = Entry::parse_from_bytes(bytes).map_err(decode_error)?;
+            log.entries.push(entry);
         }
         Ok(log)
     }
 
-    fn base(&self) -> u64 {
+    /// The number of entries after the snapshot.
+    pub(crate) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// The index of the snapshot, 0 where there is none.
+    pub(crate) fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    pub fn append(&mut self, entries: &[Entry]) {
+    /// Appends consecutive entries; they replace all from the index of the first of them on.
+    pub(crate) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        let keep = first.index.saturating_sub(self.base() + 1) as usize;
-        self.entries.truncate(keep);
+        let retained = first.index.saturating_sub(self.snapshot_index() + 1) as usize;
+        self.entries.truncate(retained);
         self.entries.extend_from_slice(entries);
     }
 
-    /// A snapshot came from the leader, or was made of what is applied: entries up to it go.
-    pub fn install(&mut self, snapshot: Snapshot) {
-        let gone = snapshot.get_metadata().index.saturating_sub(self.base()) as usize;
-        self.entries.drain(..gone.min(self.entries.len()));
-        let meta = snapshot.get_metadata();
-        self.hard.commit = self.hard.commit.max(meta.index);
-        self.hard.term = self.hard.term.max(meta.term);
-        self.conf = meta.get_conf_state().clone();
+    /// Takes a snapshot that the leader sent or that was made here, and removes the entries that it covers.
+    pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let metadata = snapshot.get_metadata();
+        let covered = metadata.index.saturating_sub(self.snapshot_index()) as usize;
+        self.entries.drain(..covered.min(self.entries.len()));
+        self.hard_state.commit = self.hard_state.commit.max(metadata.index);
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
+        self.configuration = metadata.get_conf_state().clone();
         self.snapshot = snapshot;
     }
 
-    pub fn len(&self) -> usize {
-        self.entries.len()
+    /// The position in `entries` of an index after the snapshot's.
+    fn position(&self, index: u64) -> usize {
+        (index - self.snapshot_index() - 1) as usize
     }
 }
 
-impl Storage for Log {
+fn decode_error(source: impl std::error::Error + Send + Sync + 'static) -> Error {
+    Error::Store(StorageError::Other(Box::new(source)))
+}
+
+impl Storage for RaftLog {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
+        Ok(RaftState::new(
+            self.hard_state.clone(),
+            self.configuration.clone(),
+        ))
     }
 
     fn entries(
@@ -74,48 +88,48 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.base() {
+        if low <= self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = |index: u64| ((index - self.base() - 1) as usize).min(self.entries.len());
-        let mut left = max_size.into().unwrap_or(u64::MAX);
-        let mut first = true;
-        let fits = |entry: &&Entry| {
+        let start = self.position(low).min(self.entries.len());
+        let end = self.position(high).min(self.entries.len());
+        let mut remaining_bytes = max_size.into().unwrap_or(u64::MAX);
+        let mut selected = Vec::new();
+        for entry in &self.entries[start..end] {
             let size = u64::from(entry.compute_size());
-            let fits = std::mem::take(&mut first) || size <= left;
-            left = left.saturating_sub(size);
-            fits
-        };
-        Ok(self.entries[at(low)..at(high)]
-            .iter()
-            .take_while(fits)
-            .cloned()
-            .collect())
+            // The trait requires one entry at least, whatever its size.
+            if !selected.is_empty() && size > remaining_bytes {
+                break;
+            }
+            remaining_bytes = remaining_bytes.saturating_sub(size);
+            selected.push(entry.clone());
+        }
+        Ok(selected)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.base() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.base() {
+        if index < self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = self.entries.get((index - self.base() - 1) as usize);
+        let entry = self.entries.get(self.position(index));
         entry
-            .map(|e| e.term)
+            .map(|entry| entry.term)
             .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.base() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.base() + self.entries.len() as u64)
+        Ok(self.snapshot_index() + self.entries.len() as u64)
     }
 
-    fn snapshot(&self, request: u64, _: u64) -> Result<Snapshot> {
-        if self.base() < request {
+    fn snapshot(&self, request_index: u64, _: u64) -> Result<Snapshot> {
+        if self.snapshot_index() < request_index {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- a/crates/consensus/src/sqlite.rs
+++ b/crates/consensus/src/sqlite.rs
@@ -1,128 +1,202 @@
-//! A keeper's disk: one SQLite file, each write one transaction on disk before it returns (WAL, `synchronous = FULL`).
-//! It belongs on a thread of its own.
-use crate::storage::{PersistedState, StorageOperation};
+//! The storage of a replica in one SQLite file. Each batch of operations is one transaction that is on disk before
+//! [`SqliteStorage::apply`] returns (WAL, `synchronous = FULL`). Calls block: it belongs on a thread of its own.
+use crate::storage::{EncodedSnapshot, PersistedState, StorageOperation};
 use crate::ReplicaId;
-use rusqlite::{params, Connection, OptionalExtension};
+use rusqlite::{params, Connection, OptionalExtension, Row, Transaction, TransactionBehavior};
 use std::collections::BTreeMap;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 
-/// The layout that this version writes, and the newest that it reads.
-const VERSION: i64 = 1;
-const BUSY: Duration = Duration::from_secs(2);
+/// The layout of the file that this version writes, and the newest that it reads.
+const LAYOUT_VERSION: i64 = 1;
+/// How long a statement waits for a lock that another connection has.
+const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
 
-#[derive(Debug)]
-pub struct SqliteStorage(Connection);
+/// Creates what is missing. Its last pragma is [`LAYOUT_VERSION`].
+const CREATE_TABLES: &str = "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;
+     BEGIN IMMEDIATE;
+     CREATE TABLE IF NOT EXISTS one (name TEXT PRIMARY KEY, number INTEGER, bytes BLOB) WITHOUT ROWID;
+     CREATE TABLE IF NOT EXISTS entry (place INTEGER PRIMARY KEY, bytes BLOB NOT NULL);
+     PRAGMA user_version = 1;
+     COMMIT;";
+/// Stores one row of the table `one`.
+const PUT_ROW: &str = "INSERT OR REPLACE INTO one VALUES (?1, ?2, ?3)";
+
+/// The `name` of each row of the table `one`.
+mod row_name {
+    pub(super) const ID: &str = "id";
+    pub(super) const HARD_STATE: &str = "hard";
+    pub(super) const SNAPSHOT: &str = "snapshot";
+    pub(super) const BOOTSTRAP_MEMBERS: &str = "founders";
+}
+
+/// Why a replica's file cannot be used. The message is one line.
+#[derive(Debug, Error)]
+pub enum StorageError {
+    /// The file cannot be opened, read or prepared, for instance because it is no SQLite file.
+    #[error("{}: {source}", path.display())]
+    Open {
+        /// The file.
+        path: PathBuf,
+        /// The failure that SQLite reported.
+        source: rusqlite::Error,
+    },
+    /// The file was written by a newer version of this program.
+    #[error("{}: layout {found} is newer than this program: expected at most {supported}", path.display())]
+    UnsupportedLayout {
+        /// The file.
+        path: PathBuf,
+        /// The layout version of the file.
+        found: i64,
+        /// The newest layout version that this program reads.
+        supported: i64,
+    },
+    /// Operations could not be written. What of them is on disk is unknown.
+    #[error("{0}")]
+    Write(#[source] rusqlite::Error),
+}
+
+/// One row of the table `one`.
+struct StoredRow {
+    /// 0 where the row has no number.
+    number: i64,
+    bytes: Option<Vec<u8>>,
+}
 
-fn text(error: rusqlite::Error) -> String {
-    error.to_string()
+/// The open file of one replica.
+#[derive(Debug)]
+pub struct SqliteStorage {
+    connection: Connection,
 }
 
 impl SqliteStorage {
-    /// Opens a file, or makes it with `id` as the number of its keeper. An error says in one line what is wrong.
-    pub fn open(path: &Path, id: ReplicaId) -> Result<(Self, PersistedState), String> {
-        let at = |what: String| format!("{}: {what}", path.display());
-        let db = Connection::open(path).map_err(text).map_err(at)?;
-        Self::prepared(db, id).map_err(at)
+    /// Opens a file, or creates it with `id` as the id of its replica; a file that exists keeps its own id. Returns what
+    /// the file holds as well.
+    ///
+    /// # Errors
+    /// [`StorageError::Open`] and [`StorageError::UnsupportedLayout`].
+    pub fn open(path: &Path, id: ReplicaId) -> Result<(Self, PersistedState), StorageError> {
+        let open_error = |source| StorageError::Open {
+            path: path.to_path_buf(),
+            source,
+        };
+        let connection = Connection::open(path).map_err(open_error)?;
+        let found = layout_version(&connection).map_err(open_error)?;
+        if found > LAYOUT_VERSION {
+            return Err(StorageError::UnsupportedLayout {
+                path: path.to_path_buf(),
+                found,
+                supported: LAYOUT_VERSION,
+            });
+        }
+        prepare_tables(&connection, id).map_err(open_error)?;
+        let storage = SqliteStorage { connection };
+        let persisted = storage.load().map_err(open_error)?;
+        Ok((storage, persisted))
     }
 
-    fn prepared(db: Connection, id: ReplicaId) -> Result<(Self, PersistedState), String> {
-        db.busy_timeout(BUSY).map_err(text)?;
-        let version: i64 = db
-            .query_row("PRAGMA user_version", [], |row| row.get(0))
-            .map_err(text)?;
-        if version > VERSION {
-            return Err(format!(
-                "layout {version} is newer than this program: expected at most {VERSION}"
-            ));
-        }
-        db.execute_batch(
-            "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;
-             BEGIN IMMEDIATE;
-             CREATE TABLE IF NOT EXISTS one (name TEXT PRIMARY KEY, number INTEGER, bytes BLOB) WITHOUT ROWID;
-             CREATE TABLE IF NOT EXISTS entry (place INTEGER PRIMARY KEY, bytes BLOB NOT NULL);
-             PRAGMA user_version = 1;
-             COMMIT;",
-        )
-        .map_err(text)?;
-        // SQLite's integers are signed: the bits stay as they are.
-        db.execute(
-            "INSERT OR IGNORE INTO one VALUES ('id', ?1, NULL)",
-            [id.0 as i64],
-        )
-        .map_err(text)?;
-        let disk = SqliteStorage(db);
-        let saved = disk.load().map_err(text)?;
-        Ok((disk, saved))
+    /// Applies the operations in their order, in one transaction that is on disk on return.
+    ///
+    /// # Errors
+    /// [`StorageError::Write`]. The state on disk is unknown then, and the replica must not continue.
+    pub fn apply(&mut self, operations: &[StorageOperation]) -> Result<(), StorageError> {
+        self.apply_in_transaction(operations)
+            .map_err(StorageError::Write)
     }
 
-    fn one(&self, name: &str) -> rusqlite::Result<Option<(i64, Option<Vec<u8>>)>> {
-        let read =
-            |row: &rusqlite::Row<'_>| Ok((row.get::<_, Option<i64>>(0)?.unwrap_or(0), row.get(1)?));
-        self.0
-            .query_row(
-                "SELECT number, bytes FROM one WHERE name = ?1",
-                [name],
-                read,
-            )
-            .optional()
+    fn apply_in_transaction(&mut self, operations: &[StorageOperation]) -> rusqlite::Result<()> {
+        let transaction = self
+            .connection
+            .transaction_with_behavior(TransactionBehavior::Immediate)?;
+        for operation in operations {
+            write_operation(&transaction, operation)?;
+        }
+        transaction.commit()
     }
 
     fn load(&self) -> rusqlite::Result<PersistedState> {
-        let id = self.one("id")?.map_or(0, |(number, _)| number as u64);
-        let mut saved = PersistedState::new(ReplicaId(id));
-        saved.hard_state = self.one("hard")?.and_then(|(_, bytes)| bytes);
-        saved.snapshot = self
-            .one("snapshot")?
-            .and_then(|(index, bytes)| Some((index as u64, bytes?)));
-        let founders = self.one("founders")?.and_then(|(_, bytes)| bytes);
-        saved.bootstrap_members = founders.and_then(|bytes| postcard::from_bytes(&bytes).ok());
-        let mut rows = self
-            .0
-            .prepare("SELECT place, bytes FROM entry ORDER BY place")?;
-        let rows = rows.query_map([], |row| Ok((row.get::<_, i64>(0)? as u64, row.get(1)?)))?;
-        saved.entries = rows.collect::<rusqlite::Result<BTreeMap<u64, Vec<u8>>>>()?;
-        Ok(saved)
+        let id = self
+            .load_row(row_name::ID)?
+            .map_or(0, |row| row.number as u64);
+        let mut persisted = PersistedState::new(ReplicaId(id));
+        persisted.hard_state = self
+            .load_row(row_name::HARD_STATE)?
+            .and_then(|row| row.bytes);
+        persisted.snapshot = self
+            .load_row(row_name::SNAPSHOT)?
+            .and_then(encoded_snapshot);
+        persisted.bootstrap_members = self
+            .load_row(row_name::BOOTSTRAP_MEMBERS)?
+            .and_then(|row| row.bytes)
+            .and_then(|bytes| postcard::from_bytes(&bytes).ok());
+        persisted.entries = self.load_entries()?;
+        Ok(persisted)
     }
 
-    /// All of them, in their order, are on disk when it returns; after an error nothing is known, and the keeper must
-    /// not go on.
-    pub fn apply(&mut self, writes: &[StorageOperation]) -> Result<(), String> {
-        self.carry_out(writes).map_err(text)
+    fn load_row(&self, name: &str) -> rusqlite::Result<Option<StoredRow>> {
+        let query = "SELECT number, bytes FROM one WHERE name = ?1";
+        let read = |row: &Row<'_>| {
+            Ok(StoredRow {
+                number: row.get::<_, Option<i64>>(0)?.unwrap_or(0),
+                bytes: row.get(1)?,
+            })
+        };
+        self.connection.query_row(query, [name], read).optional()
     }
 
-    fn carry_out(&mut self, writes: &[StorageOperation]) -> rusqlite::Result<()> {
-        let step = self
-            .0
-            .transaction_with_behavior(rusqlite::TransactionBehavior::Immediate)?;
-        for write in writes {
-            Self::put(&step, write)?;
-        }
-        step.commit()
+    fn load_entries(&self) -> rusqlite::Result<BTreeMap<u64, Vec<u8>>> {
+        let query = "SELECT place, bytes FROM entry ORDER BY place";
+        let mut statement = self.connection.prepare(query)?;
+        let read = |row: &Row<'_>| Ok((row.get::<_, i64>(0)? as u64, row.get(1)?));
+        let entries = statement.query_map([], read)?;
+        entries.collect()
     }
+}
 
-    fn put(step: &rusqlite::Transaction<'_>, write: &StorageOperation) -> rusqlite::Result<()> {
-        let put = "INSERT OR REPLACE INTO one VALUES (?1, ?2, ?3)";
-        if let Some(hard) = &write.hard_state {
-            step.execute(put, params!["hard", 0, hard])?;
-        }
-        if let Some((index, bytes)) = &write.snapshot {
-            step.execute(put, params!["snapshot", *index as i64, bytes])?;
-            step.execute("DELETE FROM entry WHERE place <= ?1", [*index as i64])?;
-        }
-        if let Some(founders) = &write.bootstrap_members {
-            let bytes = postcard::to_allocvec(founders).unwrap_or_default();
-            step.execute(put, params!["founders", 0, bytes])?;
-        }
-        if let Some((first, _)) = write.entries.first() {
-            step.execute("DELETE FROM entry WHERE place >= ?1", [*first as i64])?;
-        }
-        for (index, bytes) in &write.entries {
-            step.execute(
-                "INSERT INTO entry VALUES (?1, ?2)",
-                params![*index as i64, bytes],
-            )?;
-        }
-        Ok(())
+fn encoded_snapshot(row: StoredRow) -> Option<EncodedSnapshot> {
+    Some(EncodedSnapshot {
+        index: row.number as u64,
+        bytes: row.bytes?,
+    })
+}
+
+fn layout_version(connection: &Connection) -> rusqlite::Result<i64> {
+    connection.busy_timeout(BUSY_TIMEOUT)?;
+    connection.query_row("PRAGMA user_version", [], |row| row.get(0))
+}
+
+fn prepare_tables(connection: &Connection, id: ReplicaId) -> rusqlite::Result<()> {
+    connection.execute_batch(CREATE_TABLES)?;
+    // SQLite's integers are signed: the bits of the id are stored unchanged.
+    let insert_id = "INSERT OR IGNORE INTO one VALUES (?1, ?2, NULL)";
+    connection.execute(insert_id, params![row_name::ID, id.0 as i64])?;
+    Ok(())
+}
+
+fn write_operation(
+    transaction: &Transaction<'_>,
+    operation: &StorageOperation,
+) -> rusqlite::Result<()> {
+    if let Some(hard_state) = &operation.hard_state {
+        transaction.execute(PUT_ROW, params![row_name::HARD_STATE, 0, hard_state])?;
+    }
+    if let Some(EncodedSnapshot { index, bytes }) = &operation.snapshot {
+        let index = *index as i64;
+        transaction.execute(PUT_ROW, params![row_name::SNAPSHOT, index, bytes])?;
+        transaction.execute("DELETE FROM entry WHERE place <= ?1", [index])?;
+    }
+    if let Some(members) = &operation.bootstrap_members {
+        let bytes = postcard::to_allocvec(members).unwrap_or_default();
+        transaction.execute(PUT_ROW, params![row_name::BOOTSTRAP_MEMBERS, 0, bytes])?;
+    }
+    if let Some(first) = operation.entries.first() {
+        let first_index = first.index as i64;
+        transaction.execute("DELETE FROM entry WHERE place >= ?1", [first_index])?;
+    }
+    for entry in &operation.entries {
+        let insert = "INSERT INTO entry VALUES (?1, ?2)";
+        transaction.execute(insert, params![entry.index as i64, entry.bytes])?;
     }
+    Ok(())
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,23 +1,43 @@
-//! What a keeper has on disk, and what is written there in one step.
+//! What a replica has on disk, and the operations that change it.
 use crate::ReplicaId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One step on disk: whole or not at all. Writes are carried out in the order of their numbers.
+/// A snapshot as it is stored. Its serialized form is that of the pair of its fields, in this order.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct EncodedSnapshot {
+    /// The index of the last log entry that the snapshot covers.
+    pub index: u64,
+    /// The encoded `eraftpb::Snapshot`.
+    pub bytes: Vec<u8>,
+}
+
+/// A log entry as it is stored.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EncodedEntry {
+    /// The index of the entry in the log.
+    pub index: u64,
+    /// The encoded `eraftpb::Entry`.
+    pub bytes: Vec<u8>,
+}
+
+/// One atomic change of what is stored. Operations are applied in the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StorageOperation {
+    /// The number that [`Replica::handle_stored`](crate::Replica::handle_stored) is called with once this is on disk.
     pub number: u64,
-    /// Term, vote and what is known to be committed.
+    /// The encoded `eraftpb::HardState`: term, vote and commit index.
     pub hard_state: Option<Vec<u8>>,
-    /// Replaces the snapshot, and all entries up to its index.
-    pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Entries by index: they replace all that stand from the first of them on.
-    pub entries: Vec<(u64, Vec<u8>)>,
-    /// The founding set, written once.
+    /// Replaces the snapshot and all entries up to its index.
+    pub snapshot: Option<EncodedSnapshot>,
+    /// Consecutive entries; they replace all stored entries from the index of the first of them on.
+    pub entries: Vec<EncodedEntry>,
+    /// The members that formed the group, stored once.
     pub bootstrap_members: Option<BTreeMap<ReplicaId, String>>,
 }
 
 impl StorageOperation {
+    /// Whether nothing would be stored.
     pub fn is_empty(&self) -> bool {
         *self
             == StorageOperation {
@@ -27,17 +47,23 @@
     }
 }
 
-/// All that a disk holds of a keeper.
+/// Everything that a replica has on disk. The order of the fields is part of the serialized form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
+    /// The id of the store, made with it.
     pub id: ReplicaId,
+    /// The encoded `eraftpb::HardState`, if one was stored.
     pub hard_state: Option<Vec<u8>>,
-    pub snapshot: Option<(u64, Vec<u8>)>,
+    /// The latest snapshot, if one was stored.
+    pub snapshot: Option<EncodedSnapshot>,
+    /// Encoded entries after the snapshot, by index.
     pub entries: BTreeMap<u64, Vec<u8>>,
+    /// The members that formed the group, if this replica was among them.
     pub bootstrap_members: Option<BTreeMap<ReplicaId, String>>,
 }
 
 impl PersistedState {
+    /// A new store that holds nothing but its id.
     pub fn new(id: ReplicaId) -> Self {
         PersistedState {
             id,
@@ -48,21 +74,23 @@
         }
     }
 
-    /// Carries a write out in memory.
-    pub fn apply(&mut self, write: StorageOperation) {
-        if let Some(hard) = write.hard_state {
-            self.hard_state = Some(hard);
+    /// Applies an operation in memory, with the same result as the storage on disk.
+    pub fn apply(&mut self, operation: StorageOperation) {
+        if let Some(hard_state) = operation.hard_state {
+            self.hard_state = Some(hard_state);
         }
-        if let Some((index, bytes)) = write.snapshot {
-            self.entries = self.entries.split_off(&(index + 1));
-            self.snapshot = Some((index, bytes));
+        if let Some(snapshot) = operation.snapshot {
+            self.entries = self.entries.split_off(&(snapshot.index + 1));
+            self.snapshot = Some(snapshot);
         }
-        if let Some((first, _)) = write.entries.first() {
-            self.entries.split_off(first);
-            self.entries.extend(write.entries);
+        if let Some(first) = operation.entries.first() {
+            self.entries.split_off(&first.index);
+            let entries = operation.entries.into_iter();
+            self.entries
+                .extend(entries.map(|entry| (entry.index, entry.bytes)));
         }
-        if write.bootstrap_members.is_some() {
-            self.bootstrap_members = write.bootstrap_members;
+        if operation.bootstrap_members.is_some() {
+            self.bootstrap_members = operation.bootstrap_members;
         }
     }
 }
--- a/crates/consensus/tests/golden_storage.rs
+++ b/crates/consensus/tests/golden_storage.rs
@@ -1,7 +1,8 @@
-//! A registry's file as the versions in use wrote it, opened, read whole, written on and opened again.
+//! The file of a replica as the versions in use wrote it: opened, read completely, written to and opened again.
 use cottondyke_consensus::sqlite::SqliteStorage;
 use cottondyke_consensus::{
-    Effect, PersistedState, Replica, ReplicaId, StateMachine, StorageOperation,
+    Effect, EncodedEntry, EncodedSnapshot, PersistedState, Replica, ReplicaId, StateMachine,
+    StorageOperation,
 };
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
@@ -10,10 +11,10 @@
 
 const FIXTURE: &str = "tests/fixtures/registry.sqlite";
 
-/// Commands in their order.
-struct Log(Vec<u8>);
+/// The bytes of all commands in their order.
+struct CommandLog(Vec<u8>);
 
-impl StateMachine for Log {
+impl StateMachine for CommandLog {
     fn apply(&mut self, command: &[u8]) {
         self.0.extend_from_slice(command);
     }
@@ -28,7 +29,7 @@
     }
 }
 
-/// A copy of the fixture in a folder of its own, which goes with it.
+/// A copy of the fixture in a folder of its own, removed with it.
 struct Copy(PathBuf);
 
 impl Copy {
@@ -44,7 +45,7 @@
         self.0.join("registry.db")
     }
 
-    /// The number given is not taken where the file has one.
+    /// The id given is not taken: the file has one.
     fn open(&self) -> (SqliteStorage, PersistedState) {
         SqliteStorage::open(&self.file(), ReplicaId(99)).unwrap()
     }
@@ -56,50 +57,58 @@
     }
 }
 
-fn founders() -> BTreeMap<ReplicaId, String> {
+fn bootstrap_members() -> BTreeMap<ReplicaId, String> {
     BTreeMap::from([(ReplicaId(u64::MAX - 1), "alone".to_string())])
 }
 
+fn snapshot(index: u64, bytes: Vec<u8>) -> EncodedSnapshot {
+    EncodedSnapshot { index, bytes }
+}
+
+fn entry(index: u64, bytes: Vec<u8>) -> EncodedEntry {
+    EncodedEntry { index, bytes }
+}
+
 /// Writes at once what is to be stored.
-fn carry(keeper: &mut Replica<Log>, disk: &mut SqliteStorage, effects: Vec<Effect>) {
+fn perform(replica: &mut Replica<CommandLog>, storage: &mut SqliteStorage, effects: Vec<Effect>) {
     for effect in effects {
-        if let Effect::Store(write) = effect {
-            disk.apply(std::slice::from_ref(&write)).unwrap();
-            let more = keeper.handle_stored(write.number);
-            carry(keeper, disk, more);
+        if let Effect::Store(operation) = effect {
+            storage.apply(std::slice::from_ref(&operation)).unwrap();
+            let more = replica.handle_stored(operation.number);
+            perform(replica, storage, more);
         }
     }
 }
 
-fn leading(saved: &PersistedState, disk: &mut SqliteStorage) -> Replica<Log> {
-    let mut keeper = Replica::open(saved, Log(Vec::new()), 7).unwrap();
+fn open_leader(persisted: &PersistedState, storage: &mut SqliteStorage) -> Replica<CommandLog> {
+    let mut replica = Replica::open(persisted, CommandLog(Vec::new()), 7).unwrap();
     for _ in 0..100 {
-        let effects = keeper.tick();
-        carry(&mut keeper, disk, effects);
+        let effects = replica.tick();
+        perform(&mut replica, storage, effects);
     }
-    assert!(keeper.is_leader());
-    keeper
+    assert!(replica.is_leader());
+    replica
 }
 
 #[test]
 fn loads_every_field_when_an_older_build_wrote_the_file() {
     let copy = Copy::new("fields");
-    let (_disk, saved) = copy.open();
-    assert!(saved.id == ReplicaId(u64::MAX - 1));
-    assert!(saved.bootstrap_members == Some(founders()));
-    let hard = HardState::parse_from_bytes(&saved.hard_state.unwrap()).unwrap();
+    let (_storage, persisted) = copy.open();
+    assert!(persisted.id == ReplicaId(u64::MAX - 1));
+    assert!(persisted.bootstrap_members == Some(bootstrap_members()));
+    let hard = HardState::parse_from_bytes(&persisted.hard_state.unwrap()).unwrap();
     assert_eq!((hard.term, hard.vote, hard.commit), (2, u64::MAX - 1, 4));
-    let (index, snapshot) = saved.snapshot.unwrap();
-    let snapshot = Snapshot::parse_from_bytes(&snapshot).unwrap();
+    let EncodedSnapshot { index, bytes } = persisted.snapshot.unwrap();
+    let snapshot = Snapshot::parse_from_bytes(&bytes).unwrap();
     let meta = snapshot.get_metadata();
     assert_eq!((index, meta.index, meta.term), (1, 1, 1));
     let conf = meta.get_conf_state();
     assert_eq!(conf.voters, [u64::MAX - 1]);
     assert!(conf.learners.is_empty() && conf.voters_outgoing.is_empty());
-    // The image: one number with its name, then the state.
-    let image = b"\x01\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01\x05alone\x04seed";
-    assert_eq!(snapshot.data[..], image[..]);
-    let entries = saved.entries.iter().map(|(index, bytes)| {
+    // The contents of the snapshot: one id with its name, then the state.
+    let contents = b"\x01\xfe\xff\xff\xff\xff\xff\xff\xff\xff\x01\x05alone\x04seed";
+    assert_eq!(snapshot.data[..], contents[..]);
+    let entries = persisted.entries.iter().map(|(index, bytes)| {
         let entry = Entry::parse_from_bytes(bytes).unwrap();
         assert!(entry.index == *index && entry.get_entry_type() == EntryType::EntryNormal);
         (entry.index, entry.term, entry.data.to_vec())
@@ -113,45 +122,51 @@
 }
 
 #[test]
-fn a_keeper_goes_on_when_an_older_build_wrote_the_file() {
+fn resumes_the_replica_when_an_older_build_wrote_the_file() {
     let copy = Copy::new("keeper");
-    let (mut disk, saved) = copy.open();
-    let mut keeper = leading(&saved, &mut disk);
-    assert!(keeper.member_names() == &founders() && keeper.bootstrap_members() == &founders());
-    assert!(keeper.id() == ReplicaId(u64::MAX - 1) && keeper.voters() == [keeper.id()]);
-    assert_eq!(keeper.state.0, b"seed-one-two");
-    let effects = keeper.propose(b"-three".to_vec()).unwrap();
-    carry(&mut keeper, &mut disk, effects);
-    assert_eq!(keeper.state.0, b"seed-one-two-three");
-    drop((keeper, disk));
-    let (mut disk, saved) = copy.open();
-    assert_eq!(leading(&saved, &mut disk).state.0, b"seed-one-two-three");
+    let (mut storage, persisted) = copy.open();
+    let mut replica = open_leader(&persisted, &mut storage);
+    assert!(
+        replica.member_names() == &bootstrap_members()
+            && replica.bootstrap_members() == &bootstrap_members()
+    );
+    assert!(replica.id() == ReplicaId(u64::MAX - 1) && replica.voters() == [replica.id()]);
+    assert_eq!(replica.state.0, b"seed-one-two");
+    let effects = replica.propose(b"-three".to_vec()).unwrap();
+    perform(&mut replica, &mut storage, effects);
+    assert_eq!(replica.state.0, b"seed-one-two-three");
+    drop((replica, storage));
+    let (mut storage, persisted) = copy.open();
+    assert_eq!(
+        open_leader(&persisted, &mut storage).state.0,
+        b"seed-one-two-three"
+    );
 }
 
 #[test]
 fn keeps_what_is_written_when_the_file_is_opened_again() {
     let copy = Copy::new("again");
-    let (mut disk, mut saved) = copy.open();
-    let write = StorageOperation {
+    let (mut storage, mut persisted) = copy.open();
+    let operation = StorageOperation {
         number: 1,
         hard_state: Some(vec![8, 9]),
-        snapshot: Some((2, vec![1, 2, 3])),
-        entries: vec![(4, vec![4]), (5, vec![5])],
+        snapshot: Some(snapshot(2, vec![1, 2, 3])),
+        entries: vec![entry(4, vec![4]), entry(5, vec![5])],
         bootstrap_members: Some(BTreeMap::from([(ReplicaId(3), "c".to_string())])),
     };
-    disk.apply(std::slice::from_ref(&write)).unwrap();
-    drop(disk);
-    let third = saved.entries[&3].clone();
-    let (_disk, again) = copy.open();
-    assert!(again.id == saved.id && again.hard_state == Some(vec![8, 9]));
+    storage.apply(std::slice::from_ref(&operation)).unwrap();
+    drop(storage);
+    let third = persisted.entries[&3].clone();
+    let (_storage, again) = copy.open();
+    assert!(again.id == persisted.id && again.hard_state == Some(vec![8, 9]));
     assert!(
-        again.snapshot == Some((2, vec![1, 2, 3]))
-            && again.bootstrap_members == write.bootstrap_members
+        again.snapshot == Some(snapshot(2, vec![1, 2, 3]))
+            && again.bootstrap_members == operation.bootstrap_members
     );
     let entries = [(3, third), (4, vec![4]), (5, vec![5])];
     assert!(again.entries == BTreeMap::from(entries));
-    saved.apply(write);
-    assert!(saved == again);
+    persisted.apply(operation);
+    assert!(persisted == again);
 }
 
 #[test]
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -1,12 +1,14 @@
-//! Keepers that speak in memory, each with a disk that is written at once unless a test holds it back.
-use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, StateMachine};
+//! Replicas that exchange messages in memory, each with a storage that is written at once.
+use cottondyke_consensus::{
+    Effect, EncodedSnapshot, OpenError, PersistedState, Replica, ReplicaId, StateMachine,
+};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Commands in their order.
+/// The bytes of all commands in their order.
 #[derive(Debug, Default, Clone, PartialEq)]
-struct Log(Vec<u8>);
+struct CommandLog(Vec<u8>);
 
-impl StateMachine for Log {
+impl StateMachine for CommandLog {
     fn apply(&mut self, command: &[u8]) {
         self.0.extend_from_slice(command);
     }
@@ -21,12 +23,13 @@
     }
 }
 
+/// A replica's group with its storages and network.
 #[derive(Default)]
-struct Few {
-    keepers: BTreeMap<ReplicaId, Replica<Log>>,
-    disks: BTreeMap<ReplicaId, PersistedState>,
-    words: VecDeque<(ReplicaId, Vec<u8>)>,
-    confirmed: Vec<(ReplicaId, u64)>,
+struct Group {
+    replicas: BTreeMap<ReplicaId, Replica<CommandLog>>,
+    storages: BTreeMap<ReplicaId, PersistedState>,
+    messages: VecDeque<(ReplicaId, Vec<u8>)>,
+    confirmed_reads: Vec<(ReplicaId, u64)>,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -35,221 +38,181 @@
     NAMES.map(String::from).to_vec()
 }
 
-impl Few {
-    fn founded() -> Self {
-        let set: BTreeMap<ReplicaId, String> = (1..).map(ReplicaId).zip(names()).collect();
-        let mut few = Few::default();
-        for id in set.keys() {
-            let mut saved = PersistedState::new(*id);
-            saved.apply(Replica::bootstrap_operation(&set, &Log::default()));
-            few.disks.insert(*id, saved);
-            few.open(*id);
+impl Group {
+    fn bootstrapped() -> Self {
+        let members: BTreeMap<ReplicaId, String> = (1..).map(ReplicaId).zip(names()).collect();
+        let mut group = Group::default();
+        for id in members.keys() {
+            let mut persisted = PersistedState::new(*id);
+            persisted.apply(Replica::bootstrap_operation(
+                &members,
+                &CommandLog::default(),
+            ));
+            group.storages.insert(*id, persisted);
+            group.open(*id);
         }
-        few
+        group
     }
 
     fn open(&mut self, id: ReplicaId) {
-        let saved = self.disks.entry(id).or_insert(PersistedState::new(id));
-        self.keepers
-            .insert(id, Replica::open(saved, Log::default(), 7).unwrap());
+        let persisted = self.storages.entry(id).or_insert(PersistedState::new(id));
+        let replica = Replica::open(persisted, CommandLog::default(), 7).unwrap();
+        self.replicas.insert(id, replica);
     }
 
-    fn carry(&mut self, id: ReplicaId, effects: Vec<Effect>) {
+    fn perform(&mut self, id: ReplicaId, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Send { to, bytes } => self.words.push_back((to, bytes)),
-                Effect::Store(write) => {
-                    let number = write.number;
-                    self.disks.get_mut(&id).unwrap().apply(write);
-                    let more = self.keepers.get_mut(&id).unwrap().handle_stored(number);
-                    self.carry(id, more);
+                Effect::Send { to, bytes } => self.messages.push_back((to, bytes)),
+                Effect::Store(operation) => {
+                    let number = operation.number;
+                    self.storages.get_mut(&id).unwrap().apply(operation);
+                    let more = self.replicas.get_mut(&id).unwrap().handle_stored(number);
+                    self.perform(id, more);
                 }
-                Effect::ReadIndexConfirmed(number) => self.confirmed.push((id, number)),
-                Effect::LeadershipChanged(_) | Effect::Applied => {}
+                Effect::ReadIndexConfirmed(number) => self.confirmed_reads.push((id, number)),
+                Effect::LeadershipChanged { .. } | Effect::Applied => {}
             }
         }
     }
 
-    fn ticks(&mut self, count: usize) {
+    fn run_ticks(&mut self, count: usize) {
         for _ in 0..count {
-            for id in self.keepers.keys().copied().collect::<Vec<_>>() {
-                let keeper = self.keepers.get_mut(&id).unwrap();
-                let mut effects = keeper.tick();
-                effects.extend(keeper.reconcile_members(&names()));
-                for to in keeper.pending_snapshots() {
-                    keeper.report_snapshot(to, true);
+            for id in self.replicas.keys().copied().collect::<Vec<_>>() {
+                let replica = self.replicas.get_mut(&id).unwrap();
+                let mut effects = replica.tick();
+                effects.extend(replica.reconcile_members(&names()));
+                for to in replica.pending_snapshots() {
+                    replica.report_snapshot_delivered(to);
                 }
-                self.carry(id, effects);
+                self.perform(id, effects);
             }
-            while let Some((to, bytes)) = self.words.pop_front() {
-                if let Some(keeper) = self.keepers.get_mut(&to) {
-                    let effects = keeper.handle_message(&bytes);
-                    self.carry(to, effects);
+            while let Some((to, bytes)) = self.messages.pop_front() {
+                if let Some(replica) = self.replicas.get_mut(&to) {
+                    let effects = replica.handle_message(&bytes);
+                    self.perform(to, effects);
                 }
             }
         }
     }
 
     fn leader(&self) -> ReplicaId {
-        *self
-            .keepers
-            .iter()
-            .find(|(_, keeper)| keeper.is_leader())
-            .expect("one leads")
-            .0
+        let mut replicas = self.replicas.iter();
+        let leader = replicas.find(|(_, replica)| replica.is_leader());
+        *leader.expect("one leads").0
     }
 
     fn propose(&mut self, command: &[u8]) {
         let leader = self.leader();
-        let effects = self
-            .keepers
-            .get_mut(&leader)
-            .unwrap()
-            .propose(command.to_vec())
-            .unwrap();
-        self.carry(leader, effects);
+        let replica = self.replicas.get_mut(&leader).unwrap();
+        let effects = replica.propose(command.to_vec()).unwrap();
+        self.perform(leader, effects);
     }
 }
 
-/// Guards the registry's majority: a keeper whose disk is lost is replaced under a new number and votes again, so that
-/// another may be lost after it. It was a learner for ever once, since no snapshot held it.
+/// Guards the group's majority: a replica whose disk is lost is replaced under a new id and votes again, so that another
+/// may be lost after it. It stayed a learner for ever once, since no snapshot held it.
 #[test]
-fn a_keeper_that_lost_its_disk_takes_its_former_place() {
-    let mut few = Few::founded();
-    few.ticks(60);
-    few.propose(b"1");
-    few.ticks(4);
+fn promotes_a_replica_that_lost_its_disk_when_it_has_caught_up() {
+    let mut group = Group::bootstrapped();
+    group.run_ticks(60);
+    group.propose(b"1");
+    group.run_ticks(4);
     for (old, new) in [(1, 11), (2, 12), (3, 13)] {
         let (old, new) = (ReplicaId(old), ReplicaId(new));
-        few.keepers.remove(&old);
-        few.ticks(60);
-        few.open(new);
+        group.replicas.remove(&old);
+        group.run_ticks(60);
+        group.open(new);
         for _ in 0..8 {
-            let leader = few.leader();
+            let leader = group.leader();
             let name = NAMES[old.0 as usize - 1];
-            let effects = few
-                .keepers
-                .get_mut(&leader)
-                .unwrap()
-                .add_learner(new, name, &names());
-            few.carry(leader, effects);
-            few.ticks(12);
+            let replica = group.replicas.get_mut(&leader).unwrap();
+            let effects = replica.add_learner(new, name, &names());
+            group.perform(leader, effects);
+            group.run_ticks(12);
         }
-        few.propose(b"x");
-        few.ticks(4);
-        let keeper = &few.keepers[&new];
+        group.propose(b"x");
+        group.run_ticks(4);
+        let voters = group.replicas[&new].voters();
         assert!(
-            keeper.voters().contains(&new) && !keeper.voters().contains(&old),
-            "{:?}",
-            keeper.voters()
+            voters.contains(&new) && !voters.contains(&old),
+            "{voters:?}"
         );
-        assert_eq!(keeper.voters().len(), 3);
+        assert_eq!(voters.len(), 3);
     }
-    assert_eq!(few.keepers[&ReplicaId(13)].state.0, b"1xxx");
+    assert_eq!(group.replicas[&ReplicaId(13)].state.0, b"1xxx");
 }
 
-/// Guards what was agreed: a keeper started again knows it, from a snapshot and the entries after it.
+/// Guards what was committed: a replica that is opened again has it, from a snapshot and the entries after it.
 #[test]
-fn a_keeper_started_again_knows_what_was_agreed() {
-    let mut few = Few::founded();
-    few.ticks(60);
+fn recovers_all_committed_commands_when_opened_again() {
+    let mut group = Group::bootstrapped();
+    group.run_ticks(60);
     for number in 0..1_200u32 {
-        few.propose(&[number as u8]);
-        few.ticks(1);
+        group.propose(&[number as u8]);
+        group.run_ticks(1);
     }
-    few.ticks(10);
-    let leader = few.leader();
-    let known = few.keepers[&leader].state.clone();
-    assert_eq!(known.0.len(), 1_200);
-    assert!(
-        few.disks[&leader].entries.len() < 600,
-        "{}",
-        few.disks[&leader].entries.len()
-    );
+    group.run_ticks(10);
+    let leader = group.leader();
+    let committed = group.replicas[&leader].state.clone();
+    assert_eq!(committed.0.len(), 1_200);
+    let stored_entries = group.storages[&leader].entries.len();
+    assert!(stored_entries < 600, "{stored_entries}");
     for id in [1, 2, 3].map(ReplicaId) {
-        few.open(id);
+        group.open(id);
     }
-    few.ticks(60);
-    assert!(few.keepers.values().all(|keeper| keeper.state == known));
+    group.run_ticks(60);
+    let mut replicas = group.replicas.values();
+    assert!(replicas.all(|replica| replica.state == committed));
 }
 
-/// Guards the granter: a leader that a majority does not hear is not confirmed, one that it hears is.
+/// Guards the lease manager: a leader that reaches no majority is not confirmed, one that reaches it is.
 #[test]
-fn only_a_leader_that_is_heard_is_confirmed() {
-    let mut few = Few::founded();
-    few.ticks(60);
-    let leader = few.leader();
-    let effects = few.keepers.get_mut(&leader).unwrap().read_index(5);
-    few.carry(leader, effects);
-    few.ticks(2);
-    assert_eq!(few.confirmed, [(leader, 5)]);
-    let others: Vec<ReplicaId> = few
-        .keepers
-        .keys()
-        .copied()
-        .filter(|id| *id != leader)
-        .collect();
-    for other in others {
-        few.keepers.remove(&other);
-    }
-    let effects = few.keepers.get_mut(&leader).unwrap().read_index(6);
-    few.carry(leader, effects);
-    few.ticks(60);
-    assert_eq!(few.confirmed, [(leader, 5)]);
-    assert!(!few.keepers[&leader].is_leader());
+fn confirms_reads_only_when_a_majority_is_reached() {
+    let mut group = Group::bootstrapped();
+    group.run_ticks(60);
+    let leader = group.leader();
+    let effects = group.replicas.get_mut(&leader).unwrap().read_index(5);
+    group.perform(leader, effects);
+    group.run_ticks(2);
+    assert_eq!(group.confirmed_reads, [(leader, 5)]);
+    group.replicas.retain(|id, _| *id == leader);
+    let effects = group.replicas.get_mut(&leader).unwrap().read_index(6);
+    group.perform(leader, effects);
+    group.run_ticks(60);
+    assert_eq!(group.confirmed_reads, [(leader, 5)]);
+    assert!(!group.replicas[&leader].is_leader());
 }
 
-/// Guards what a keeper said: all that was written is read again, in order, and a newer layout is refused in words.
+/// Guards the line that is printed when a replica's file holds what this program did not write.
 #[test]
-fn the_disk_holds_what_was_written() {
-    use cottondyke_consensus::{sqlite::SqliteStorage, StorageOperation};
-    let folder = std::env::temp_dir().join(format!("cottondyke-registry-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let path = folder.join("registry.db");
-    let id = ReplicaId(u64::MAX - 5);
-    let entry = |index: u64| (index, vec![index as u8; 3]);
-    let writes = [
-        StorageOperation {
-            number: 1,
-            hard_state: Some(vec![1]),
-            entries: (2..10).map(entry).collect(),
-            ..StorageOperation::default()
-        },
-        StorageOperation {
-            number: 2,
-            hard_state: Some(vec![2]),
-            entries: (6..8).map(entry).collect(),
-            ..StorageOperation::default()
-        },
-        StorageOperation {
-            number: 3,
-            snapshot: Some((4, vec![9; 9])),
-            bootstrap_members: Some([(id, "a".into())].into()),
-            ..StorageOperation::default()
-        },
-    ];
-    let (mut disk, empty) = SqliteStorage::open(&path, id).unwrap();
-    assert_eq!(empty, PersistedState::new(id));
-    let mut expected = PersistedState::new(id);
-    disk.apply(&writes[..2]).unwrap();
-    disk.apply(&writes[2..]).unwrap();
-    writes.into_iter().for_each(|write| expected.apply(write));
-    drop(disk);
-    // Another number is offered: the one of the store stays.
-    let (disk, saved) = SqliteStorage::open(&path, ReplicaId(1)).unwrap();
-    assert_eq!(saved, expected);
-    assert_eq!(saved.entries.keys().copied().collect::<Vec<_>>(), [5, 6, 7]);
-    drop(disk);
-    rusqlite::Connection::open(&path)
-        .unwrap()
-        .execute_batch("PRAGMA user_version = 9")
-        .unwrap();
-    let wrong = SqliteStorage::open(&path, id).unwrap_err();
-    assert!(
-        wrong.contains("layout 9 is newer") && wrong.contains("registry.db"),
-        "{wrong}"
-    );
-    std::fs::write(&path, [7; 9_000]).unwrap();
-    assert!(SqliteStorage::open(&path, id).is_err());
-    std::fs::remove_dir_all(&folder).unwrap();
+fn reports_what_cannot_be_decoded_when_opened() {
+    let open_error = |persisted: &PersistedState| {
+        let opened = Replica::open(persisted, CommandLog::default(), 7);
+        opened.err().expect("cannot be opened")
+    };
+    let mut persisted = PersistedState::new(ReplicaId(1));
+    persisted.hard_state = Some(vec![0xff]);
+    let error = open_error(&persisted);
+    assert!(matches!(error, OpenError::Log(_)));
+    let line = error.to_string();
+    let prefix = "the keeper's log cannot be read: ";
+    assert!(line.starts_with(prefix), "{line}");
+
+    let members = BTreeMap::from([(ReplicaId(1), "a".to_string())]);
+    let operation = Replica::bootstrap_operation(&members, &CommandLog::default());
+    let mut snapshot = operation.snapshot.unwrap();
+    // The snapshot's data comes first: its tag, its length, and the number of members.
+    assert_eq!(snapshot.bytes[2], 1);
+    snapshot.bytes[2] = 9;
+    persisted.hard_state = None;
+    persisted.snapshot = Some(EncodedSnapshot {
+        index: 1,
+        bytes: snapshot.bytes,
+    });
+    let error = open_error(&persisted);
+    assert!(matches!(error, OpenError::Snapshot(_)));
+    let line = error.to_string();
+    let prefix = "the keeper's snapshot cannot be read: ";
+    assert!(line.starts_with(prefix), "{line}");
 }
--- a/crates/server/src/cluster/data_dir.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -70,6 +70,7 @@
     /// The registry's file, and what it holds.
     pub fn registry(&self) -> Result<(SqliteStorage, PersistedState), String> {
         SqliteStorage::open(&self.folder.join("registry.db"), ReplicaId(draw() | 1))
+            .map_err(|error| error.to_string())
     }
 }
 
@@ -97,7 +98,10 @@
                     let rest = std::iter::from_fn(|| writes.try_recv().ok()).take(AT_ONCE - 1);
                     let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
                     let number = batch.last().map_or(0, |write| write.number);
-                    let result = disk.apply(&batch).map(|()| number);
+                    let result = disk
+                        .apply(&batch)
+                        .map(|()| number)
+                        .map_err(|error| error.to_string());
                     let failed = result.is_err();
                     if told.send_blocking(result).is_err() || failed {
                         return;
