--- a/crates/dependency/src/aggregator.rs
+++ b/crates/dependency/src/aggregator.rs
@@ -1,10 +1,14 @@
 //! Composes pages: one run for each started req, with a step in hand for each of its parts. Every call that goes
 //! out ends once, by `ended` or by being given up without listening; every run ends once, by `Action::Ended`.
-use crate::circuit_breaker::CircuitState;
 use crate::gate::{CallSignal, DependencyGate, Permit};
-use crate::plan::{Dependency, Fallback, PartSpec, Plan, SendTimestamp, RESERVE};
+use crate::lease::SendTimestamp;
+use crate::messages::{
+    Action, AggregationRequest, AggregationResult, CallId, CallResult, DependencyUsage, PartResult,
+    PartSource,
+};
+use crate::plan::{Fallback, PartSpec, Plan, RESERVE};
 use crate::stale_cache::{Key, StaleCache};
-use cottondyke_types::{RequestId, TenantId, Time};
+use cottondyke_types::{RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -13,109 +17,6 @@
 /// Calls that one step makes, the first among them.
 const TRIES: u32 = 3;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-
-/// A req that starts as a page.
-#[derive(Clone, Debug)]
-pub struct AggregationRequest {
-    pub request: RequestId,
-    /// The page's place in the plan.
-    pub aggregation: usize,
-    pub body: Rc<[u8]>,
-    pub tenant: Option<TenantId>,
-    pub target: Time,
-    pub deadline: Time,
-    /// Whether its calls may run again though they may have run.
-    pub may_repeat: bool,
-}
-
-/// How a call ended.
-#[derive(Clone, Debug, PartialEq)]
-pub enum CallResult {
-    Success(Rc<[u8]>),
-    /// Ended with an error or a reply of no use; it may have had its effect and goes on no longer.
-    Failure,
-    /// The dependency does not want this request: it says nothing of its state.
-    InvalidRequest,
-    /// Known not to have run.
-    Rejected,
-    /// It may have run and may go on.
-    TimedOut,
-    /// A connection that was used before broke before any reply.
-    StaleConnection,
-    /// Known not to have run: the share that it was to use was over before it went out.
-    LeaseExpired,
-}
-
-/// What a part of an answer is.
-#[derive(Clone, Debug, PartialEq)]
-pub enum PartSource {
-    Primary,
-    /// An earlier answer, and its age.
-    Cached(Time),
-    /// From the dependency of this name.
-    Secondary(Rc<str>),
-    Default,
-    Missing,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct PartResult {
-    pub name: Rc<str>,
-    pub source: PartSource,
-    pub body: Option<Rc<[u8]>>,
-    /// Whether the body is JSON; else it is text.
-    pub json: bool,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum AggregationResult {
-    /// Every part that is required is there.
-    Parts(Vec<PartResult>),
-    /// A part that is required is missing.
-    Failed,
-    Cancelled,
-}
-
-/// What to do after an input, in this order.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Make a call with the body of the run's req. Unless `reuse`, on a connection of its own.
-    Call {
-        call: CallId,
-        run: RequestId,
-        to: Rc<Dependency>,
-        body: Rc<[u8]>,
-        within: Time,
-        reuse: bool,
-        /// To be told when its first byte goes out.
-        stamp: Rc<SendTimestamp>,
-    },
-    /// Stop waiting for a call. Listen to it for so long, and tell its end; if that is no time, close its
-    /// connection and tell nothing.
-    Abandon { call: CallId, listen: Time },
-    Completed {
-        run: RequestId,
-        answer: AggregationResult,
-    },
-    GateChanged {
-        dependency: Rc<str>,
-        stage: CircuitState,
-        limit: usize,
-    },
-}
-
-/// What is used of a dependency, and could be.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DependencyUsage {
-    pub dependency: Rc<str>,
-    /// Of its rate, or of the calls in hand.
-    pub rate: bool,
-    pub in_flight: usize,
-    pub needed: usize,
-}
-
 type GateId = usize;
 
 #[derive(Debug)]
@@ -606,7 +507,7 @@
             let to = to.map_or(gate.spec.clone(), |at| {
                 run.force.plan.dependencies[at].clone()
             });
-            let stamp = Rc::new(SendTimestamp::new(&to));
+            let stamp = Rc::new(to.issue_timestamp());
             if gate.sent(now, probe, &stamp) {
                 out.push(gate_changed(gate));
             }
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -1,11 +1,12 @@
 //! What stands between pages and one dependency. Calls in hand, those given up that may go on, and after a start
 //! those that this instance's former life may have left, all count as held; held calls never pass the limit, and
 //! the limit never passes the share.
-use crate::aggregator::CallId;
 use crate::circuit_breaker::{CircuitBreaker, CircuitState, Pass};
 use crate::concurrency_limiter::ConcurrencyLimiter;
 use crate::latency::LatencyTracker;
-use crate::plan::{Dependency, Safeguards, SendTimestamp};
+use crate::lease::SendTimestamp;
+use crate::messages::CallId;
+use crate::plan::{Dependency, Safeguards};
 use crate::retry_budget::RetryBudget;
 use cottondyke_types::{RequestId, Time};
 use std::collections::VecDeque;
@@ -65,7 +66,7 @@
 /// Calls that a former life may have sent just now.
 fn blank(now: Time, of: &Dependency, calls: usize) -> Vec<Rc<SendTimestamp>> {
     let stamp = || {
-        let stamp = Rc::new(SendTimestamp::new(of));
+        let stamp = Rc::new(of.issue_timestamp());
         stamp.record_send(now);
         stamp
     };
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -17,15 +17,16 @@
 pub mod concurrency_limiter;
 pub mod gate;
 pub mod latency;
+pub mod lease;
+mod messages;
 pub mod plan;
 pub mod retry_budget;
 pub mod stale_cache;
 
-pub use aggregator::{
-    Action, AggregationRequest, AggregationResult, Aggregator, CallId, CallResult, DependencyUsage,
+pub use aggregator::Aggregator;
+pub use lease::{LeasedQuota, SendTimestamp, RATE_WINDOW};
+pub use messages::{
+    Action, AggregationRequest, AggregationResult, CallId, CallResult, DependencyUsage, PartId,
     PartResult, PartSource,
 };
-pub use plan::{
-    Aggregation, Dependency, Fallback, LeasedQuota, PartSpec, Plan, Safeguards, SendTimestamp,
-    RATE_WINDOW, RESERVE,
-};
+pub use plan::{Aggregation, Dependency, Fallback, PartSpec, Plan, Safeguards, RESERVE};
--- a/crates/dependency/src/plan.rs
+++ b/crates/dependency/src/plan.rs
@@ -1,191 +1,124 @@
-//! What the operator's file says of dependencies and pages, checked and typed.
+//! The operator's configuration of dependencies and aggregations, validated and typed.
+use crate::lease::{LeaseTerms, LeasedQuota, SendTimestamp};
 use cottondyke_types::Time;
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Kept back of the time left, for composing an answer and sending it.
+/// Part of the time left that is set aside for composing the answer and sending it.
 pub const RESERVE: Time = Time(100);
 
-/// How long a call counts for a rate from when it was sent: a second, and what the way to the dependency may take longer
-/// for one call than for another.
-pub const RATE_WINDOW: Time = Time(12_500);
-
-/// When a call was sent. From when it is let out until then it counts for a rate all the time: connecting may take long,
-/// and so may a stop of the process.
-#[derive(Debug)]
-pub struct SendTimestamp {
-    at: Cell<Time>,
-    /// The terms of its shares under which it was let out.
-    terms: [u32; 2],
-}
-
-impl SendTimestamp {
-    /// A call of this dependency is let out.
-    pub fn new(of: &Dependency) -> Self {
-        SendTimestamp {
-            at: Cell::new(Time::MAX),
-            terms: of.terms(),
-        }
-    }
-
-    /// Its first byte goes out.
-    pub fn record_send(&self, now: Time) {
-        self.at.set(now);
-    }
-
-    /// It ended; one that was never sent counts no longer.
-    pub fn finish(&self) {
-        if self.at.get() == Time::MAX {
-            self.at.set(Time(i64::MIN / 4));
-        }
-    }
-
-    /// Until when it counts.
-    pub fn counted_until(&self) -> Time {
-        self.at.get() + RATE_WINDOW
-    }
-}
-
-/// One and the same call.
-impl PartialEq for SendTimestamp {
-    fn eq(&self, other: &SendTimestamp) -> bool {
-        std::ptr::eq(self, other)
-    }
-}
-
-/// A share that was lent and may change or end at any moment. Whoever lends sets it; the gate looks at it again
-/// before each call.
-#[derive(Debug)]
-pub struct LeasedQuota {
-    units: Cell<usize>,
-    until: Cell<Time>,
-    /// Grows where it was over and is in force again: others may have had its units between.
-    term: Cell<u32>,
-}
-
-impl Default for LeasedQuota {
-    fn default() -> Self {
-        LeasedQuota {
-            units: Cell::new(0),
-            until: Cell::new(Time(i64::MIN)),
-            term: Cell::new(0),
-        }
-    }
-}
-
-impl LeasedQuota {
-    pub fn renew(&self, now: Time, units: usize, until: Time) {
-        if self.until.get() <= now && until > now {
-            self.term.set(self.term.get().wrapping_add(1));
-        }
-        self.units.set(units);
-        self.until.set(until);
-    }
-
-    pub fn units(&self, now: Time) -> usize {
-        if now < self.until.get() {
-            self.units.get()
-        } else {
-            0
-        }
-    }
-}
-
-/// One and the same share, whatever it is worth now.
-impl PartialEq for LeasedQuota {
-    fn eq(&self, other: &LeasedQuota) -> bool {
-        std::ptr::eq(self, other)
-    }
-}
-
-impl Dependency {
-    fn terms(&self) -> [u32; 2] {
-        [&self.leased_calls, &self.leased_rate]
-            .map(|lent| lent.as_ref().map_or(0, |lent| lent.term.get()))
-    }
-
-    /// Whether a call that was let out may be sent now: its shares are in force, and were all the time since. A process
-    /// may be stopped between, and have a new share when it wakes that is smaller than what it let out under the old one.
-    pub fn may_send(&self, stamp: &SendTimestamp, now: Time) -> bool {
-        let lasts = |lent: &Option<Rc<LeasedQuota>>| {
-            lent.as_ref().is_none_or(|lent| now < lent.until.get())
-        };
-        lasts(&self.leased_calls) && lasts(&self.leased_rate) && stamp.terms == self.terms()
-    }
-}
-
-/// A service that parts of pages are asked of.
+/// A service that answers parts of aggregations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dependency {
+    /// The operator's name for it, unique in the plan.
     pub name: Rc<str>,
+    /// Where it listens.
     pub addr: SocketAddr,
-    /// Path of the requests, which are POSTs of the req's body.
+    /// Path of the calls, which are POSTs of the request's body.
     pub path: Rc<str>,
-    /// Whether replies must be JSON; one that is not is spoilt.
+    /// Whether replies must be JSON; any other reply counts as a failure.
     pub json: bool,
     /// The longest that one step of a part may wait for it.
     pub time_budget: Time,
-    /// Calls that this instance may hold there, those given up among them while they may go on. At least 1.
+    /// Calls that this instance may have in flight there, including abandoned calls that may still be running.
+    /// At least 1.
     pub max_calls: usize,
-    /// What bounds the calls within `share`, where the share is lent and not fixed.
+    /// The lease that bounds calls in flight within `max_calls`, where the quota is leased and not fixed.
     pub leased_calls: Option<Rc<LeasedQuota>>,
-    /// Calls a second that this instance may send, and what bounds them within that, where the share is lent.
+    /// Calls that this instance may send in any second; `None` for no limit.
     pub max_rate: Option<usize>,
+    /// The lease that bounds the rate within `max_rate`, where the quota is leased and not fixed.
     pub leased_rate: Option<Rc<LeasedQuota>>,
-    /// Calls that the limit never goes under; at most `share`.
+    /// The adaptive limit never falls below this number of calls; at most `max_calls`.
     pub min_limit: usize,
-    /// How long a call that was given up may go on at the dependency.
+    /// How long an abandoned call may go on running at the dependency.
     pub post_cancel_grace: Time,
     /// Parts that may wait for a free call.
     pub max_waiting: usize,
-    /// Extra calls (hedges and repeats) as a part of first calls.
+    /// Extra calls (hedges and retries) as a fraction of first calls.
     pub retry_ratio: f64,
-    /// The learned quantile of its latency after which a second call is made; none for no hedging.
+    /// The quantile of observed latency after which a call is hedged; `None` for no hedging.
     pub hedge_quantile: Option<f64>,
 }
 
-/// What a part takes when its dependency brings nothing.
+impl Dependency {
+    /// The timestamp of a call that is issued now, under the current terms of its leases.
+    pub fn issue_timestamp(&self) -> SendTimestamp {
+        SendTimestamp::new(self.lease_terms())
+    }
+
+    /// Whether an issued call may be sent now: its leases are valid and have been ever since. A process may be stopped
+    /// in between, and have a new lease when it continues, smaller than what it issued under the old one.
+    pub fn may_send(&self, timestamp: &SendTimestamp, now: Time) -> bool {
+        let is_valid = |lease: &Option<Rc<LeasedQuota>>| {
+            lease.as_ref().is_none_or(|lease| lease.is_valid(now))
+        };
+        is_valid(&self.leased_calls)
+            && is_valid(&self.leased_rate)
+            && timestamp.terms() == self.lease_terms()
+    }
+
+    fn lease_terms(&self) -> LeaseTerms {
+        let term = |lease: &Option<Rc<LeasedQuota>>| lease.as_ref().map_or(0, |lease| lease.term());
+        LeaseTerms {
+            calls: term(&self.leased_calls),
+            rate: term(&self.leased_rate),
+        }
+    }
+}
+
+/// What a part takes when its dependency does not answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fallback {
-    /// An earlier whole answer to the same request, no older than this.
+    /// An earlier complete answer to the same request, no older than this.
     Cached(Time),
-    /// The dependency at this place of the plan.
+    /// The dependency at this index of the plan.
     Secondary(usize),
+    /// A fixed body.
     Default(Rc<[u8]>),
+    /// Nothing: the part is left out.
     Omit,
 }
 
+/// One part of an aggregation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
+    /// Its name in the answer.
     pub name: Rc<str>,
-    /// The place of its dependency in the plan.
+    /// Index of its dependency in the plan.
     pub dependency: usize,
-    /// Without it there is no answer; it has no fall-backs.
+    /// Whether the aggregation fails without it; a required part has no fallbacks.
     pub required: bool,
+    /// What to try in turn when the dependency does not answer.
     pub fallbacks: Vec<Fallback>,
 }
 
+/// An answer composed of parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Aggregation {
+    /// Its parts, in the order of the answer.
     pub parts: Vec<PartSpec>,
 }
 
-/// What can be switched off to show what it is for. All on, but in trials.
+/// Safeguards that can be switched off one by one to show what each is for. All are on, except in experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
-    /// Time budgets: without, a part waits until the req is due.
+    /// Time budgets; without them a part waits until the request's deadline.
     pub time_budget: bool,
-    /// Any limit on calls held.
+    /// Any limit on calls in flight.
     pub limit: bool,
-    /// The limit's adapting: without, it stands at the share.
+    /// The adaptation of the limit; without it the limit stays at `max_calls`.
     pub adapt: bool,
+    /// The circuit breaker.
     pub breaker: bool,
+    /// Hedging.
     pub hedge: bool,
+    /// The cache of earlier answers.
     pub stale_cache: bool,
-    /// Fall-backs of any kind; without, a part that fails is missing and its page errored.
+    /// Fallbacks of any kind; without them a part that fails is missing and its aggregation fails.
     pub fallback: bool,
-    /// Counting what a former life may have left as held: without, a started instance calls at once.
+    /// Counting what a previous incarnation may have left running as in flight; without it a restarted instance makes
+    /// calls at once.
     pub restart: bool,
 }
 
@@ -204,74 +137,39 @@
     }
 }
 
+/// All dependencies and aggregations, as one version of the operator's file has them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
+    /// The dependencies; other fields refer to them by index.
     pub dependencies: Vec<Rc<Dependency>>,
+    /// The aggregations; a request refers to one by index.
     pub aggregations: Vec<Aggregation>,
-    /// Bytes that kept answers may take, keys included.
+    /// Capacity of the cache of earlier answers in bytes, keys included.
     pub stale_cache_bytes: usize,
+    /// Which safeguards are on.
     pub safeguards: Safeguards,
 }
 
 impl Plan {
-    /// Whether any page falls back on kept answers of this dependency.
+    /// Whether any aggregation falls back on cached answers of this dependency.
     pub fn uses_stale_cache(&self, dependency: usize) -> bool {
-        let kept = |f: &Fallback| matches!(f, Fallback::Cached(_));
+        let is_cached = |fallback: &Fallback| matches!(fallback, Fallback::Cached(_));
         self.aggregations
             .iter()
-            .flat_map(|p| &p.parts)
-            .any(|p| p.dependency == dependency && p.fallbacks.iter().any(kept))
+            .flat_map(|aggregation| &aggregation.parts)
+            .any(|part| part.dependency == dependency && part.fallbacks.iter().any(is_cached))
     }
 
-    /// The longest that a part may take when nothing waits: its dependency's budget and those of the
+    /// The longest that a part may take without any queueing: the time budgets of its dependency and of the
     /// dependencies that it falls back on.
     pub fn worst_case(&self, part: &PartSpec) -> Time {
-        let others = part.fallbacks.iter().filter_map(|f| match f {
-            Fallback::Secondary(place) => Some(*place),
+        let secondaries = part.fallbacks.iter().filter_map(|fallback| match fallback {
+            Fallback::Secondary(dependency) => Some(*dependency),
             _ => None,
         });
-        let budgets = std::iter::once(part.dependency).chain(others);
-        budgets.fold(Time(0), |sum, place| {
-            sum + self.dependencies[place].time_budget
+        let dependencies = std::iter::once(part.dependency).chain(secondaries);
+        dependencies.fold(Time(0), |sum, dependency| {
+            sum + self.dependencies[dependency].time_budget
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the ceiling: a process is stopped between letting a call out and sending it, and wakes with a share that
-    /// is in force again, and smaller: the calls that the old one allowed are not sent under the new one.
-    #[test]
-    fn a_call_of_a_share_that_was_over_is_not_sent_under_the_next() {
-        let lent = Rc::new(LeasedQuota::default());
-        let spec = Dependency {
-            name: "stock".into(),
-            addr: ([127, 0, 0, 1], 1).into(),
-            path: "/".into(),
-            json: false,
-            time_budget: Time(600),
-            max_calls: 8,
-            leased_calls: Some(lent.clone()),
-            max_rate: None,
-            leased_rate: None,
-            min_limit: 1,
-            post_cancel_grace: Time(1),
-            max_waiting: 8,
-            retry_ratio: 0.0,
-            hedge_quantile: None,
-        };
-        lent.renew(Time(0), 5, Time(100));
-        let (first, second) = (SendTimestamp::new(&spec), SendTimestamp::new(&spec));
-        lent.renew(Time(50), 5, Time(150));
-        assert!(
-            spec.may_send(&first, Time(149)),
-            "renewed in time it is the same share"
-        );
-        assert!(!spec.may_send(&first, Time(150)));
-        lent.renew(Time(200), 1, Time(300));
-        assert!(!spec.may_send(&second, Time(201)));
-        assert!(spec.may_send(&SendTimestamp::new(&spec), Time(201)));
-    }
-}
