--- /dev/null
+++ b/crates/dependency/src/aggregator/call.rs
@@ -0,0 +1,243 @@
+//! Calls: issuing them, taking their results, abandoning them, and what each teaches the gate of its dependency.
+use super::state::{Call, GateId, Phase, Timer};
+use super::{gate_changed, Aggregator};
+use crate::circuit_breaker::{CallKind, UniformDraw};
+use crate::gate::{CallEnd, CallObservation, CallSignal, DependencyGate};
+use crate::latency::LatencySample;
+use crate::messages::{Action, CallId, CallResult, PartId, PartSource};
+use crate::stale_cache::CacheKey;
+use cottondyke_types::Time;
+use std::rc::Rc;
+
+/// Calls that one step may make, the first included.
+pub(super) const MAX_ATTEMPTS: u32 = 3;
+/// The time that a retry is taken to need before any latency is known.
+const MIN_RETRY_TIME: Time = Time(1);
+const NO_TIME: Time = Time(0);
+
+fn signal_of(result: &CallResult) -> CallSignal {
+    match result {
+        CallResult::Success(_) => CallSignal::Success,
+        CallResult::Failure => CallSignal::Failure,
+        CallResult::Rejected | CallResult::TimedOut => CallSignal::Overload,
+        CallResult::InvalidRequest | CallResult::StaleConnection | CallResult::LeaseExpired => {
+            CallSignal::Ignored
+        }
+    }
+}
+
+impl Aggregator {
+    /// Issues the first call of a step, and sets the timer for its hedge.
+    pub(super) fn issue_first_call(&mut self, now: Time, part: PartId, kind: CallKind) {
+        let gate = self.runs[&part.request].steps[part.index].gate;
+        if let Some(gate) = self.gates.get_mut(&gate) {
+            gate.retry_budget.deposit();
+            gate.counters.first_attempts += 1;
+        }
+        let call = self.issue_call(now, part, kind);
+        let run = &self.runs[&part.request];
+        if !run.request.may_repeat || !run.in_force.plan.safeguards.hedge {
+            return;
+        }
+        let deadline = run.steps[part.index].deadline;
+        let hedge_delay = self
+            .gates
+            .get_mut(&gate)
+            .and_then(DependencyGate::hedge_delay);
+        if let Some(delay) = hedge_delay {
+            if now + delay < deadline {
+                self.timers.insert((now + delay, Timer::Hedge(call)));
+            }
+        }
+    }
+
+    /// Issues a call for the part's current step.
+    pub(super) fn issue_call(&mut self, now: Time, part: PartId, kind: CallKind) -> CallId {
+        self.last_call += 1;
+        let id = CallId(self.last_call);
+        let Some(run) = self.runs.get_mut(&part.request) else {
+            return id;
+        };
+        let step = &mut run.steps[part.index];
+        step.phase = Phase::Calling;
+        step.attempts += 1;
+        step.calls.push(id);
+        let gate_id = step.gate;
+        let timeout = step.deadline - now;
+        let Some(gate) = self.gates.get_mut(&gate_id) else {
+            return id;
+        };
+        let dependency = match run.in_force.dependency_index(gate_id) {
+            Some(index) => run.in_force.plan.dependencies[index].clone(),
+            None => gate.spec.clone(),
+        };
+        let timestamp = Rc::new(dependency.issue_timestamp());
+        if let Some(state) = gate.record_issue(now, kind, &timestamp) {
+            self.actions.push(gate_changed(gate, state));
+        }
+        self.actions.push(Action::Call {
+            call: id,
+            run: part.request,
+            to: dependency,
+            body: run.request.body.clone(),
+            within: timeout,
+            reuse: run.request.may_repeat,
+            stamp: timestamp.clone(),
+        });
+        let call = Call {
+            part,
+            gate: gate_id,
+            issued_at: now,
+            timeout,
+            kind,
+            timestamp,
+            is_abandoned: false,
+        };
+        self.calls.insert(id, call);
+        id
+    }
+
+    /// A call has ended, or the driver listens to it no longer ([`CallResult::TimedOut`]).
+    pub fn handle_call_result(&mut self, now: Time, id: CallId, result: CallResult) -> Vec<Action> {
+        let Some(call) = self.calls.remove(&id) else {
+            return Vec::new();
+        };
+        call.timestamp.finish();
+        let end = if result == CallResult::TimedOut {
+            CallEnd::MayStillRun
+        } else {
+            CallEnd::Stopped
+        };
+        if let Some(gate) = self.gates.get_mut(&call.gate) {
+            gate.hedge_queue.retain(|other| *other != id);
+            gate.finish_call(now, end);
+            if matches!(result, CallResult::Success(_)) {
+                let sample = LatencySample {
+                    latency: now - call.issued_at,
+                    in_time: !call.is_abandoned,
+                };
+                gate.latency.record(now, sample);
+            }
+        }
+        if end == CallEnd::MayStillRun {
+            self.schedule_release(now, call.gate);
+        }
+        if !call.is_abandoned {
+            self.observe(now, call.gate, call.kind, signal_of(&result));
+            self.settle_call(now, id, &call, result);
+            self.complete_if_settled(now, call.part.request);
+        }
+        self.dispatch_waiting(now, call.gate);
+        self.take_actions()
+    }
+
+    fn observe(&mut self, now: Time, gate: GateId, kind: CallKind, signal: CallSignal) {
+        let draw = UniformDraw(self.random.f64());
+        let Some(gate) = self.gates.get_mut(&gate) else {
+            return;
+        };
+        let observation = CallObservation { kind, signal, draw };
+        if let Some(state) = gate.observe(now, observation) {
+            self.actions.push(gate_changed(gate, state));
+        }
+    }
+
+    /// What the result of a call means for the part that waits for it.
+    fn settle_call(&mut self, now: Time, id: CallId, call: &Call, result: CallResult) {
+        let Some(run) = self.runs.get_mut(&call.part.request) else {
+            return;
+        };
+        let Some(step) = run.steps.get_mut(call.part.index) else {
+            return;
+        };
+        step.calls.retain(|other| *other != id);
+        match result {
+            CallResult::Success(body) => self.accept_answer(now, call, body),
+            // The other call of the step is still active.
+            _ if !step.calls.is_empty() => {}
+            result => self.retry_or_fall_back(now, call, &result),
+        }
+    }
+
+    fn accept_answer(&mut self, now: Time, call: &Call, body: Rc<[u8]>) {
+        let run = &self.runs[&call.part.request];
+        let dependency = self.gates[&call.gate].spec.name.clone();
+        let source = if run.steps[call.part.index].number == 0 {
+            PartSource::Primary
+        } else {
+            PartSource::Secondary(dependency.clone())
+        };
+        let is_cached = run
+            .in_force
+            .dependency_index(call.gate)
+            .is_some_and(|index| run.in_force.plan.uses_stale_cache(index));
+        if is_cached {
+            let key = CacheKey {
+                dependency,
+                tenant: run.request.tenant,
+                request_body: run.request.body.clone(),
+            };
+            self.stale_cache.insert(now, key, body.clone());
+        }
+        self.settle_part(now, call.part, source, Some(body));
+    }
+
+    fn retry_or_fall_back(&mut self, now: Time, call: &Call, result: &CallResult) {
+        let run = &self.runs[&call.part.request];
+        let step = &run.steps[call.part.index];
+        let did_not_run = matches!(result, CallResult::Rejected | CallResult::LeaseExpired);
+        let may_repeat = run.request.may_repeat && *result != CallResult::InvalidRequest;
+        let Some(gate) = self.gates.get_mut(&call.gate) else {
+            return;
+        };
+        let usual_time = gate.latency.baseline().unwrap_or(MIN_RETRY_TIME);
+        let may_retry = (may_repeat || did_not_run)
+            && step.attempts < MAX_ATTEMPTS
+            && step.deadline - now > usual_time;
+        if may_retry && gate.try_retry(now) {
+            gate.counters.retries += 1;
+            self.issue_call(now, call.part, CallKind::Regular);
+        } else {
+            self.fall_back(now, call.part);
+        }
+    }
+
+    /// Abandons a call that is not needed any more, which says nothing about its dependency. It is listened to for the
+    /// rest of its time, since a call that ends frees its place at the gate at once.
+    pub(super) fn abandon_unneeded(&mut self, now: Time, id: CallId) {
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
+        let time_left = call.issued_at + call.timeout - now;
+        self.abandon(now, id, CallSignal::Ignored, time_left.max(NO_TIME));
+    }
+
+    /// Abandons a call whose run was cancelled, without listening to it any more.
+    pub(super) fn abandon_at_once(&mut self, now: Time, id: CallId) {
+        self.abandon(now, id, CallSignal::Ignored, NO_TIME);
+    }
+
+    /// Stops waiting for a call. Where it is not listened to, its connection is closed: it may go on running unseen.
+    pub(super) fn abandon(&mut self, now: Time, id: CallId, signal: CallSignal, listen: Time) {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_abandoned) else {
+            return;
+        };
+        call.is_abandoned = true;
+        let (gate_id, kind) = (call.gate, call.kind);
+        if let Some(gate) = self.gates.get_mut(&gate_id) {
+            gate.hedge_queue.retain(|other| *other != id);
+        }
+        self.observe(now, gate_id, kind, signal);
+        self.actions.push(Action::Abandon { call: id, listen });
+        if listen > NO_TIME {
+            return;
+        }
+        if let Some(call) = self.calls.remove(&id) {
+            call.timestamp.finish();
+        }
+        if let Some(gate) = self.gates.get_mut(&gate_id) {
+            gate.finish_call(now, CallEnd::MayStillRun);
+        }
+        self.schedule_release(now, gate_id);
+    }
+}
--- /dev/null
+++ b/crates/dependency/src/aggregator/run.rs
@@ -0,0 +1,222 @@
+//! The runs and the steps of their parts: from the start of a request to its one result.
+use super::state::{Phase, Run, Step, StepId, Timer};
+use super::Aggregator;
+use crate::gate::Permit;
+use crate::messages::{Action, AggregationRequest, AggregationResult, PartId, PartSource};
+use crate::plan::{Fallback, PartSpec, RESERVE};
+use cottondyke_types::{RequestId, Time};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+impl Aggregator {
+    /// Starts the aggregation of a request.
+    pub fn start(&mut self, now: Time, request: AggregationRequest) -> Vec<Action> {
+        let id = request.request;
+        let in_force = self.in_force.clone();
+        let Some(aggregation) = in_force.plan.aggregations.get(request.aggregation) else {
+            return vec![Action::Completed {
+                run: id,
+                answer: AggregationResult::Failed,
+            }];
+        };
+        let first_step = |part: &PartSpec| Step {
+            number: 0,
+            gate: in_force.gates[part.dependency],
+            deadline: now,
+            attempts: 0,
+            calls: Vec::new(),
+            phase: Phase::Waiting,
+        };
+        let run = Run {
+            request,
+            in_force: in_force.clone(),
+            steps: aggregation.parts.iter().map(first_step).collect(),
+        };
+        self.runs.insert(id, run);
+        for (index, spec) in aggregation.parts.iter().enumerate() {
+            let part = PartId { request: id, index };
+            if !self.try_start_step(now, part, spec.dependency) {
+                self.fall_back(now, part);
+            }
+        }
+        self.complete_if_settled(now, id);
+        self.take_actions()
+    }
+
+    /// Ends a run at once; its active calls are abandoned.
+    pub fn cancel(&mut self, now: Time, request: RequestId) -> Vec<Action> {
+        self.complete(now, request, AggregationResult::Cancelled);
+        self.take_actions()
+    }
+
+    /// From now on everything must be answered by `deadline`: current steps are shortened to it.
+    pub fn start_draining(&mut self, deadline: Time) {
+        self.drain_deadline = deadline;
+        for (request, run) in &mut self.runs {
+            for (index, step) in run.steps.iter_mut().enumerate() {
+                if step.deadline > deadline {
+                    step.deadline = deadline;
+                    let id = StepId {
+                        part: PartId {
+                            request: *request,
+                            index,
+                        },
+                        number: step.number,
+                    };
+                    self.timers.insert((deadline, Timer::StepDeadline(id)));
+                }
+            }
+        }
+    }
+
+    /// The deadline of a step on the dependency at this index of the plan: its own time budget, or what is left to the
+    /// response target (to the request's deadline once the target has passed), whichever is less. Where fallbacks on
+    /// other dependencies follow, the time left is divided in proportion to the budgets.
+    fn step_deadline(
+        &self,
+        now: Time,
+        run: &Run,
+        part: &PartSpec,
+        step: usize,
+        dependency: usize,
+    ) -> Time {
+        let plan = &run.in_force.plan;
+        let latest = run.request.deadline.min(self.drain_deadline) - RESERVE;
+        if !plan.safeguards.time_budget {
+            return latest;
+        }
+        let target = run.request.target - RESERVE;
+        let end = if target > now {
+            target.min(latest)
+        } else {
+            latest
+        };
+        let budget = plan.dependencies[dependency].time_budget;
+        let total_budget = part
+            .fallbacks
+            .iter()
+            .skip(step)
+            .filter_map(|fallback| match fallback {
+                Fallback::Secondary(dependency) if plan.safeguards.fallback => {
+                    Some(plan.dependencies[*dependency].time_budget)
+                }
+                _ => None,
+            })
+            .fold(budget, |sum, later| sum + later);
+        let time_left = end - now;
+        if total_budget > time_left {
+            let ratio = (time_left.as_f64() / total_budget.as_f64()).max(0.0);
+            now + budget.scaled(ratio)
+        } else {
+            now + budget
+        }
+    }
+
+    /// Starts the part's current step on a dependency: with a call, or with a place in the wait queue of its gate. False
+    /// where neither can be had.
+    pub(super) fn try_start_step(&mut self, now: Time, part: PartId, dependency: usize) -> bool {
+        let Some(run) = self.runs.get(&part.request) else {
+            return false;
+        };
+        let in_force = run.in_force.clone();
+        let number = run.steps[part.index].number;
+        let deadline = self.step_deadline(now, run, run.part(part.index), number, dependency);
+        let gate_id = in_force.gates[dependency];
+        let step_id = StepId { part, number };
+        let Some(gate) = self.gates.get_mut(&gate_id) else {
+            return false;
+        };
+        if deadline <= now {
+            return false;
+        }
+        let permit = gate.request_permit(now);
+        let last_start = deadline - gate.required_time();
+        match permit {
+            Permit::CircuitOpen => {
+                gate.counters.circuit_open += 1;
+                return false;
+            }
+            // A part that cannot be answered in the time that would be left is better off with its fallback.
+            Permit::LimitReached
+                if gate.wait_queue.len() >= gate.spec.max_waiting || last_start <= now =>
+            {
+                gate.counters.limit_reached += 1;
+                return false;
+            }
+            Permit::LimitReached => {
+                gate.wait_queue.push_back(part);
+                self.timers
+                    .insert((last_start, Timer::WaitDeadline(step_id)));
+            }
+            Permit::Granted(_) => {}
+        }
+        let Some(run) = self.runs.get_mut(&part.request) else {
+            return false;
+        };
+        let step = &mut run.steps[part.index];
+        step.gate = gate_id;
+        step.deadline = deadline;
+        step.attempts = 0;
+        step.phase = Phase::Waiting;
+        self.timers.insert((deadline, Timer::StepDeadline(step_id)));
+        if let Permit::Granted(kind) = permit {
+            self.issue_first_call(now, part, kind);
+        }
+        true
+    }
+
+    /// Gives a part its source and body; calls that are still active are no longer needed.
+    pub(super) fn settle_part(
+        &mut self,
+        now: Time,
+        part: PartId,
+        source: PartSource,
+        body: Option<Rc<[u8]>>,
+    ) {
+        let Some(run) = self.runs.get_mut(&part.request) else {
+            return;
+        };
+        let step = &mut run.steps[part.index];
+        step.phase = Phase::Settled(source, body);
+        for call in std::mem::take(&mut step.calls) {
+            self.abandon_unneeded(now, call);
+        }
+    }
+
+    /// Ends a run once all its parts are settled, or a required one is missing.
+    pub(super) fn complete_if_settled(&mut self, now: Time, request: RequestId) {
+        let Some(run) = self.runs.get(&request) else {
+            return;
+        };
+        if run.lacks_required_part() {
+            self.complete(now, request, AggregationResult::Failed);
+        } else if let Some(parts) = run.settled_parts() {
+            self.complete(now, request, AggregationResult::Parts(parts));
+        }
+    }
+
+    fn complete(&mut self, now: Time, request: RequestId, answer: AggregationResult) {
+        let Some(run) = self.runs.remove(&request) else {
+            return;
+        };
+        let is_cancelled = answer == AggregationResult::Cancelled;
+        self.actions.push(Action::Completed {
+            run: request,
+            answer,
+        });
+        for (index, step) in run.steps.iter().enumerate() {
+            self.leave_wait_queue(step.gate, PartId { request, index });
+            for call in &step.calls {
+                if is_cancelled {
+                    self.abandon_at_once(now, *call);
+                } else {
+                    self.abandon_unneeded(now, *call);
+                }
+            }
+        }
+        let gates: BTreeSet<_> = run.steps.iter().map(|step| step.gate).collect();
+        for gate in gates {
+            self.dispatch_waiting(now, gate);
+        }
+    }
+}
--- a/crates/dependency/src/circuit_breaker.rs
+++ b/crates/dependency/src/circuit_breaker.rs
@@ -1,149 +1,218 @@
-//! A circuit breaker: opens when most calls of the last second failed, rests a time that grows and is drawn
-//! apart for each instance, then lets few probes through; closes after enough of them ended well in a row.
+//! A circuit breaker: it opens when most calls of the last second failed, stays open for a backoff that grows and is
+//! jittered so that instances do not probe together, then admits a few probes; it closes after enough of them succeeded
+//! in a row. The pattern is described by M. Nygard, "Release It!".
 use cottondyke_types::{SlidingWindow, Time, SECOND};
 
-/// Calls that failed within the look-back before it opens, and the part of all that they must be.
-const LEAST: f64 = 5.0;
-const MOSTLY: f64 = 0.5;
-/// Failures in a row that open it where few calls are made.
-const IN_A_ROW: u32 = 5;
-/// The first rest and the longest, the factor between them, and how far it is drawn to either side.
-const FIRST_REST: Time = Time(2_000);
-const LONGEST_REST: Time = Time(4_000);
-const GROWTH: f64 = 1.6;
-const SPREAD: f64 = 0.25;
-/// Probes in hand at once, and good ones in a row that close it.
-const PROBES: usize = 2;
-const PROVEN: u32 = 3;
+/// The window over which successes and failures are counted.
+const WINDOW: Time = SECOND;
+/// Failures within the window before it opens.
+const MIN_FAILURES: f64 = 5.0;
+/// Fraction of the calls in the window that must have failed before it opens.
+const OPENING_FAILURE_RATIO: f64 = 0.5;
+/// Consecutive failures that open it where few calls are made.
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
+/// The first backoff and the longest one, before jitter.
+const FIRST_BACKOFF: Time = Time(2_000);
+const MAX_BACKOFF: Time = Time(4_000);
+/// Factor between consecutive backoffs.
+const BACKOFF_GROWTH: f64 = 1.6;
+/// Openings after which the backoff grows no further.
+const MAX_BACKOFF_EXPONENT: u32 = 16;
+/// How far a backoff is jittered to either side, as a fraction of it.
+const JITTER_RATIO: f64 = 0.25;
+/// Probes that may be in flight at once.
+const MAX_PROBES: usize = 2;
+/// Consecutive successful probes that close it.
+const CLOSING_SUCCESSES: u32 = 3;
 
+/// State of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CircuitState {
+    /// Calls are admitted.
     Closed,
-    Open { until: Time },
-    HalfOpen { good: u32 },
+    /// No call is admitted; from `until` on a probe is.
+    Open {
+        /// When the backoff ends.
+        until: Time,
+    },
+    /// Only probes are admitted.
+    HalfOpen {
+        /// Probes that succeeded in a row.
+        successes: u32,
+    },
 }
 
-/// Whether a call may go.
+/// How a call is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
-    Free,
+pub enum CallKind {
+    /// The breaker is closed.
+    Regular,
+    /// It tests whether the dependency has recovered.
     Probe,
-    No,
 }
 
+/// How a call ended, as far as the breaker is concerned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallHealth {
+    /// The dependency answered.
+    Success,
+    /// It failed to.
+    Failure,
+}
+
+/// A draw from the uniform distribution over [0, 1], from which the next backoff is jittered.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct UniformDraw(pub f64);
+
+/// When failures are too many to be chance.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FailureThreshold {
+    /// Failures as a fraction of calls.
+    pub ratio: f64,
+    /// Where fewer calls than this ended, the fraction is taken of this number.
+    pub min_calls: f64,
+}
+
+/// Index of the successes and of the failures in the window.
+const SUCCESSES: usize = 0;
+const FAILURES: usize = 1;
+
+/// The circuit breaker of one dependency.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
-    stage: CircuitState,
-    ends: SlidingWindow<2, 8>,
-    row: u32,
-    probes: usize,
-    /// Openings since it was last closed for good.
+    state: CircuitState,
+    /// Successes and failures.
+    results: SlidingWindow<2, 8>,
+    consecutive_failures: u32,
+    probes_in_flight: usize,
+    /// Times that it opened since it was last closed for longer than the longest backoff.
     openings: u32,
-    closed: Time,
+    closed_at: Time,
     enabled: bool,
 }
 
 impl CircuitBreaker {
+    /// A closed breaker. One that is not `enabled` stays closed.
     pub fn new(now: Time, enabled: bool) -> Self {
-        let ends = SlidingWindow::new(SECOND);
         CircuitBreaker {
-            stage: CircuitState::Closed,
-            ends,
-            row: 0,
-            probes: 0,
+            state: CircuitState::Closed,
+            results: SlidingWindow::new(WINDOW),
+            consecutive_failures: 0,
+            probes_in_flight: 0,
             openings: 0,
-            closed: now,
+            closed_at: now,
             enabled,
         }
     }
 
-    pub fn enable(&mut self, enabled: bool) {
+    /// Enables or disables it; a disabled breaker is closed.
+    pub fn set_enabled(&mut self, enabled: bool) {
         self.enabled = enabled;
         if !enabled {
-            self.stage = CircuitState::Closed;
+            self.state = CircuitState::Closed;
         }
     }
 
-    pub fn stage(&self) -> CircuitState {
-        self.stage
+    /// The state it is in.
+    pub fn state(&self) -> CircuitState {
+        self.state
     }
 
-    /// The part of the calls of the last second that failed; where they were few, of `least`.
-    pub fn failing(&self, now: Time, least: f64) -> f64 {
-        let [well, ill] = self.ends.sums(now);
-        ill / (well + ill).max(least)
+    /// Whether the failures of the last second reach `threshold`.
+    pub fn has_reached(&self, threshold: FailureThreshold, now: Time) -> bool {
+        let [successes, failures] = self.results.sums(now);
+        failures / (successes + failures).max(threshold.min_calls) >= threshold.ratio
     }
 
-    /// Whether a call would be let through, without letting it.
-    pub fn pass(&self, now: Time) -> Pass {
-        let room = self.probes < PROBES;
-        match self.stage {
-            CircuitState::Closed => Pass::Free,
-            CircuitState::Open { until } if now < until => Pass::No,
-            CircuitState::Open { .. } | CircuitState::HalfOpen { .. } if room => Pass::Probe,
-            _ => Pass::No,
+    /// How a call would be admitted now; `None` where it would not be.
+    pub fn admits(&self, now: Time) -> Option<CallKind> {
+        let may_probe = self.probes_in_flight < MAX_PROBES;
+        match self.state {
+            CircuitState::Closed => Some(CallKind::Regular),
+            CircuitState::Open { until } if now < until => None,
+            CircuitState::Open { .. } | CircuitState::HalfOpen { .. } if may_probe => {
+                Some(CallKind::Probe)
+            }
+            CircuitState::Open { .. } | CircuitState::HalfOpen { .. } => None,
         }
     }
 
-    /// A probe was sent; true if it is the first since the breaker opened.
-    pub fn probing(&mut self) -> bool {
-        self.probes += 1;
-        let first = matches!(self.stage, CircuitState::Open { .. });
-        if first {
-            self.stage = CircuitState::HalfOpen { good: 0 };
+    /// Records that a probe is sent; the first one half-opens an open breaker.
+    pub fn record_probe_sent(&mut self) {
+        self.probes_in_flight += 1;
+        if matches!(self.state, CircuitState::Open { .. }) {
+            self.state = CircuitState::HalfOpen { successes: 0 };
         }
-        first
     }
 
-    /// A probe ended that says nothing of the dependency.
-    pub fn no_word(&mut self, probe: bool) {
-        self.probes -= usize::from(probe).min(self.probes);
+    /// Records the end of a call that says nothing about the dependency.
+    pub fn record_ignored(&mut self, kind: CallKind) {
+        if kind == CallKind::Probe {
+            self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
+        }
     }
 
-    /// How a call ended. `draw`: from 0 to 1, evenly. True if the breaker closed by it.
-    pub fn ended(&mut self, now: Time, probe: bool, good: bool, draw: f64) -> bool {
-        self.no_word(probe);
-        self.ends.add(now, usize::from(!good), 1.0);
+    /// Records how a call ended. `draw` jitters the backoff where the breaker opens by it.
+    pub fn record(&mut self, now: Time, kind: CallKind, health: CallHealth, draw: UniformDraw) {
+        self.record_ignored(kind);
+        let counter = match health {
+            CallHealth::Success => SUCCESSES,
+            CallHealth::Failure => FAILURES,
+        };
+        self.results.add(now, counter, 1.0);
         if !self.enabled {
-            return false;
+            return;
         }
-        match self.stage {
-            CircuitState::Closed => {
-                self.row = if good { 0 } else { self.row + 1 };
-                let [well, ill] = self.ends.sums(now);
-                if ill >= LEAST && ill >= MOSTLY * (well + ill) || self.row >= IN_A_ROW {
-                    // One that opens again soon after it closed goes on with the longer rests.
-                    if now - self.closed > LONGEST_REST {
-                        self.openings = 0;
-                    }
-                    self.open(now, draw);
+        match (self.state, kind) {
+            (CircuitState::Closed, _) => self.record_while_closed(now, health, draw),
+            (CircuitState::HalfOpen { successes }, CallKind::Probe) => match health {
+                CallHealth::Failure => self.open(now, draw),
+                CallHealth::Success if successes + 1 >= CLOSING_SUCCESSES => self.close(now),
+                CallHealth::Success => {
+                    self.state = CircuitState::HalfOpen {
+                        successes: successes + 1,
+                    };
                 }
-                false
-            }
-            CircuitState::HalfOpen { .. } if probe && !good => {
-                self.open(now, draw);
-                false
+            },
+            // A call that was sent before the breaker opened says nothing new.
+            (CircuitState::HalfOpen { .. }, CallKind::Regular) | (CircuitState::Open { .. }, _) => {
             }
-            CircuitState::HalfOpen { good: before } if probe && before + 1 >= PROVEN => {
-                (self.stage, self.closed, self.row) = (CircuitState::Closed, now, 0);
-                self.ends = SlidingWindow::new(SECOND);
-                true
-            }
-            CircuitState::HalfOpen { good: before } if probe => {
-                self.stage = CircuitState::HalfOpen { good: before + 1 };
-                false
+        }
+    }
+
+    fn record_while_closed(&mut self, now: Time, health: CallHealth, draw: UniformDraw) {
+        self.consecutive_failures = match health {
+            CallHealth::Success => 0,
+            CallHealth::Failure => self.consecutive_failures + 1,
+        };
+        let [successes, failures] = self.results.sums(now);
+        let most_failed =
+            failures >= MIN_FAILURES && failures >= OPENING_FAILURE_RATIO * (successes + failures);
+        if most_failed || self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
+            // A breaker that opens again soon after it closed goes on with the longer backoffs.
+            if now - self.closed_at > MAX_BACKOFF {
+                self.openings = 0;
             }
-            // What was sent before it opened says nothing new.
-            CircuitState::HalfOpen { .. } | CircuitState::Open { .. } => false,
+            self.open(now, draw);
         }
     }
 
-    fn open(&mut self, now: Time, draw: f64) {
-        let rest = FIRST_REST
-            .scaled(GROWTH.powi(self.openings.min(16) as i32))
-            .min(LONGEST_REST);
-        let rest = rest.scaled(1.0 + SPREAD * (2.0 * draw.clamp(0.0, 1.0) - 1.0));
+    fn open(&mut self, now: Time, draw: UniformDraw) {
+        let exponent = self.openings.min(MAX_BACKOFF_EXPONENT) as i32;
+        let backoff = FIRST_BACKOFF
+            .scaled(BACKOFF_GROWTH.powi(exponent))
+            .min(MAX_BACKOFF);
+        let jitter = 1.0 + JITTER_RATIO * (2.0 * draw.0.clamp(0.0, 1.0) - 1.0);
         self.openings += 1;
-        self.stage = CircuitState::Open { until: now + rest };
+        self.state = CircuitState::Open {
+            until: now + backoff.scaled(jitter),
+        };
+    }
+
+    fn close(&mut self, now: Time) {
+        self.state = CircuitState::Closed;
+        self.closed_at = now;
+        self.consecutive_failures = 0;
+        self.results = SlidingWindow::new(WINDOW);
     }
 }
--- a/crates/dependency/src/concurrency_limiter.rs
+++ b/crates/dependency/src/concurrency_limiter.rs
@@ -1,108 +1,135 @@
-//! The adaptive concurrency limit of one dependency: additive increase while it is used and calls end well,
-//! multiplicative decrease on signs of overload, a slighter one while the latency gradient shows a queue.
+//! The adaptive concurrency limit of one dependency: additive increase while it is used and calls succeed (AIMD, as in
+//! TCP congestion control, RFC 5681), multiplicative decrease on signs of overload, and a slighter decrease while the
+//! latency gradient shows a queue (as in Netflix's `concurrency-limits`).
 use cottondyke_types::Time;
 
-/// Parts of the limit that stay after a sign of overload, and after a call that shows a queue.
-const OVERLOAD: f64 = 0.7;
-const QUEUE: f64 = 0.95;
-/// Part of the most from which the limit starts again after the breaker closed.
-const RESTART: f64 = 0.25;
-/// From this many times the usual latency on a queue is taken to stand at the dependency.
-const GRADIENT: f64 = 2.0;
-/// The limit grows only where this part of it is in use: unused room proves nothing.
-const USED: f64 = 0.5;
+/// Fraction of the limit that remains after a sign of overload.
+const OVERLOAD_DECREASE: f64 = 0.7;
+/// Fraction of the limit that remains after a call that shows a queue.
+const QUEUE_DECREASE: f64 = 0.95;
+/// Fraction of the maximum from which the limit starts again after the breaker closed.
+const RESTART_RATIO: f64 = 0.25;
+/// Recent latency above this multiple of the baseline shows a queue at the dependency.
+const QUEUE_GRADIENT: f64 = 2.0;
+/// The limit grows only while this fraction of it is in use: unused capacity proves nothing.
+const MIN_UTILIZATION: f64 = 0.5;
 
+/// The range of the limit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LimitRange {
+    /// The limit never falls below this; at least 1 and at most `max` are used.
+    pub min: usize,
+    /// The limit never rises above this; at least 1 is used.
+    pub max: usize,
+    /// Whether the limit adapts; otherwise it stays at `max`.
+    pub adaptive: bool,
+}
+
+/// What is known when a call succeeded.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SuccessSample {
+    /// Recent latency as a multiple of the baseline.
+    pub latency_gradient: f64,
+    /// Calls in flight, this one included.
+    pub in_flight: usize,
+    /// The time of a round trip, within which the limit decreases at most once.
+    pub round_trip: Time,
+}
+
+/// The adaptive limit on calls in flight.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
-    floor: f64,
-    most: f64,
-    now: f64,
-    /// Up to here it grows by one a call, past it by one a round.
-    slow_start: f64,
-    /// One decrease a round trip: calls sent before it tell of the same overload.
-    rests: Time,
-    adapts: bool,
+    min: f64,
+    max: f64,
+    /// The limit now; between `min` and `max` unless the maximum was lowered below `min`.
+    limit: f64,
+    /// Below this the limit grows by one a call, above it by one a round trip.
+    slow_start_threshold: f64,
+    /// No decrease before this: calls sent before the last decrease are signs of the same overload.
+    next_decrease: Time,
+    adaptive: bool,
 }
 
 impl ConcurrencyLimiter {
-    /// Between `floor` and `most`, where it starts; fixed there unless it `adapts`.
-    pub fn new(floor: usize, most: usize, adapts: bool) -> Self {
-        let most = most.max(1) as f64;
+    /// A limit that starts at the maximum of its range.
+    pub fn new(range: LimitRange) -> Self {
+        let max = range.max.max(1) as f64;
         ConcurrencyLimiter {
-            floor: (floor as f64).clamp(1.0, most),
-            most,
-            now: most,
-            slow_start: most,
-            rests: Time(0),
-            adapts,
+            min: (range.min as f64).clamp(1.0, max),
+            max,
+            limit: max,
+            slow_start_threshold: max,
+            next_decrease: Time(0),
+            adaptive: range.adaptive,
         }
     }
 
-    pub fn set(&mut self, floor: usize, most: usize, adapts: bool) {
-        self.most = most.max(1) as f64;
-        self.floor = (floor as f64).clamp(1.0, self.most);
-        self.now = if adapts {
-            self.now.clamp(self.floor, self.most)
+    /// Changes the range; what was learned stays as far as it lies within it.
+    pub fn set_range(&mut self, range: LimitRange) {
+        self.max = range.max.max(1) as f64;
+        self.min = (range.min as f64).clamp(1.0, self.max);
+        self.limit = if range.adaptive {
+            self.limit.clamp(self.min, self.max)
         } else {
-            self.most
+            self.max
         };
-        self.adapts = adapts;
+        self.adaptive = range.adaptive;
     }
 
-    /// The most changed: a limit that stood at it goes with it, one that was learned below it stays.
-    pub fn follow(&mut self, most: usize) {
-        let most = most.max(1) as f64;
-        if self.now >= self.most || !self.adapts {
-            (self.now, self.slow_start) = (most, most);
+    /// Changes the maximum alone: a limit that stood at the old one follows it, one that was learned below it stays.
+    pub fn set_max(&mut self, max: usize) {
+        let max = max.max(1) as f64;
+        if self.limit >= self.max || !self.adaptive {
+            self.limit = max;
+            self.slow_start_threshold = max;
         }
-        self.now = self.now.min(most);
-        self.most = most;
+        self.limit = self.limit.min(max);
+        self.max = max;
     }
 
-    /// Whether nothing that was learned bounds it.
-    pub fn is_full(&self) -> bool {
-        self.now >= self.most
+    /// Whether the limit stands at its maximum.
+    pub fn is_at_max(&self) -> bool {
+        self.limit >= self.max
     }
 
-    /// Calls that may be held.
+    /// Calls that may be in flight.
     pub fn calls(&self) -> usize {
-        self.now as usize
+        self.limit as usize
     }
 
-    /// A call ended well, one of `held`. `gradient`: how many times longer than usual calls take of late; `round`:
-    /// their usual time.
-    pub fn well(&mut self, now: Time, gradient: f64, held: usize, round: Time) {
-        if gradient > GRADIENT {
-            self.fall(now, QUEUE, round);
-        } else if self.adapts && held as f64 >= self.now * USED {
-            let step = if self.now < self.slow_start {
+    /// A call succeeded.
+    pub fn record_success(&mut self, now: Time, sample: &SuccessSample) {
+        if sample.latency_gradient > QUEUE_GRADIENT {
+            self.decrease(now, QUEUE_DECREASE, sample.round_trip);
+        } else if self.adaptive && sample.in_flight as f64 >= self.limit * MIN_UTILIZATION {
+            let increase = if self.limit < self.slow_start_threshold {
                 1.0
             } else {
-                1.0 / self.now
+                1.0 / self.limit
             };
-            self.now = (self.now + step).min(self.most);
+            self.limit = (self.limit + increase).min(self.max);
         }
     }
 
-    /// A call's end shows overload.
-    pub fn overload(&mut self, now: Time, round: Time) {
-        self.fall(now, OVERLOAD, round);
+    /// A call's end is a sign of overload.
+    pub fn record_overload(&mut self, now: Time, round_trip: Time) {
+        self.decrease(now, OVERLOAD_DECREASE, round_trip);
     }
 
-    fn fall(&mut self, now: Time, part: f64, round: Time) {
-        if self.adapts && now >= self.rests {
-            // The most that it held well lately bounds how quickly it comes back.
-            self.slow_start = self.now * part;
-            self.now = self.slow_start.max(self.floor);
-            self.rests = now + round;
+    fn decrease(&mut self, now: Time, remaining_fraction: f64, round_trip: Time) {
+        if self.adaptive && now >= self.next_decrease {
+            // The highest limit that recently worked bounds how quickly the limit recovers.
+            self.slow_start_threshold = self.limit * remaining_fraction;
+            self.limit = self.slow_start_threshold.max(self.min);
+            self.next_decrease = now + round_trip;
         }
     }
 
-    /// After the breaker closed: from a part of the most, and by one a call up to where it stood before.
+    /// Restarts after the breaker closed: from a fraction of the maximum, and by one a call up to the former limit.
     pub fn restart(&mut self) {
-        if self.adapts {
-            self.slow_start = self.slow_start.max(self.now);
-            self.now = self.now.min(self.most * RESTART).max(self.floor);
+        if self.adaptive {
+            self.slow_start_threshold = self.slow_start_threshold.max(self.limit);
+            self.limit = self.limit.min(self.max * RESTART_RATIO).max(self.min);
         }
     }
 }
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -1,329 +1,428 @@
-//! What stands between pages and one dependency. Calls in hand, those given up that may go on, and after a start
-//! those that this instance's former life may have left, all count as held; held calls never pass the limit, and
-//! the limit never passes the share.
-use crate::circuit_breaker::{CircuitBreaker, CircuitState, Pass};
-use crate::concurrency_limiter::ConcurrencyLimiter;
+//! What stands between aggregations and one dependency. Active calls, abandoned calls that may still be running, and
+//! after a restart the calls that the previous incarnation of this instance may have left, all count as in flight.
+//! Calls in flight never exceed the limit, and the limit never exceeds the configured or leased maximum.
+use crate::circuit_breaker::{
+    CallHealth, CallKind, CircuitBreaker, CircuitState, FailureThreshold, UniformDraw,
+};
+use crate::concurrency_limiter::{ConcurrencyLimiter, LimitRange, SuccessSample};
 use crate::latency::LatencyTracker;
 use crate::lease::SendTimestamp;
-use crate::messages::CallId;
+use crate::messages::{CallId, PartId, Startup};
 use crate::plan::{Dependency, Safeguards};
 use crate::retry_budget::RetryBudget;
-use cottondyke_types::{RequestId, Time};
+use cottondyke_types::Time;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// A call that was not answered in time tells against its dependency only if it had this quantile of the usual
-/// times, or its whole budget.
-const FAIR: f64 = 0.95;
-/// The quantile that a call is given at least, and the part of the budget that this is at the most.
-const NEARLY: f64 = 0.9;
-const MOST_NEEDED: f64 = 0.5;
-/// Part of the calls of the last second that may fail without being taken for overload.
-const TOLERATED: f64 = 0.1;
-const FEW: f64 = 20.0;
-/// Before anything is learned, the round in which one decrease of the limit counts.
-const FIRST_ROUND: Time = Time(100);
+/// A timeout is a sign of overload only if the call was given this quantile of the observed latency, or its whole
+/// time budget.
+const FAIR_TIMEOUT_QUANTILE: f64 = 0.95;
+/// A call is made only with at least this quantile of the observed latency left, but no more than this fraction of the
+/// time budget is asked for.
+const REQUIRED_TIME_QUANTILE: f64 = 0.9;
+const MAX_REQUIRED_RATIO: f64 = 0.5;
+/// The required time before any latency is known.
+const MIN_REQUIRED_TIME: Time = Time(1);
+/// Failures of the last second that are taken for overload. With each failure counted, calls of which one in forty
+/// straggles held the limit at half.
+const OVERLOAD_THRESHOLD: FailureThreshold = FailureThreshold {
+    ratio: 0.1,
+    min_calls: 20.0,
+};
+/// The round trip within which the limit decreases once, before any latency is known.
+const INITIAL_ROUND_TRIP: Time = Time(100);
 
 /// Whether a call may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    Granted {
-        probe: bool,
-    },
-    /// The limit is reached.
+    /// It may, as this kind of call.
+    Granted(CallKind),
+    /// The limit on calls in flight or the rate is reached.
     LimitReached,
-    /// The breaker lets nothing through.
+    /// The circuit breaker admits no calls.
     CircuitOpen,
 }
 
-/// How a call that was in hand ended, as the gate learns of it.
+/// What the end of a call says about the dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSignal {
+    /// It succeeded.
     Success,
-    /// It failed, which says nothing of the load.
+    /// It failed, which says nothing about the load.
     Failure,
-    /// It got no answer in time, or was turned away.
+    /// It was rejected, or timed out after a fair time.
     Overload,
-    /// It says nothing of the dependency.
+    /// It says nothing about the dependency.
     Ignored,
 }
 
-/// Sums since they were last taken, for the log.
+/// The end of a call, as the gate learns from it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CallObservation {
+    /// How the call was admitted.
+    pub kind: CallKind,
+    /// What its end says.
+    pub signal: CallSignal,
+    /// Jitters the backoff where the circuit breaker opens by it.
+    pub draw: UniformDraw,
+}
+
+/// What is known of a call at the dependency once this instance no longer listens to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallEnd {
+    /// It no longer runs there.
+    Stopped,
+    /// It may go on running, for at most the grace period of the dependency.
+    MayStillRun,
+}
+
+/// Counters since they were last taken, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounters {
+    /// First calls of a step.
     pub first_attempts: u64,
+    /// Second calls beside a slow one.
     pub hedges: u64,
+    /// Calls after one that failed.
     pub retries: u64,
+    /// Calls that succeeded.
     pub successes: u64,
+    /// Calls that failed, or showed overload.
     pub failures: u64,
-    /// Not answered within the time given.
+    /// Calls not answered within the time given.
     pub timeouts: u64,
-    /// Parts that found the limit reached and no room to wait, or the breaker open.
+    /// Parts that found the limit reached and could not wait.
     pub limit_reached: u64,
+    /// Parts that found the circuit breaker open.
     pub circuit_open: u64,
 }
 
-/// Calls that a former life may have sent just now.
-fn blank(now: Time, of: &Dependency, calls: usize) -> Vec<Rc<SendTimestamp>> {
-    let stamp = || {
-        let stamp = Rc::new(of.issue_timestamp());
-        stamp.record_send(now);
-        stamp
+/// Calls in flight that the previous incarnation may have left.
+#[derive(Clone, Copy, Debug)]
+struct OrphanedCalls {
+    calls: usize,
+    until: Time,
+}
+
+impl OrphanedCalls {
+    fn count(&self, now: Time) -> usize {
+        if self.until > now {
+            self.calls
+        } else {
+            0
+        }
+    }
+}
+
+/// Timestamps of as many calls as may have been sent just now.
+fn assumed_sends(now: Time, dependency: &Dependency, calls: usize) -> Vec<Rc<SendTimestamp>> {
+    let sent_now = || {
+        let timestamp = Rc::new(dependency.issue_timestamp());
+        timestamp.record_send(now);
+        timestamp
     };
-    std::iter::repeat_with(stamp).take(calls).collect()
+    std::iter::repeat_with(sent_now).take(calls).collect()
 }
 
+fn limit_range(dependency: &Dependency, safeguards: Safeguards) -> LimitRange {
+    LimitRange {
+        min: dependency.min_limit,
+        max: dependency.max_calls,
+        adaptive: safeguards.adapt,
+    }
+}
+
+/// The gate of one dependency: limits, circuit breaker, observed latency, retry budget and queues.
 #[derive(Debug)]
 pub struct DependencyGate {
+    /// The dependency's configuration.
     pub spec: Rc<Dependency>,
+    /// The adaptive limit on calls in flight.
     pub limit: ConcurrencyLimiter,
-    pub breaker: CircuitBreaker,
-    pub latency: LatencyTracker,
-    pub retries: RetryBudget,
-    pub waiting: VecDeque<(RequestId, usize)>,
-    /// Calls whose second one waits for a place, before all that waits for its first.
-    pub hedging: VecDeque<CallId>,
+    /// Counters for the log, to be taken by whoever writes it.
     pub counters: GateCounters,
-    in_hand: usize,
-    lingering: Vec<Time>,
-    /// Calls of the last window, where there is a rate.
-    sent: Vec<Rc<SendTimestamp>>,
-    /// Calls of a former life of this instance, and when they are over.
-    ghosts: (usize, Time),
-    limited: bool,
-    /// What waited when the file was last read anew, whatever it now allows.
-    waited: usize,
-    /// The limit that the log was last told.
-    told: usize,
+    pub(crate) latency: LatencyTracker,
+    pub(crate) retry_budget: RetryBudget,
+    /// Parts that wait for their first call, oldest first.
+    pub(crate) wait_queue: VecDeque<PartId>,
+    /// Calls whose hedge waits for capacity, ahead of all that wait for a first call.
+    pub(crate) hedge_queue: VecDeque<CallId>,
+    breaker: CircuitBreaker,
+    /// Calls that this instance still listens to.
+    active_calls: usize,
+    /// When each abandoned call has ended at the latest.
+    abandoned_until: Vec<Time>,
+    /// Calls that count against the rate, where there is one.
+    sends: Vec<Rc<SendTimestamp>>,
+    orphans: OrphanedCalls,
+    limit_enabled: bool,
+    /// Parts that waited at the last reconfiguration, whatever is allowed since.
+    waiting_at_reconfiguration: usize,
+    /// The limit that the log last showed.
+    last_reported_limit: usize,
 }
 
 impl DependencyGate {
-    /// `restarted`: whether a former life of this instance may have left calls there.
-    pub fn new(now: Time, spec: Rc<Dependency>, defences: Safeguards, restarted: bool) -> Self {
-        // What a former life may have left is kept back of a share that is lent before it is lent again.
-        let blind = restarted && defences.limit && defences.restart && spec.leased_calls.is_none();
-        let former = restarted && defences.restart && spec.leased_rate.is_none();
-        let ghosts = if blind {
-            (spec.max_calls, now + spec.post_cancel_grace)
+    /// A gate that knows nothing of its dependency yet. After a restart it counts what the previous incarnation may
+    /// have left running.
+    pub fn new(now: Time, spec: Rc<Dependency>, safeguards: Safeguards, startup: Startup) -> Self {
+        // Where a quota is leased, the lease manager holds back what a previous incarnation may still use.
+        let counts_orphans = startup == Startup::Restarted && safeguards.restart;
+        let assumes_calls = counts_orphans && safeguards.limit && spec.leased_calls.is_none();
+        let assumes_rate = counts_orphans && spec.leased_rate.is_none();
+        let orphans = if assumes_calls {
+            OrphanedCalls {
+                calls: spec.max_calls,
+                until: now + spec.post_cancel_grace,
+            }
         } else {
-            (0, now)
+            OrphanedCalls {
+                calls: 0,
+                until: now,
+            }
         };
+        let assumed_rate = spec.max_rate.filter(|_| assumes_rate).unwrap_or(0);
         DependencyGate {
-            limit: ConcurrencyLimiter::new(spec.min_limit, spec.max_calls, defences.adapt),
-            breaker: CircuitBreaker::new(now, defences.breaker),
+            limit: ConcurrencyLimiter::new(limit_range(&spec, safeguards)),
+            breaker: CircuitBreaker::new(now, safeguards.breaker),
             latency: LatencyTracker::new(now),
-            retries: RetryBudget::new(spec.retry_ratio),
-            waiting: VecDeque::new(),
-            hedging: VecDeque::new(),
+            retry_budget: RetryBudget::new(spec.retry_ratio),
+            wait_queue: VecDeque::new(),
+            hedge_queue: VecDeque::new(),
             counters: GateCounters::default(),
-            in_hand: 0,
-            lingering: Vec::new(),
-            sent: blank(
-                now,
-                &spec,
-                if former {
-                    spec.max_rate.unwrap_or(0)
-                } else {
-                    0
-                },
-            ),
-            ghosts,
-            limited: defences.limit,
-            waited: 0,
-            told: spec.max_calls,
+            active_calls: 0,
+            abandoned_until: Vec::new(),
+            sends: assumed_sends(now, &spec, assumed_rate),
+            orphans,
+            limit_enabled: safeguards.limit,
+            waiting_at_reconfiguration: 0,
+            last_reported_limit: spec.max_calls,
             spec,
         }
     }
 
-    /// The file was read anew; what was learned stays, what is held still counts.
-    pub fn renew(&mut self, now: Time, spec: Rc<Dependency>, defences: Safeguards) {
-        // Calls before there was a rate were not noted: as many as it allows may have gone out just now.
+    /// Installs another configuration; what was learned stays, and what is in flight still counts.
+    pub fn reconfigure(&mut self, now: Time, spec: Rc<Dependency>, safeguards: Safeguards) {
+        // Calls were not recorded before there was a rate: as many as it allows may have been sent just now.
         if let Some(rate) = spec.max_rate.filter(|_| self.spec.max_rate.is_none()) {
-            self.sent = blank(now, &spec, rate);
+            self.sends = assumed_sends(now, &spec, rate);
         }
-        self.limit
-            .set(spec.min_limit, spec.max_calls, defences.adapt);
-        self.breaker.enable(defences.breaker);
-        self.retries.set(spec.retry_ratio);
-        self.limited = defences.limit;
-        self.waited = self.waiting.len();
+        self.limit.set_range(limit_range(&spec, safeguards));
+        self.breaker.set_enabled(safeguards.breaker);
+        self.retry_budget.set_ratio(spec.retry_ratio);
+        self.limit_enabled = safeguards.limit;
+        self.waiting_at_reconfiguration = self.wait_queue.len();
         self.spec = spec;
     }
 
+    /// Calls that may be running at the dependency now.
     pub fn in_flight(&self, now: Time) -> usize {
-        let lingering = self.lingering.iter().filter(|end| **end > now).count();
-        let ghosts = if self.ghosts.1 > now {
-            self.ghosts.0
-        } else {
-            0
-        };
-        self.in_hand + lingering + ghosts
+        let abandoned = self
+            .abandoned_until
+            .iter()
+            .filter(|until| **until > now)
+            .count();
+        self.active_calls + abandoned + self.orphans.count(now)
     }
 
-    /// The limit follows a share that was lent, and adapts below it.
-    pub fn follow(&mut self, now: Time) {
-        if let Some(lent) = &self.spec.leased_calls {
-            self.limit.follow(lent.units(now));
+    /// Sets the limit's maximum to the leased number of calls, where it is leased.
+    pub fn apply_lease(&mut self, now: Time) {
+        if let Some(lease) = &self.spec.leased_calls {
+            self.limit.set_max(lease.units(now));
         }
     }
 
-    /// Calls that went out in the last window.
-    pub fn sent_lately(&self, now: Time) -> usize {
-        self.sent
+    /// Calls that count against the rate now.
+    pub fn recently_sent(&self, now: Time) -> usize {
+        self.sends
             .iter()
-            .filter(|stamp| stamp.counted_until() > now)
+            .filter(|timestamp| timestamp.counted_until() > now)
             .count()
     }
 
-    /// Calls that may go out in a window.
-    fn rate(&self, now: Time) -> usize {
+    /// Calls that may be sent within the rate window.
+    fn max_rate(&self, now: Time) -> usize {
         match (&self.spec.leased_rate, self.spec.max_rate) {
-            (Some(lent), _) => lent.units(now),
+            (Some(lease), _) => lease.units(now),
             (None, Some(rate)) => rate,
             (None, None) => usize::MAX,
         }
     }
 
-    /// Calls that could be in use now: those held and what waits, but no more than the limit would let out.
-    pub fn need(&self, now: Time) -> usize {
-        let wanted = self.in_flight(now) + self.waiting.len() + self.hedging.len();
-        if self.limit.is_full() {
+    /// Calls that could be in flight now: those that are and those that wait, but no more than the limit would admit.
+    pub fn needed_calls(&self, now: Time) -> usize {
+        let wanted = self.in_flight(now) + self.wait_queue.len() + self.hedge_queue.len();
+        if self.limit.is_at_max() {
             wanted
         } else {
             wanted.min(self.limit.calls() + 1)
         }
     }
 
-    /// The most that may wait now.
-    pub fn most_waiting(&self) -> usize {
-        self.spec.max_waiting.max(self.waited)
+    /// The largest number of parts that may wait now.
+    pub fn max_waiting(&self) -> usize {
+        self.spec.max_waiting.max(self.waiting_at_reconfiguration)
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    /// Calls that this instance still listens to.
+    pub fn active_calls(&self) -> usize {
+        self.active_calls
     }
 
-    /// When the next held call is over by itself.
-    pub fn frees(&self, now: Time) -> Option<Time> {
-        let sent = self
-            .sent
+    /// When the next call that nobody listens to ceases to count.
+    pub fn next_release(&self, now: Time) -> Option<Time> {
+        let sends = self
+            .sends
             .iter()
-            .map(|stamp| stamp.counted_until())
-            .filter(|end| *end < Time::MAX);
-        let ends = self
-            .lingering
+            .map(|timestamp| timestamp.counted_until())
+            .filter(|until| *until < Time::MAX);
+        self.abandoned_until
             .iter()
             .copied()
-            .chain([self.ghosts.1])
-            .chain(sent);
-        ends.filter(|end| *end > now).min()
+            .chain([self.orphans.until])
+            .chain(sends)
+            .filter(|until| *until > now)
+            .min()
     }
 
-    pub fn verdict(&self, now: Time) -> Permit {
-        let probe = match self.breaker.pass(now) {
-            Pass::No => return Permit::CircuitOpen,
-            pass => pass == Pass::Probe,
+    /// Whether a call may be made now. A permit is not reserved: it holds until the next input.
+    pub fn request_permit(&self, now: Time) -> Permit {
+        let Some(kind) = self.breaker.admits(now) else {
+            return Permit::CircuitOpen;
         };
-        let held = self.in_flight(now);
-        let lent = self
+        let in_flight = self.in_flight(now);
+        let leased = self
             .spec
             .leased_calls
             .as_ref()
-            .map_or(usize::MAX, |lent| lent.units(now));
-        if self.sent_lately(now) + 1 > self.rate(now) {
-            return Permit::LimitReached;
-        }
-        if held + 1 > lent || self.limited && held + 1 > self.limit.calls() {
-            return Permit::LimitReached;
+            .map_or(usize::MAX, |lease| lease.units(now));
+        let exceeds_rate = self.recently_sent(now) + 1 > self.max_rate(now);
+        let exceeds_lease = in_flight + 1 > leased;
+        let exceeds_limit = self.limit_enabled && in_flight + 1 > self.limit.calls();
+        if exceeds_rate || exceeds_lease || exceeds_limit {
+            Permit::LimitReached
+        } else {
+            Permit::Granted(kind)
         }
-        Permit::Granted { probe }
     }
 
-    /// Whether a call may be made again: nobody waits, the breaker is closed, and the retry budget pays.
-    pub fn again(&mut self, now: Time) -> bool {
-        self.waiting.is_empty()
-            && self.verdict(now) == (Permit::Granted { probe: false })
-            && self.retries.take()
+    /// Whether a call may be retried: nobody waits, the breaker is closed, and the retry budget pays, which it does
+    /// where this returns true.
+    pub fn try_retry(&mut self, now: Time) -> bool {
+        self.wait_queue.is_empty()
+            && self.request_permit(now) == Permit::Granted(CallKind::Regular)
+            && self.retry_budget.try_withdraw()
     }
 
-    /// A call goes out; true if the breaker changed its stage by it.
-    pub fn sent(&mut self, now: Time, probe: bool, stamp: &Rc<SendTimestamp>) -> bool {
-        self.in_hand += 1;
+    /// Records that a call is issued. Returns the breaker's state if it changed by this.
+    pub fn record_issue(
+        &mut self,
+        now: Time,
+        kind: CallKind,
+        timestamp: &Rc<SendTimestamp>,
+    ) -> Option<CircuitState> {
+        let before = self.circuit_state();
+        self.active_calls += 1;
         if self.spec.max_rate.is_some() {
-            self.sent.retain(|stamp| stamp.counted_until() > now);
-            self.sent.push(stamp.clone());
+            self.sends
+                .retain(|timestamp| timestamp.counted_until() > now);
+            self.sends.push(timestamp.clone());
+        }
+        if kind == CallKind::Probe {
+            self.breaker.record_probe_sent();
         }
-        probe && self.breaker.probing()
+        self.state_if_changed(before)
     }
 
-    /// The limit before and now, where it changed since this was last asked.
+    /// The limit when this was last asked and now, where it changed in between.
     pub fn take_limit_change(&mut self) -> Option<(usize, usize)> {
-        let before = std::mem::replace(&mut self.told, self.limit.calls());
-        (before != self.told).then_some((before, self.told))
+        let before = std::mem::replace(&mut self.last_reported_limit, self.limit.calls());
+        let now = self.last_reported_limit;
+        (before != now).then_some((before, now))
     }
 
-    /// A call is in hand no more; where it `goes_on`, it is held for as long as it may.
-    pub fn over(&mut self, now: Time, goes_on: bool) {
-        self.in_hand -= 1;
-        self.lingering.retain(|end| *end > now);
-        if goes_on {
-            self.lingering.push(now + self.spec.post_cancel_grace);
+    /// Records that this instance no longer listens to a call.
+    pub fn finish_call(&mut self, now: Time, end: CallEnd) {
+        self.active_calls -= 1;
+        self.abandoned_until.retain(|until| *until > now);
+        if end == CallEnd::MayStillRun {
+            self.abandoned_until.push(now + self.spec.post_cancel_grace);
         }
     }
 
-    /// Learns from a call; true if the breaker changed its stage. `draw` from 0 to 1, evenly.
-    pub fn learn(&mut self, now: Time, probe: bool, learnt: CallSignal, draw: f64) -> bool {
-        let before = std::mem::discriminant(&self.breaker.stage());
-        let round = self.latency.usual().unwrap_or(FIRST_ROUND);
-        match learnt {
-            CallSignal::Success => {
-                let held = self.in_flight(now) + 1;
-                self.counters.successes += 1;
-                self.limit.well(now, self.latency.gradient(), held, round);
-                if self.breaker.ended(now, probe, true, draw) {
-                    self.limit.restart();
-                }
-            }
+    /// Learns from the end of a call. Returns the breaker's state if it changed by this.
+    pub fn observe(&mut self, now: Time, observation: CallObservation) -> Option<CircuitState> {
+        let before = self.circuit_state();
+        let CallObservation { kind, signal, draw } = observation;
+        match signal {
+            CallSignal::Success => self.observe_success(now, kind, draw),
             CallSignal::Failure | CallSignal::Overload => {
                 self.counters.failures += 1;
-                self.breaker.ended(now, probe, false, draw);
-                // Single failures are no overload; nor do they fit a limit that falls by a part for each.
-                if learnt == CallSignal::Overload && self.breaker.failing(now, FEW) >= TOLERATED {
-                    self.limit.overload(now, round);
+                self.breaker.record(now, kind, CallHealth::Failure, draw);
+                // Single failures are no overload; nor do they suit a limit that decreases by a factor for each.
+                let is_overload = signal == CallSignal::Overload
+                    && self.breaker.has_reached(OVERLOAD_THRESHOLD, now);
+                if is_overload {
+                    self.limit.record_overload(now, self.round_trip());
                 }
             }
-            CallSignal::Ignored => self.breaker.no_word(probe),
+            CallSignal::Ignored => self.breaker.record_ignored(kind),
         }
-        before != std::mem::discriminant(&self.breaker.stage())
+        self.state_if_changed(before)
+    }
+
+    fn observe_success(&mut self, now: Time, kind: CallKind, draw: UniformDraw) {
+        let was_closed = self.circuit_state() == CircuitState::Closed;
+        let sample = SuccessSample {
+            latency_gradient: self.latency.gradient(),
+            in_flight: self.in_flight(now) + 1,
+            round_trip: self.round_trip(),
+        };
+        self.counters.successes += 1;
+        self.limit.record_success(now, &sample);
+        self.breaker.record(now, kind, CallHealth::Success, draw);
+        if !was_closed && self.circuit_state() == CircuitState::Closed {
+            self.limit.restart();
+        }
+    }
+
+    fn round_trip(&self) -> Time {
+        self.latency.baseline().unwrap_or(INITIAL_ROUND_TRIP)
+    }
+
+    /// The breaker's state, where it is another than `before`; how long it stays open or how many probes succeeded makes
+    /// no other state.
+    fn state_if_changed(&self, before: CircuitState) -> Option<CircuitState> {
+        let state = self.circuit_state();
+        (std::mem::discriminant(&before) != std::mem::discriminant(&state)).then_some(state)
     }
 
-    /// Whether a call that got this long without an answer had a fair chance.
-    pub fn fair(&mut self, given: Time) -> bool {
-        let usual = self.latency.quantile(FAIR);
-        given
-            >= usual
-                .unwrap_or(self.spec.time_budget)
-                .min(self.spec.time_budget)
+    /// Whether a call that was given `time` without an answer had a fair chance to be answered.
+    pub fn is_fair_timeout(&mut self, time: Time) -> bool {
+        let quantile = self.latency.quantile(FAIR_TIMEOUT_QUANTILE);
+        let budget = self.spec.time_budget;
+        time >= quantile.unwrap_or(budget).min(budget)
     }
 
-    /// The time that a call must be given to be worth making: what nearly all need. A call sent with less fails by
-    /// its sender's fault and teaches nothing, and a queue of such calls keeps a low limit low for ever.
-    pub fn needs(&mut self) -> Time {
-        let nearly = self
+    /// The time that a call must be given to be worth making: what nearly all need. A call made with less fails by its
+    /// caller's fault and teaches nothing, and a queue of such calls keeps a low limit low for ever.
+    pub fn required_time(&mut self) -> Time {
+        let usual = self
             .latency
-            .quantile(NEARLY)
-            .or(self.latency.usual())
-            .unwrap_or(Time(1));
-        nearly.min(self.spec.time_budget.scaled(MOST_NEEDED))
+            .quantile(REQUIRED_TIME_QUANTILE)
+            .or(self.latency.baseline())
+            .unwrap_or(MIN_REQUIRED_TIME);
+        usual.min(self.spec.time_budget.scaled(MAX_REQUIRED_RATIO))
     }
 
-    /// After how long a second call is made, where it is.
-    pub fn hedge_after(&mut self) -> Option<Time> {
+    /// The time after which a call is hedged; `None` where it is not.
+    pub fn hedge_delay(&mut self) -> Option<Time> {
         let quantile = self.spec.hedge_quantile?;
         self.latency.quantile(quantile)
     }
 
+    /// The circuit breaker's state.
     pub fn circuit_state(&self) -> CircuitState {
-        self.breaker.stage()
+        self.breaker.state()
     }
 }
--- a/crates/dependency/src/latency.rs
+++ b/crates/dependency/src/latency.rs
@@ -1,100 +1,146 @@
-//! What was learned of a dependency's latency: quantiles over the last one to two spans, and how the recent mean
-//! stands to the usual one.
+//! The observed latency of one dependency: quantiles over the last one to two windows (two HDR histograms in turn), and
+//! the ratio of a recent mean to a slowly moving baseline.
 use cottondyke_types::Time;
 use hdrhistogram::Histogram;
 
-/// Half of the time over which quantiles look back.
-const SPAN: Time = Time(50_000);
-/// Calls that must have ended before a quantile is believed.
-const ENOUGH: u64 = 30;
-/// The longest time that is told apart, in tenths of a millisecond.
-const LONGEST: u64 = 600_000;
-/// A quantile is reckoned anew after this many further calls. Each is asked for at every call; without this, and
-/// with one place for all of them, it was a seventh of what a page costs.
-const STALE: u64 = 32;
-/// Weights of the newest in the recent mean, and in the usual one as it falls and as it rises.
-const RECENT: f64 = 0.1;
-const FALLS: f64 = 0.02;
-const RISES: f64 = 0.005;
+/// Half of the longest time over which quantiles look back.
+const HISTOGRAM_WINDOW: Time = Time(50_000);
+/// Calls that must have been recorded before a quantile is used.
+const MIN_SAMPLES: u64 = 30;
+/// The longest latency that is told apart, in tenths of a millisecond.
+const MAX_LATENCY: u64 = 600_000;
+/// Significant decimal digits of the histograms.
+const HISTOGRAM_DIGITS: u8 = 2;
+/// A quantile is computed anew after this many further calls. Each is asked for at every call; without this cache, and
+/// with one slot for all quantiles, computing them was a seventh of what an aggregation costs.
+const MAX_CACHED_SAMPLES: u64 = 32;
+/// Weight of the newest sample in the recent mean, an exponentially weighted moving average.
+const RECENT_WEIGHT: f64 = 0.1;
+/// Weights of the newest sample in the baseline, where it lies below the baseline and where it lies above.
+const BASELINE_WEIGHT_BELOW: f64 = 0.02;
+const BASELINE_WEIGHT_ABOVE: f64 = 0.005;
 
+/// The latency of a call that succeeded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LatencySample {
+    /// From the call to its reply.
+    pub latency: Time,
+    /// Whether the reply came while the call was still awaited.
+    pub in_time: bool,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct CachedQuantile {
+    quantile: f64,
+    /// Samples recorded when it was computed.
+    samples: u64,
+    value: Time,
+}
+
+/// Tracks the latency of the calls to one dependency.
 #[derive(Clone, Debug)]
 pub struct LatencyTracker {
-    newer: Histogram<u32>,
-    older: Histogram<u32>,
-    turned: Time,
-    /// Quantiles that were asked for: the part, the count of calls by then, the time.
-    cached: Vec<(f64, u64, Time)>,
+    current: Histogram<u32>,
+    previous: Histogram<u32>,
+    /// When the current histogram was begun.
+    rotated_at: Time,
+    cached_quantiles: Vec<CachedQuantile>,
+    /// Recent mean and baseline, in tenths of a millisecond; 0 before the first sample.
     recent: f64,
-    usual: f64,
+    baseline: f64,
 }
 
 impl LatencyTracker {
+    /// A tracker without samples.
     pub fn new(now: Time) -> Self {
-        // Two significant digits suffice, and the bounds are constants that fit.
-        let new = || Histogram::new_with_bounds(1, LONGEST, 2).expect("constant bounds");
+        let histogram = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY, HISTOGRAM_DIGITS)
+                .expect("the constant bounds are valid")
+        };
         LatencyTracker {
-            newer: new(),
-            older: new(),
-            turned: now,
-            cached: Vec::new(),
+            current: histogram(),
+            previous: histogram(),
+            rotated_at: now,
+            cached_quantiles: Vec::new(),
             recent: 0.0,
-            usual: 0.0,
+            baseline: 0.0,
         }
     }
 
-    /// Learns of a call that ended well. Quantiles are of those that ended `in_time`: those of a slow spell would
-    /// put hedging off until long after it.
-    pub fn learn(&mut self, now: Time, time: Time, in_time: bool) {
-        if now - self.turned >= SPAN {
-            std::mem::swap(&mut self.newer, &mut self.older);
-            self.newer.reset();
-            self.turned = now;
-            self.cached.clear();
+    /// Records a call that succeeded. Quantiles are of the calls that ended in time: those of a slow period would put
+    /// hedging off until long after it.
+    pub fn record(&mut self, now: Time, sample: LatencySample) {
+        if now - self.rotated_at >= HISTOGRAM_WINDOW {
+            std::mem::swap(&mut self.current, &mut self.previous);
+            self.current.reset();
+            self.rotated_at = now;
+            self.cached_quantiles.clear();
         }
-        if in_time {
-            self.newer
-                .saturating_record(time.0.clamp(1, LONGEST as i64) as u64);
+        if sample.in_time {
+            let value = sample.latency.0.clamp(1, MAX_LATENCY as i64) as u64;
+            self.current.saturating_record(value);
         }
-        let t = time.as_f64().max(1.0);
-        if self.usual == 0.0 {
-            (self.recent, self.usual) = (t, t);
+        self.update_means(sample.latency.as_f64().max(1.0));
+    }
+
+    fn update_means(&mut self, latency: f64) {
+        if self.baseline == 0.0 {
+            self.recent = latency;
+            self.baseline = latency;
         }
-        self.recent += (t - self.recent) * RECENT;
-        let weight = if t < self.usual { FALLS } else { RISES };
-        self.usual += (t - self.usual) * weight;
+        self.recent += (latency - self.recent) * RECENT_WEIGHT;
+        let weight = if latency < self.baseline {
+            BASELINE_WEIGHT_BELOW
+        } else {
+            BASELINE_WEIGHT_ABOVE
+        };
+        self.baseline += (latency - self.baseline) * weight;
     }
 
-    /// The time within which this part of the calls ended, once enough have.
-    pub fn quantile(&mut self, part: f64) -> Option<Time> {
-        let count = self.newer.len() + self.older.len();
-        if count < ENOUGH {
+    /// The latency that this fraction of the calls did not exceed; `None` until enough calls were recorded.
+    pub fn quantile(&mut self, quantile: f64) -> Option<Time> {
+        let samples = self.current.len() + self.previous.len();
+        if samples < MIN_SAMPLES {
             return None;
         }
-        let known = self.cached.iter().position(|(of, _, _)| *of == part);
-        if let Some((_, at, time)) = known.map(|place| self.cached[place]) {
-            if count - at.min(count) < STALE {
-                return Some(time);
+        let slot = self
+            .cached_quantiles
+            .iter()
+            .position(|cached| cached.quantile == quantile);
+        if let Some(cached) = slot.map(|slot| self.cached_quantiles[slot]) {
+            if samples.saturating_sub(cached.samples) < MAX_CACHED_SAMPLES {
+                return Some(cached.value);
             }
         }
-        let mut all = self.older.clone();
-        let _ = all.add(&self.newer);
-        let time = Time(all.value_at_quantile(part.clamp(0.0, 1.0)) as i64);
-        match known {
-            Some(place) => self.cached[place] = (part, count, time),
-            None => self.cached.push((part, count, time)),
+        let value = self.compute_quantile(quantile);
+        let computed = CachedQuantile {
+            quantile,
+            samples,
+            value,
+        };
+        match slot {
+            Some(slot) => self.cached_quantiles[slot] = computed,
+            None => self.cached_quantiles.push(computed),
         }
-        Some(time)
+        Some(value)
+    }
+
+    fn compute_quantile(&self, quantile: f64) -> Time {
+        let mut all = self.previous.clone();
+        // Adding can fail only for histograms of different bounds.
+        let _ = all.add(&self.current);
+        Time(all.value_at_quantile(quantile.clamp(0.0, 1.0)) as i64)
     }
 
-    /// The usual time of a call; none before the first.
-    pub fn usual(&self) -> Option<Time> {
-        (self.usual > 0.0).then_some(Time(self.usual as i64))
+    /// The usual latency of a call; `None` before the first sample.
+    pub fn baseline(&self) -> Option<Time> {
+        (self.baseline > 0.0).then_some(Time(self.baseline as i64))
     }
 
-    /// How many times longer than usual calls take of late.
+    /// Recent latency as a multiple of the baseline; 1 before the first sample.
     pub fn gradient(&self) -> f64 {
-        if self.usual > 0.0 {
-            self.recent / self.usual
+        if self.baseline > 0.0 {
+            self.recent / self.baseline
         } else {
             1.0
         }
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -6,15 +6,11 @@
 //! fall-backs in their order. Between a part and a dependency stands the dependency's `DependencyGate`: an adaptive
 //! concurrency limit, a circuit breaker, what was learned of its latency, and the retry budget from which hedges
 //! and repeats are paid.
-#![expect(
-    missing_docs,
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
 
 pub mod aggregator;
 pub mod circuit_breaker;
 pub mod concurrency_limiter;
+mod error;
 pub mod gate;
 pub mod latency;
 pub mod lease;
@@ -24,9 +20,10 @@
 pub mod stale_cache;
 
 pub use aggregator::Aggregator;
+pub use error::InvariantViolation;
 pub use lease::{LeasedQuota, SendTimestamp, RATE_WINDOW};
 pub use messages::{
     Action, AggregationRequest, AggregationResult, CallId, CallResult, DependencyUsage, PartId,
-    PartResult, PartSource,
+    PartResult, PartSource, Startup,
 };
 pub use plan::{Aggregation, Dependency, Fallback, PartSpec, Plan, Safeguards, RESERVE};
--- a/crates/dependency/src/messages.rs
+++ b/crates/dependency/src/messages.rs
@@ -18,6 +18,15 @@
     pub index: usize,
 }
 
+/// Whether this instance ran before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Startup {
+    /// No previous incarnation can have left calls at the dependencies.
+    First,
+    /// A previous incarnation of this instance may have left calls running at the dependencies.
+    Restarted,
+}
+
 /// A request that is to be answered by an aggregation.
 #[derive(Clone, Debug)]
 pub struct AggregationRequest {
--- a/crates/dependency/src/retry_budget.rs
+++ b/crates/dependency/src/retry_budget.rs
@@ -1,36 +1,39 @@
-//! The retry budget: a token bucket that first calls fill and extra calls empty (as in Finagle's `RetryBudget`,
-//! without its minimum a second). So at every moment extra calls are at most a part of first calls.
+//! The retry budget: a token bucket that first calls fill and extra calls empty (as in Finagle's `RetryBudget`, without
+//! its minimum a second). So at every moment extra calls are at most a fraction of first calls.
 
+/// Tokens that the bucket holds at most: a burst of failures after a long calm finds no more than these.
+const MAX_TOKENS: f64 = 10.0;
+
+/// The budget of extra calls (hedges and retries) to one dependency.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    part: f64,
+    ratio: f64,
     tokens: f64,
 }
 
-/// Tokens that are saved up at the most: a burst of failures after a long calm finds no more than these.
-const MOST: f64 = 10.0;
-
 impl RetryBudget {
-    /// `part`: tokens that a first call brings; an extra call takes one.
-    pub fn new(part: f64) -> Self {
+    /// An empty budget. A first call deposits `ratio` tokens; an extra call costs one.
+    pub fn new(ratio: f64) -> Self {
         RetryBudget {
-            part: part.max(0.0),
+            ratio: ratio.max(0.0),
             tokens: 0.0,
         }
     }
 
-    pub fn set(&mut self, part: f64) {
-        self.part = part.max(0.0);
+    /// Changes what a first call deposits.
+    pub fn set_ratio(&mut self, ratio: f64) {
+        self.ratio = ratio.max(0.0);
     }
 
-    pub fn first(&mut self) {
-        self.tokens = (self.tokens + self.part).min(MOST.max(self.part));
+    /// Records a first call.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS.max(self.ratio));
     }
 
-    /// Pays for an extra call; false where it cannot be paid for.
-    pub fn take(&mut self) -> bool {
-        let can = self.tokens >= 1.0;
-        self.tokens -= f64::from(can);
-        can
+    /// Pays for an extra call; false, and nothing is taken, where the budget does not suffice.
+    pub fn try_withdraw(&mut self) -> bool {
+        let suffices = self.tokens >= 1.0;
+        self.tokens -= f64::from(suffices);
+        suffices
     }
 }
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -268,7 +268,7 @@
             panic!("{wrong}");
         }
         assert_eq!(self.pages.open_runs(), self.runs.len());
-        assert!(self.pages.kept_bytes() <= self.plan.stale_cache_bytes);
+        assert!(self.pages.cached_bytes() <= self.plan.stale_cache_bytes);
     }
 
     /// Another file: other pages and budgets, and sometimes a dependency less, or again one more.
