--- a/crates/dependency/src/aggregator/call.rs
+++ b/crates/dependency/src/aggregator/call.rs
@@ -2,7 +2,7 @@
 use super::state::{Call, GateId, Phase, Timer};
 use super::{gate_changed, Aggregator};
 use crate::circuit_breaker::{CallKind, UniformDraw};
-use crate::gate::{CallEnd, CallObservation, CallSignal, DependencyGate};
+use crate::gate::{CallObservation, CallSignal, DependencyGate};
 use crate::latency::LatencySample;
 use crate::messages::{Action, CallId, CallResult, PartId, PartSource};
 use crate::stale_cache::CacheKey;
@@ -103,14 +103,14 @@
             return Vec::new();
         };
         call.timestamp.finish();
-        let end = if result == CallResult::TimedOut {
-            CallEnd::MayStillRun
-        } else {
-            CallEnd::Stopped
-        };
+        let may_still_run = result == CallResult::TimedOut;
         if let Some(gate) = self.gates.get_mut(&call.gate) {
             gate.hedge_queue.retain(|other| *other != id);
-            gate.finish_call(now, end);
+            if may_still_run {
+                gate.abandon_call(now);
+            } else {
+                gate.finish_call(now);
+            }
             if matches!(result, CallResult::Success(_)) {
                 let sample = LatencySample {
                     latency: now - call.issued_at,
@@ -119,7 +119,7 @@
                 gate.latency.record(now, sample);
             }
         }
-        if end == CallEnd::MayStillRun {
+        if may_still_run {
             self.schedule_release(now, call.gate);
         }
         if !call.is_abandoned {
@@ -236,7 +236,7 @@
             call.timestamp.finish();
         }
         if let Some(gate) = self.gates.get_mut(&gate_id) {
-            gate.finish_call(now, CallEnd::MayStillRun);
+            gate.abandon_call(now);
         }
         self.schedule_release(now, gate_id);
     }
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -5,11 +5,13 @@
     CallHealth, CallKind, CircuitBreaker, CircuitState, FailureThreshold, UniformDraw,
 };
 use crate::concurrency_limiter::{ConcurrencyLimiter, LimitRange, SuccessSample};
+use crate::in_flight::{CallEnd, InFlightCalls};
 use crate::latency::LatencyTracker;
 use crate::lease::SendTimestamp;
 use crate::messages::{CallId, PartId, Startup};
 use crate::plan::{Dependency, Safeguards};
 use crate::retry_budget::RetryBudget;
+use crate::send_window::SendWindow;
 use cottondyke_types::Time;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -67,15 +69,6 @@
     pub draw: UniformDraw,
 }
 
-/// What is known of a call at the dependency once this instance no longer listens to it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// It no longer runs there.
-    Stopped,
-    /// It may go on running, for at most the grace period of the dependency.
-    MayStillRun,
-}
-
 /// Counters since they were last taken, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounters {
@@ -97,33 +90,6 @@
     pub circuit_open: u64,
 }
 
-/// Calls in flight that the previous incarnation may have left.
-#[derive(Clone, Copy, Debug)]
-struct OrphanedCalls {
-    calls: usize,
-    until: Time,
-}
-
-impl OrphanedCalls {
-    fn count(&self, now: Time) -> usize {
-        if self.until > now {
-            self.calls
-        } else {
-            0
-        }
-    }
-}
-
-/// Timestamps of as many calls as may have been sent just now.
-fn assumed_sends(now: Time, dependency: &Dependency, calls: usize) -> Vec<Rc<SendTimestamp>> {
-    let sent_now = || {
-        let timestamp = Rc::new(dependency.issue_timestamp());
-        timestamp.record_send(now);
-        timestamp
-    };
-    std::iter::repeat_with(sent_now).take(calls).collect()
-}
-
 fn limit_range(dependency: &Dependency, safeguards: Safeguards) -> LimitRange {
     LimitRange {
         min: dependency.min_limit,
@@ -148,13 +114,9 @@
     /// Calls whose hedge waits for capacity, ahead of all that wait for a first call.
     pub(crate) hedge_queue: VecDeque<CallId>,
     breaker: CircuitBreaker,
-    /// Calls that this instance still listens to.
-    active_calls: usize,
-    /// When each abandoned call has ended at the latest.
-    abandoned_until: Vec<Time>,
+    in_flight: InFlightCalls,
     /// Calls that count against the rate, where there is one.
-    sends: Vec<Rc<SendTimestamp>>,
-    orphans: OrphanedCalls,
+    sends: SendWindow,
     limit_enabled: bool,
     /// Parts that waited at the last reconfiguration, whatever is allowed since.
     waiting_at_reconfiguration: usize,
@@ -170,16 +132,10 @@
         let counts_orphans = startup == Startup::Restarted && safeguards.restart;
         let assumes_calls = counts_orphans && safeguards.limit && spec.leased_calls.is_none();
         let assumes_rate = counts_orphans && spec.leased_rate.is_none();
-        let orphans = if assumes_calls {
-            OrphanedCalls {
-                calls: spec.max_calls,
-                until: now + spec.post_cancel_grace,
-            }
+        let in_flight = if assumes_calls {
+            InFlightCalls::new(spec.max_calls, now + spec.post_cancel_grace)
         } else {
-            OrphanedCalls {
-                calls: 0,
-                until: now,
-            }
+            InFlightCalls::new(0, now)
         };
         let assumed_rate = spec.max_rate.filter(|_| assumes_rate).unwrap_or(0);
         DependencyGate {
@@ -190,10 +146,8 @@
             wait_queue: VecDeque::new(),
             hedge_queue: VecDeque::new(),
             counters: GateCounters::default(),
-            active_calls: 0,
-            abandoned_until: Vec::new(),
-            sends: assumed_sends(now, &spec, assumed_rate),
-            orphans,
+            in_flight,
+            sends: SendWindow::assume_sent(now, &spec, assumed_rate),
             limit_enabled: safeguards.limit,
             waiting_at_reconfiguration: 0,
             last_reported_limit: spec.max_calls,
@@ -205,7 +159,7 @@
     pub fn reconfigure(&mut self, now: Time, spec: Rc<Dependency>, safeguards: Safeguards) {
         // Calls were not recorded before there was a rate: as many as it allows may have been sent just now.
         if let Some(rate) = spec.max_rate.filter(|_| self.spec.max_rate.is_none()) {
-            self.sends = assumed_sends(now, &spec, rate);
+            self.sends = SendWindow::assume_sent(now, &spec, rate);
         }
         self.limit.set_range(limit_range(&spec, safeguards));
         self.breaker.set_enabled(safeguards.breaker);
@@ -217,12 +171,7 @@
 
     /// Calls that may be running at the dependency now.
     pub fn in_flight(&self, now: Time) -> usize {
-        let abandoned = self
-            .abandoned_until
-            .iter()
-            .filter(|until| **until > now)
-            .count();
-        self.active_calls + abandoned + self.orphans.count(now)
+        self.in_flight.count(now)
     }
 
     /// Sets the limit's maximum to the leased number of calls, where it is leased.
@@ -234,10 +183,7 @@
 
     /// Calls that count against the rate now.
     pub fn recently_sent(&self, now: Time) -> usize {
-        self.sends
-            .iter()
-            .filter(|timestamp| timestamp.counted_until() > now)
-            .count()
+        self.sends.count(now)
     }
 
     /// Calls that may be sent within the rate window.
@@ -266,21 +212,14 @@
 
     /// Calls that this instance still listens to.
     pub fn active_calls(&self) -> usize {
-        self.active_calls
+        self.in_flight.active()
     }
 
     /// When the next call that nobody listens to ceases to count.
     pub fn next_release(&self, now: Time) -> Option<Time> {
-        let sends = self
-            .sends
-            .iter()
-            .map(|timestamp| timestamp.counted_until())
-            .filter(|until| *until < Time::MAX);
-        self.abandoned_until
-            .iter()
-            .copied()
-            .chain([self.orphans.until])
-            .chain(sends)
+        self.in_flight
+            .releases()
+            .chain(self.sends.releases())
             .filter(|until| *until > now)
             .min()
     }
@@ -322,11 +261,9 @@
         timestamp: &Rc<SendTimestamp>,
     ) -> Option<CircuitState> {
         let before = self.circuit_state();
-        self.active_calls += 1;
+        self.in_flight.start();
         if self.spec.max_rate.is_some() {
-            self.sends
-                .retain(|timestamp| timestamp.counted_until() > now);
-            self.sends.push(timestamp.clone());
+            self.sends.record(now, timestamp);
         }
         if kind == CallKind::Probe {
             self.breaker.record_probe_sent();
@@ -341,13 +278,15 @@
         (before != now).then_some((before, now))
     }
 
-    /// Records that this instance no longer listens to a call.
-    pub fn finish_call(&mut self, now: Time, end: CallEnd) {
-        self.active_calls -= 1;
-        self.abandoned_until.retain(|until| *until > now);
-        if end == CallEnd::MayStillRun {
-            self.abandoned_until.push(now + self.spec.post_cancel_grace);
-        }
+    /// Records that a call has ended at the dependency.
+    pub fn finish_call(&mut self, now: Time) {
+        self.in_flight.finish(now, CallEnd::Stopped);
+    }
+
+    /// Records that this instance no longer listens to a call, which may go on running for the grace period.
+    pub fn abandon_call(&mut self, now: Time) {
+        let until = now + self.spec.post_cancel_grace;
+        self.in_flight.finish(now, CallEnd::MayRunUntil(until));
     }
 
     /// Learns from the end of a call. Returns the breaker's state if it changed by this.
--- /dev/null
+++ b/crates/dependency/src/in_flight.rs
@@ -0,0 +1,75 @@
+//! The calls that may be running at one dependency: active ones, abandoned ones within their grace period, and those that
+//! the previous incarnation of this instance may have left.
+use cottondyke_types::Time;
+
+/// What is known of a call at the dependency once this instance no longer listens to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallEnd {
+    /// It no longer runs there.
+    Stopped,
+    /// It may go on running until this time.
+    MayRunUntil(Time),
+}
+
+/// Counts the calls in flight at one dependency.
+#[derive(Clone, Debug)]
+pub struct InFlightCalls {
+    /// Calls that this instance still listens to.
+    active: usize,
+    /// When each abandoned call has ended at the latest.
+    abandoned_until: Vec<Time>,
+    /// Calls that the previous incarnation may have left, and when they have ended at the latest.
+    orphans: usize,
+    orphans_until: Time,
+}
+
+impl InFlightCalls {
+    /// Starts with `orphans` calls of the previous incarnation, which end until `orphans_until` at the latest.
+    pub fn new(orphans: usize, orphans_until: Time) -> Self {
+        InFlightCalls {
+            active: 0,
+            abandoned_until: Vec::new(),
+            orphans,
+            orphans_until,
+        }
+    }
+
+    /// Records that a call is issued.
+    pub fn start(&mut self) {
+        self.active += 1;
+    }
+
+    /// Records that this instance no longer listens to a call.
+    pub fn finish(&mut self, now: Time, end: CallEnd) {
+        self.active -= 1;
+        self.abandoned_until.retain(|until| *until > now);
+        if let CallEnd::MayRunUntil(until) = end {
+            self.abandoned_until.push(until);
+        }
+    }
+
+    /// Calls that this instance still listens to.
+    pub fn active(&self) -> usize {
+        self.active
+    }
+
+    /// Calls that may be running at `now`.
+    pub fn count(&self, now: Time) -> usize {
+        let is_running = |until: &&Time| **until > now;
+        let abandoned = self.abandoned_until.iter().filter(is_running).count();
+        let orphans = if self.orphans_until > now {
+            self.orphans
+        } else {
+            0
+        };
+        self.active + abandoned + orphans
+    }
+
+    /// The times at which calls that nobody listens to cease to count, past ones among them.
+    pub fn releases(&self) -> impl Iterator<Item = Time> + '_ {
+        self.abandoned_until
+            .iter()
+            .copied()
+            .chain([self.orphans_until])
+    }
+}
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -1,22 +1,24 @@
-//! Pages composed from several dependencies, decided without I/O, clock or randomness of its own: time and seed
-//! are arguments, inputs are method calls on `Aggregator`, outputs are `Action`s. `docs/dependencies.md` tells which
-//! options were weighed.
+//! Answers composed from several services, with fallbacks: decided without I/O, clock or randomness of its own. Time and
+//! seed are arguments, inputs are method calls on [`Aggregator`], outputs are [`Action`]s that a driver carries out.
 //!
-//! A page has parts; a part asks its dependency within a time budget and, where that brings nothing, takes its
-//! fall-backs in their order. Between a part and a dependency stands the dependency's `DependencyGate`: an adaptive
-//! concurrency limit, a circuit breaker, what was learned of its latency, and the retry budget from which hedges
-//! and repeats are paid.
+//! An aggregation has parts. A part calls its dependency within a time budget and, if that brings no answer, tries its
+//! fallbacks in turn. Between parts and a dependency stands its [`gate::DependencyGate`]: an adaptive concurrency limit, a
+//! circuit breaker, the observed latency, and the retry budget that pays for hedges and retries.
+//!
+//! The options that were weighed are in `docs/dependencies.md`.
 
 pub mod aggregator;
 pub mod circuit_breaker;
 pub mod concurrency_limiter;
 mod error;
 pub mod gate;
+pub mod in_flight;
 pub mod latency;
 pub mod lease;
 mod messages;
 pub mod plan;
 pub mod retry_budget;
+pub mod send_window;
 pub mod stale_cache;
 
 pub use aggregator::Aggregator;
