--- a/crates/dependency/src/aggregator/mod.rs
+++ b/crates/dependency/src/aggregator/mod.rs
@@ -30,7 +30,7 @@
 /// ```
 /// use cottondyke_dependency::{
 ///     Action, Aggregation, AggregationRequest, AggregationResult, Aggregator, CallResult,
-///     Dependency, PartSpec, Plan,
+///     Dependency, PartSpec, Plan, Startup,
 /// };
 /// use cottondyke_types::{RequestId, Time};
 /// use std::rc::Rc;
@@ -62,7 +62,7 @@
 ///     aggregations: vec![Aggregation { parts: vec![part] }],
 ///     ..Plan::default()
 /// };
-/// let mut aggregator = Aggregator::new(Time(0), plan, 1, false);
+/// let mut aggregator = Aggregator::new(Time(0), plan, 1, Startup::First);
 ///
 /// let request = AggregationRequest {
 ///     request: RequestId(1),
@@ -103,9 +103,8 @@
 }
 
 impl Aggregator {
-    /// An aggregator without runs. `seed` determines the jitter of the circuit breakers; `restarted` says whether a
-    /// previous incarnation of this instance may have left calls running at the dependencies.
-    pub fn new(now: Time, plan: Plan, seed: u64, restarted: bool) -> Self {
+    /// An aggregator without runs. `seed` determines the jitter of the circuit breakers.
+    pub fn new(now: Time, plan: Plan, seed: u64, startup: Startup) -> Self {
         let mut aggregator = Aggregator {
             in_force: Rc::default(),
             gates: BTreeMap::new(),
@@ -119,11 +118,6 @@
             random: fastrand::Rng::with_seed(seed),
             actions: Vec::new(),
         };
-        let startup = if restarted {
-            Startup::Restarted
-        } else {
-            Startup::First
-        };
         aggregator.set_plan(now, plan, startup);
         aggregator
     }
@@ -223,7 +217,7 @@
 fn gate_changed(gate: &DependencyGate, state: CircuitState) -> Action {
     Action::GateChanged {
         dependency: gate.spec.name.clone(),
-        stage: state,
+        state,
         limit: gate.limit.calls(),
     }
 }
--- a/crates/dependency/src/aggregator/usage.rs
+++ b/crates/dependency/src/aggregator/usage.rs
@@ -2,14 +2,14 @@
 use super::state::GateId;
 use super::Aggregator;
 use crate::gate::DependencyGate;
-use crate::messages::{Action, DependencyUsage};
+use crate::messages::{Action, DependencyUsage, QuotaKind};
 use cottondyke_types::Time;
 
 fn rate_usage(gate: &DependencyGate, now: Time) -> DependencyUsage {
     let sent = gate.recently_sent(now);
     DependencyUsage {
         dependency: gate.spec.name.clone(),
-        rate: true,
+        quota: QuotaKind::Rate,
         in_flight: sent,
         needed: sent + gate.wait_queue.len(),
     }
@@ -18,7 +18,7 @@
 fn calls_usage(gate: &DependencyGate, now: Time) -> DependencyUsage {
     DependencyUsage {
         dependency: gate.spec.name.clone(),
-        rate: false,
+        quota: QuotaKind::Calls,
         in_flight: gate.in_flight(now),
         needed: gate.needed_calls(now),
     }
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -26,6 +26,6 @@
 pub use lease::{LeasedQuota, SendTimestamp, RATE_WINDOW};
 pub use messages::{
     Action, AggregationRequest, AggregationResult, CallId, CallResult, DependencyUsage, PartId,
-    PartResult, PartSource, Startup,
+    PartResult, PartSource, QuotaKind, Startup,
 };
 pub use plan::{Aggregation, Dependency, Fallback, PartSpec, Plan, Safeguards, RESERVE};
--- a/crates/dependency/src/messages.rs
+++ b/crates/dependency/src/messages.rs
@@ -143,19 +143,28 @@
         /// The dependency's name.
         dependency: Rc<str>,
         /// The new state.
-        stage: CircuitState,
+        state: CircuitState,
         /// The concurrency limit at this moment, in calls.
         limit: usize,
     },
 }
 
+/// What a leased quota of a dependency bounds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QuotaKind {
+    /// Calls in flight.
+    Calls,
+    /// Calls sent within the rate window.
+    Rate,
+}
+
 /// How much of a leased quota of a dependency is used, and how much could be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DependencyUsage {
     /// The dependency's name.
     pub dependency: Rc<str>,
-    /// Whether this is about the rate of calls; otherwise it is about calls in flight.
-    pub rate: bool,
+    /// Which of its quotas this is about.
+    pub quota: QuotaKind,
     /// Units in use.
     pub in_flight: usize,
     /// Units that could be used at once, including those in use.
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -327,7 +327,16 @@
             off.into_iter().for_each(|defence| *defence = random.bool());
         }
         let plan = plan(&mut random, defences);
-        let pages = Aggregator::new(Time(0), plan.clone(), seed, seed % 2 == 0);
+        let pages = Aggregator::new(
+            Time(0),
+            plan.clone(),
+            seed,
+            if seed % 2 == 0 {
+                Startup::Restarted
+            } else {
+                Startup::First
+            },
+        );
         let (runs, calls) = (BTreeMap::new(), BTreeMap::new());
         let (unseen, now) = (Vec::new(), Time(0));
         let all = plan.dependencies.clone();
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use cottondyke_cluster::{ClusterEvent, ClusterNode, NodeConfig, Output};
-use cottondyke_dependency::{DependencyUsage, LeasedQuota, Plan};
+use cottondyke_dependency::{DependencyUsage, LeasedQuota, Plan, QuotaKind};
 use cottondyke_membership::MAX_DATAGRAM_BYTES;
 use cottondyke_operator_config::{budget_of, rate_of, OperatorConfig, Peers};
 use cottondyke_quota::{Holder, LeaseConfig, Safeguards, Usage};
@@ -238,7 +238,7 @@
             let mut learnt = self.learnt.borrow_mut();
             let mut instance = self.instance.borrow_mut();
             for one in uses {
-                let name = if one.rate {
+                let name = if one.quota == QuotaKind::Rate {
                     rate_of(&one.dependency)
                 } else {
                     budget_of(&one.dependency)
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -15,7 +15,7 @@
 use cottondyke_dependency::gate::GateCounters;
 use cottondyke_dependency::{
     Action, AggregationRequest, AggregationResult, Aggregator, CallId, CallResult, PartResult,
-    PartSource, Plan,
+    PartSource, Plan, Startup,
 };
 use cottondyke_types::{RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +60,7 @@
             fleet,
             values,
             look: now,
-            pages: Aggregator::new(now, plan, seed, true),
+            pages: Aggregator::new(now, plan, seed, Startup::Restarted),
             by_handler,
             wires: BTreeMap::new(),
             calls: BTreeMap::new(),
@@ -260,9 +260,9 @@
                 }
                 Action::GateChanged {
                     dependency,
-                    stage,
+                    state,
                     limit,
-                } => match stage {
+                } => match state {
                     CircuitState::Open { until } => {
                         let rest_ms = crate::clock::ms(until - now);
                         tracing::warn!(%dependency, rest_ms, limit, "its breaker opened");
