--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,5 +1,5 @@
 //! From the wire's values to the decider's.
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 use cottondyke_settings::{maybe_number, number, present, text, whole, WireNames, Wrong};
 use serde_json::Value;
 
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,5 +1,5 @@
 //! From the decider's results to the wire's actions, in the results' documented order.
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 use serde_json::{json, Value};
 
 /// The wire takes no shorter one.
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -5,8 +5,7 @@
 mod decode;
 mod encode;
 
-use cottondyke_admission::policy::AdmissionController;
-use cottondyke_admission::types::{Actions, Time};
+use cottondyke_admission::{Actions, AdmissionController, Time};
 use cottondyke_settings::{self as settings, WireNames, Wrong};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -3,5 +3,8 @@
 
 // The policy has a `rustfmt.toml` of its own beside it; `.ci/run` checks it with that.
 #[rustfmt::skip]
-pub mod policy;
-pub mod types;
+mod policy;
+mod types;
+
+pub use policy::*;
+pub use types::*;
--- a/crates/admission/tests/decide/golden.rs
+++ b/crates/admission/tests/decide/golden.rs
@@ -1,7 +1,7 @@
 //! Digests of all results over long fixed runs: they change with any change of what is decided.
 use crate::rules::{set, step};
 use crate::world::*;
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 
 const STEPS: u64 = 2000;
 /// Steps from the notice to leave to the end.
--- a/crates/admission/tests/decide/plain.rs
+++ b/crates/admission/tests/decide/plain.rs
@@ -1,7 +1,6 @@
 //! Plain cases: boundary values, and one small case for each failure found.
 use crate::world::*;
-use cottondyke_admission::policy::*;
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 
 fn arrive(world: &mut World, count: usize, lay: Time) {
     for _ in 0..count {
--- a/crates/admission/tests/decide/rules.rs
+++ b/crates/admission/tests/decide/rules.rs
@@ -1,6 +1,6 @@
 //! Seeded random runs that check the four rules after every step.
 use crate::world::*;
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 use quickcheck::{Gen, QuickCheck};
 
 type Steps = Vec<(u8, u16, u16)>;
--- a/crates/admission/tests/decide/world.rs
+++ b/crates/admission/tests/decide/world.rs
@@ -1,7 +1,6 @@
 //! A small honest model of a server: what runs, is held, kept and answered. It carries out results in their
 //! documented order and fails the test at the first broken rule.
-use cottondyke_admission::policy::*;
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -2,7 +2,7 @@
 pub mod files;
 
 use crate::clock::span_of_ms;
-use cottondyke_admission::policy::AdmissionController;
+use cottondyke_admission::AdmissionController;
 use cottondyke_operator_config::{Effect, HandlerSpec, OperatorConfig, SourceLocation};
 use cottondyke_settings::{self as settings, WireNames, Wrong};
 use cottondyke_types::{Idempotency, Time};
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -4,7 +4,7 @@
 use crate::protocol::engine::{EngineCommand, EngineMessage};
 use crate::protocol::sidecar::{Request, StreamId};
 use async_channel::Sender;
-use cottondyke_admission::types::CallOutcome;
+use cottondyke_admission::CallOutcome;
 use cottondyke_dependency::{CallId, CallResult};
 use cottondyke_types::RequestId;
 use std::net::SocketAddr;
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -10,7 +10,7 @@
 use crate::protocol::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use cottondyke_dependency::circuit_breaker::CircuitState;
 use cottondyke_dependency::gate::GateCounters;
 use cottondyke_dependency::{
--- a/crates/server/src/execution/engine.rs
+++ b/crates/server/src/execution/engine.rs
@@ -9,7 +9,7 @@
 use crate::protocol::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use cottondyke_types::{RequestId, Time, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -295,7 +295,7 @@
                 let feed = EngineCommand::Feed(run.wire, reply);
                 (run.need, run.told) = (None, Some((now, feed.clone())));
                 self.link.send(feed);
-                cottondyke_admission::types::CallOutcome::Completed
+                cottondyke_admission::CallOutcome::Completed
             }
             Err(error) => {
                 tracing::debug!(?error, id = ?run.wire, "a call failed");
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -6,7 +6,7 @@
 pub mod engine_link;
 
 use crate::protocol::sidecar::RunOutput;
-use cottondyke_admission::types::{CallOutcome, RunOutcome};
+use cottondyke_admission::{CallOutcome, RunOutcome};
 use cottondyke_types::{Idempotency, RequestId, TenantId, Time};
 use std::rc::Rc;
 
--- a/crates/server/src/protocol/engine.rs
+++ b/crates/server/src/protocol/engine.rs
@@ -1,6 +1,6 @@
 //! Lines between the server and its engine.
 use super::{ProtocolError, ReadBuffer, WireId};
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use std::rc::Rc;
 
 const MOST_LINE: usize = 65_536;
--- a/crates/server/tests/dispatcher.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -10,7 +10,7 @@
 use cottondyke::protocol::sidecar::{Request, StreamId};
 use cottondyke::protocol::WireId;
 use cottondyke::resource_limits::ResourceLimits;
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use cottondyke_types::HandlerId;
 use futures_lite::{future, FutureExt};
 use std::rc::Rc;
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -6,7 +6,7 @@
 use cottondyke::protocol::sidecar::RunOutput;
 use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
 use cottondyke::protocol::{http, peers, ProtocolError, ReadBuffer, WireId};
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use std::rc::Rc;
 
 const ID: &str = "9b1f03aa5c7e2d41";
--- a/crates/server/tests/protocol.rs
+++ b/crates/server/tests/protocol.rs
@@ -13,7 +13,7 @@
 use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
 use cottondyke::protocol::WireId;
 use cottondyke::shutdown::{stage, ShutdownPhase};
-use cottondyke_admission::types::RunOutcome;
+use cottondyke_admission::RunOutcome;
 use cottondyke_test_support::fakes::{frame, payload};
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use quickcheck::{quickcheck, TestResult};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,8 +6,7 @@
     reason = "not yet read through; see docs/ROADMAP.md"
 )]
 
-use cottondyke_admission::policy::*;
-use cottondyke_admission::types::*;
+use cottondyke_admission::*;
 use serde_json::Value;
 
 /// What is wrong, in words that name the place.
