--- /dev/null
+++ b/crates/admission/src/inputs.rs
@@ -0,0 +1,179 @@
+//! The inputs of the controller: each is recorded, then the rules of the policy are fired until none fires.
+
+use crate::actions::Actions;
+use crate::arrival::{Arrival, CallOutcome, LoadSample, RunOutcome};
+use crate::controller::AdmissionController;
+use crate::handler::Handler;
+use crate::policy::concurrency_limit::SAMPLE_INTERVAL;
+use crate::policy::cost_estimator::base_cost;
+use crate::policy::load::ANSWER_FRACTION;
+use crate::request::{Drain, Phase, RequestRecord};
+use cottondyke_types::{Idempotency, RequestId, Time};
+
+impl AdmissionController {
+    /// A request was read. One for an unknown handler is ignored.
+    pub fn arrival(&mut self, now: Time, arrival: Arrival) -> Actions {
+        self.advance(now);
+        let mut actions = Actions::default();
+        let Some(handler) = self.priorities.handlers.get(arrival.handler.0).copied() else {
+            return actions;
+        };
+        let request = RequestRecord::new(
+            arrival,
+            now,
+            base_cost(&handler, arrival.cost_hint),
+            &handler,
+        );
+        self.priorities.count_offered(now, &request);
+        self.termination.losses.add_arrival(now);
+        self.advisor.count_arrival(now, &arrival);
+        self.retain_key(now, &request, &handler, &mut actions);
+        self.requests.insert(request);
+        self.settle(now, actions)
+    }
+
+    fn retain_key(
+        &mut self,
+        now: Time,
+        request: &RequestRecord,
+        handler: &Handler,
+        actions: &mut Actions,
+    ) {
+        let expires_at = request.arrived_at + handler.dedup_window;
+        let is_first =
+            handler.idempotency == Idempotency::Keyed && request.arrival.duplicate_of.is_none();
+        if is_first && expires_at > now {
+            actions.retain_key.push((request.id(), expires_at - now));
+            self.dedup_keys.insert(request.id(), expires_at);
+        }
+    }
+
+    /// The run of a request ended.
+    pub fn run_ended(&mut self, now: Time, id: RequestId, outcome: RunOutcome) -> Actions {
+        self.advance(now);
+        if let Some(request) = self.requests.remove(id) {
+            if request.phase == Phase::Calling {
+                self.calls.occupancy.add_abandoned(now);
+            }
+            let has_ended = matches!(outcome, RunOutcome::Completed | RunOutcome::Failed);
+            if has_ended && request.is_unanswered_in(Phase::Running) {
+                self.costs.learn_ended(now, &request);
+                self.termination.record_run(now, &request);
+            }
+            if outcome == RunOutcome::Completed && !request.answered {
+                self.priorities.count_completed(now, &request);
+            }
+        }
+        self.settle(now, Actions::default())
+    }
+
+    /// A run wants to call a dependency and waits for it.
+    pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Actions {
+        self.advance(now);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.want_call(now, self.costs.core_clock);
+        }
+        self.settle(now, Actions::default())
+    }
+
+    /// The call of a run ended.
+    pub fn call_ended(&mut self, now: Time, id: RequestId, outcome: CallOutcome) -> Actions {
+        self.advance(now);
+        let mut actions = Actions::default();
+        if let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|r| r.phase == Phase::Calling)
+        {
+            let call_time = request.end_call(now);
+            self.calls.call_ended(now, call_time, outcome);
+            self.continue_after_call(now, id, outcome, &mut actions);
+        }
+        self.settle(now, actions)
+    }
+
+    /// Nobody waits for the response of a request any more.
+    pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Actions {
+        self.advance(now);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.answered = true;
+        }
+        self.requests.remove_answered_unstarted();
+        self.settle(now, Actions::default())
+    }
+
+    /// The server was told to shut down within `time_left`.
+    pub fn drain(&mut self, now: Time, time_left: Time) -> Actions {
+        self.advance(now);
+        let answer_by = now + time_left.scaled(ANSWER_FRACTION) - self.schedule.resolution;
+        self.drain = Some(Drain {
+            started_at: now,
+            answer_by,
+        });
+        self.settle(
+            now,
+            Actions {
+                health: Some(false),
+                ..Actions::default()
+            },
+        )
+    }
+
+    /// Time has passed. The first tick starts the server; `sample` is used when the gauges are due to be read.
+    pub fn tick(&mut self, now: Time, sample: LoadSample) -> Actions {
+        self.advance(now);
+        self.schedule.ticked(now);
+        let health = self.schedule.is_first_tick().then_some(true);
+        let mut actions = Actions {
+            health,
+            ..Actions::default()
+        };
+        if now >= self.schedule.next_sample_at {
+            self.sample_load(now, sample, &mut actions);
+        }
+        self.settle(now, actions)
+    }
+
+    fn sample_load(&mut self, now: Time, sample: LoadSample, actions: &mut Actions) {
+        let target = self.priorities.shortest_target;
+        let interval = target.scaled(SAMPLE_INTERVAL).max(self.schedule.resolution);
+        self.schedule.next_sample_at = now + interval;
+        let any_queued = self.requests.queued().next().is_some();
+        let on_core = self.requests.on_core().count();
+        self.concurrency
+            .adjust(now, sample, any_queued, on_core, target);
+        actions.idle_timeout = self.advisor.callers.update_idle_timeout(now);
+        // A cancellation while the cores are frozen has no effect: it is asked for again.
+        let answered = self
+            .requests
+            .on_core()
+            .filter(|r| r.answered && self.is_cancellable(r));
+        actions.cancel = answered.map(|r| r.id()).collect();
+    }
+
+    /// Accounts for the time since the last input.
+    fn advance(&mut self, now: Time) {
+        let elapsed = (now - self.costs.advanced_at).as_f64();
+        self.calls
+            .occupancy
+            .advance(now, self.requests.calling().count(), elapsed);
+        self.costs
+            .advance(now, self.concurrency.busy_cores(), &self.requests);
+        self.dedup_keys.retain(|_, expires_at| *expires_at > now);
+    }
+
+    /// Fires rules until none fires, then advises callers and asks for the next tick.
+    fn settle(&mut self, now: Time, mut actions: Actions) -> Actions {
+        while let Some((id, effect)) = self.next_firing(now) {
+            effect(self, now, id, &mut actions);
+            actions.rules_fired += 1;
+        }
+        actions.advice = self
+            .advisor
+            .advise(self.wanted_share(now), self.concurrency.limit);
+        let answer_at = |r: &RequestRecord| self.deadline(r) - self.schedule.resolution;
+        let earliest = self.requests.unanswered().map(answer_at).min();
+        actions.next_tick = self.schedule.schedule(now, earliest);
+        actions
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -0,0 +1,71 @@
+//! How many requests run.
+use crate::{ConcurrencyConfig, LoadSample, Time};
+
+const FULL_UTILIZATION: f64 = 0.95; // of the cores, under which the limit grows and over which it shrinks
+const MIN_UTILIZATION: f64 = 0.1; // the least that is reckoned with
+const LIMIT_STEP: f64 = 0.2; // of a run, by which the limit changes
+const GAUGE_DELAY: f64 = 0.3; // time at the limit with idle cores before it grows, part of a response target
+pub(crate) const SAMPLE_INTERVAL: f64 = 0.06; // between looks at the gauges, part of a response target
+const CEILING_FRACTION: f64 = 0.85; // part of the survivable concurrency that is used
+const OFF_CORE_FACTOR: f64 = 2.0; // multiple of it that may run where a gauge tells how many are on the cores
+
+/// How many requests run at once.
+pub(crate) struct ConcurrencyLimit {
+    config: ConcurrencyConfig,
+    pub(crate) cores: f64,
+    pub(crate) started_at: Time,
+    pub(crate) limit: f64,
+    pub(crate) utilization: f64,      // of the cores
+    limited_since: Time,              // since when the limit is reached and requests are queued
+    pub(crate) runnable: Option<f64>, // tasks on the cores by their gauge, and starts since
+}
+
+impl ConcurrencyLimit {
+    pub(crate) fn new(now: Time, config: ConcurrencyConfig) -> Self {
+        let (cores, runnable) = (config.cores.max(1) as f64, None);
+        let (limit, utilization, limited_since) = (cores, 0.0, now);
+        ConcurrencyLimit { config, cores, started_at: now, limit, utilization, limited_since, runnable }
+    }
+
+    /// The fraction of its full speed that a cold server has surely reached.
+    pub(crate) fn capacity(&self, now: Time) -> f64 {
+        let ConcurrencyConfig { start_capacity, warm_within, .. } = self.config;
+        let warm_fraction = (now - self.started_at).as_f64() / warm_within.as_f64().max(1.0);
+        (start_capacity + (1.0 - start_capacity) * warm_fraction).min(1.0)
+    }
+
+    /// How many on the cores the server survives.
+    pub(crate) fn ceiling(&self, now: Time) -> f64 {
+        self.cores * (1.0 + (self.config.overload_factor - 1.0) * self.capacity(now)) * CEILING_FRACTION
+    }
+
+    /// How many may run, on the cores or not. Departure: where a gauge counts what is on the cores, runs that
+    /// wait for the disk leave room past the ceiling for others that can be cancelled; with 1,080 ms of disk
+    /// wait the ceiling held fast cores half idle (manila-main).
+    pub(crate) fn max_running(&self, now: Time) -> f64 {
+        let has_room = self.runnable.is_some_and(|runnable| runnable + 1.0 <= self.ceiling(now));
+        self.ceiling(now) * if has_room { OFF_CORE_FACTOR } else { 1.0 }
+    }
+
+    /// Departure: the cores' gauge, where there is one, tells how much of them the runs had; runs that wait
+    /// for the disk have the rest, so that a disk wait is not taken for work (manila-main).
+    pub(crate) fn busy_cores(&self) -> f64 {
+        (self.utilization.max(MIN_UTILIZATION) * self.cores).min(self.cores)
+    }
+
+    /// The limit is the smallest that keeps the cores busy: more runs only slow each other. It grows after it
+    /// was reached for longer than the gauge looks back: idle cores then show disk waits, not recent starts.
+    pub(crate) fn adjust(
+        &mut self, now: Time, sample: LoadSample, any_queued: bool, on_core: usize, target: Time,
+    ) {
+        self.utilization = sample.cpu_utilization.unwrap_or(on_core as f64 / self.cores);
+        self.runnable = sample.runnable_tasks;
+        let is_limited = any_queued && on_core as f64 > self.limit - 1.0;
+        self.limited_since = if is_limited { self.limited_since } else { now };
+        let growth = LIMIT_STEP * FULL_UTILIZATION / self.utilization.max(MIN_UTILIZATION);
+        let may_grow = now - self.limited_since >= target.scaled(GAUGE_DELAY);
+        let upward = if may_grow { growth } else { 0.0 };
+        let step = if self.utilization > FULL_UTILIZATION { -LIMIT_STEP } else { upward };
+        self.limit = (self.limit + step).min(self.max_running(now)).max(self.cores);
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/cost_estimator.rs
@@ -0,0 +1,82 @@
+//! What requests cost here.
+use crate::{handler_cost::HandlerCost, request::RequestRecord, request_table::RequestTable};
+use crate::{AdmissionConfig, Handler, Time};
+
+const INITIAL_COST: f64 = 0.125; // of a request before any is known, part of its response target
+const MIN_SPEED: f64 = 0.1; // the least that a cold server is taken to have
+const MIN_REMAINING: f64 = 0.25; // of a request's cost, what a run that has had more is still taken to need
+const STALL_PRIOR: f64 = 4.0; // usual runs that the running ones must outweigh to show a stall
+pub(crate) const EWMA_WEIGHT: f64 = 0.1; // of the newest in running means
+
+/// What requests cost here: time on a core of its own, learned against the hint for each handler.
+pub(crate) struct CostEstimator {
+    pub(crate) core_clock: f64, // time that each request on the cores has had of a core
+    pub(crate) advanced_at: Time,
+    handlers: Vec<HandlerCost>,
+    pub(crate) slowdown: f64, // multiple of their usual cost that the running requests show
+}
+
+/// The hinted cost of a request, or what stands for it where there is no hint.
+pub(crate) fn base_cost(handler: &Handler, hint: Option<Time>) -> f64 {
+    hint.map_or(handler.response_target.as_f64() * INITIAL_COST, |hint| hint.as_f64().max(1.0))
+}
+
+impl CostEstimator {
+    pub(crate) fn new(now: Time, config: &AdmissionConfig) -> Self {
+        let speed = config.concurrency.start_capacity.max(MIN_SPEED);
+        let initial = |handler: &Handler| {
+            let cost = base_cost(handler, None);
+            HandlerCost::new(cost / speed, cost, f64::from(handler.makes_calls))
+        };
+        let handlers = config.handlers.iter().map(initial).collect();
+        CostEstimator { core_clock: 0.0, advanced_at: now, handlers, slowdown: 1.0 }
+    }
+
+    pub(crate) fn handler(&self, request: &RequestRecord) -> &HandlerCost {
+        &self.handlers[request.handler_index()]
+    }
+
+    /// The cost while nothing stalls.
+    pub(crate) fn usual(&self, request: &RequestRecord) -> f64 {
+        self.handler(request).expected(request)
+    }
+
+    pub(crate) fn of(&self, request: &RequestRecord) -> f64 {
+        self.usual(request) * self.slowdown
+    }
+
+    /// The core time that a run still needs.
+    pub(crate) fn remaining(&self, request: &RequestRecord) -> f64 {
+        let cost = self.of(request);
+        (cost - request.core_time_at(self.core_clock)).max(cost * MIN_REMAINING)
+    }
+
+    /// The runs shared `busy_cores` since the last input. Where they have had more than their cost, they
+    /// stall.
+    pub(crate) fn advance(&mut self, now: Time, busy_cores: f64, requests: &RequestTable) {
+        let on_core = requests.on_core().count() as f64;
+        self.core_clock += (now - self.advanced_at).as_f64() * (busy_cores / on_core.max(1.0)).min(1.0);
+        self.advanced_at = now;
+        let overrun = |r: &RequestRecord| r.core_time_at(self.core_clock) / self.usual(r).max(1.0);
+        let overruns: f64 = requests.on_core().map(overrun).sum();
+        self.slowdown = ((overruns + STALL_PRIOR) / (on_core + STALL_PRIOR)).max(1.0);
+    }
+
+    /// Of an ended run, the time off the cores counts in full: calls, and disk waits that no event tells.
+    pub(crate) fn learn_ended(&mut self, now: Time, request: &RequestRecord) {
+        let core_time = request.core_time_at(self.core_clock);
+        let off_core_time = request.off_core_time.max((now - request.started_at).as_f64() - core_time);
+        let handler = &mut self.handlers[request.handler_index()];
+        handler.add_run(request, core_time, off_core_time, EWMA_WEIGHT);
+        handler.add_calls(request, EWMA_WEIGHT);
+    }
+
+    /// A run that is cancelled counts once it has had more than usual.
+    pub(crate) fn learn_cancelled(&mut self, request: &RequestRecord) {
+        let core_time = request.core_time_at(self.core_clock);
+        if core_time > self.usual(request) {
+            let handler = &mut self.handlers[request.handler_index()];
+            handler.add_run(request, core_time, request.off_core_time, EWMA_WEIGHT);
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/effects.rs
@@ -0,0 +1,115 @@
+//! What is done to a request: by the rule that fires for it, or when its call has ended.
+use crate::controller::AdmissionController;
+use crate::request::{Phase, RequestRecord};
+use crate::{Actions, CallOutcome, Idempotency, Rejection, RequestId, Time};
+
+const MAX_ATTEMPTS: u32 = 3; // of one call
+const STALL_SLOWDOWN: f64 = 2.0; // multiple of their cost at which the running requests show a stall
+
+impl AdmissionController {
+    /// Answers a request with a failure and cancels its run where it can be cancelled.
+    pub(crate) fn terminate(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
+        let Some(request) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
+        request.answered = true;
+        actions.fail.push(id);
+        let request = request.clone();
+        if request.phase == Phase::Running && self.is_cancellable(&request) {
+            actions.cancel.push(id);
+            self.costs.learn_cancelled(&request);
+            self.termination.record_run(now, &request);
+        }
+        let is_stalled = self.costs.slowdown >= STALL_SLOWDOWN;
+        if !is_stalled && self.concurrency.capacity(now) >= 1.0 {
+            self.termination.losses.add_terminated(now);
+        }
+        self.requests.remove_answered_unstarted();
+    }
+
+    /// Answers a request that did not run with a rejection.
+    pub(crate) fn reject(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
+        let Some(request) = self.requests.remove(id) else { return };
+        self.termination.losses.add_rejected(now);
+        actions.release_key.extend(self.dedup_keys.remove(&id).map(|_| id));
+        self.advisor.load.add_rejection(now);
+        let (retry_after, do_not_retry) = if self.drain.is_some() {
+            (self.advisor.config.max_retry_after, false)
+        } else {
+            let reading_load = self.advisor.reading_load(now, self.concurrency.cores);
+            let room = self.costs.of(&request) / self.concurrency.cores;
+            let retry_after = self.advisor.retry_after(now, reading_load, self.excess_burden(now), room);
+            (retry_after, self.advisor.discourages_retries(now, reading_load))
+        };
+        actions.reject.push(Rejection { id, retry_after, do_not_retry });
+    }
+
+    /// Lets a duplicate wait for the response of the request that it repeats.
+    pub(crate) fn coalesce(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.phase = Phase::Coalesced;
+            actions.coalesce.push(id);
+        }
+    }
+
+    pub(crate) fn start(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.start(now, self.costs.core_clock);
+            self.concurrency.runnable = self.concurrency.runnable.map(|runnable| runnable + 1.0);
+            actions.start.push(id);
+        }
+    }
+
+    pub(crate) fn skip_call(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.resume(self.costs.core_clock);
+            actions.skip_call.push(id);
+        }
+    }
+
+    pub(crate) fn call(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
+        let Some(timeout) = self.requests.get(id).map(|r| self.call_timeout(now, r)) else { return };
+        if let Some(request) = self.requests.get_mut(id) {
+            request.begin_call(now);
+            actions.call.push((id, timeout));
+        }
+    }
+
+    /// A call that may be made again is abandoned early: the next may succeed where this one hangs. One that
+    /// can be skipped leaves time for the rest of its request.
+    fn call_timeout(&self, now: Time, request: &RequestRecord) -> Time {
+        let (deadline, handler) = (self.deadline(request), self.priorities.handler(request));
+        let may_skip = handler.skip_value > 0.0;
+        let work_after = if may_skip { Time(self.costs.remaining(request) as i64) } else { Time(0) };
+        let ends = [request.target_at - work_after, request.target_at];
+        let end = ends.into_iter().find(|end| *end > now).unwrap_or(deadline);
+        let time_left = end.min(deadline) - now;
+        let may_repeat = handler.idempotency == Idempotency::Idempotent
+            && self.calls.has_spare()
+            && request.attempts + 1 < MAX_ATTEMPTS;
+        let is_backed_off = may_skip && self.calls.limit < self.calls.cores;
+        let is_impatient = (may_repeat || is_backed_off) && self.calls.times.usual > 0.0;
+        let patience = if is_impatient { self.calls.patience(is_backed_off) } else { time_left };
+        let timeout = time_left.min(patience).min(self.calls.max_call_time(now));
+        timeout.max(self.schedule.resolution)
+    }
+
+    /// A call is repeated where that is safe or it was never executed, and at once where it has ended.
+    pub(crate) fn continue_after_call(
+        &mut self, now: Time, id: RequestId, outcome: CallOutcome, actions: &mut Actions,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let handler = self.priorities.handler(request);
+        let has_failed = outcome == CallOutcome::Failed;
+        let is_safe =
+            handler.idempotency == Idempotency::Idempotent && (has_failed || self.calls.has_spare());
+        let may_repeat = is_safe || outcome == CallOutcome::NotExecuted;
+        let repeats = may_repeat && request.attempts < MAX_ATTEMPTS;
+        let may_skip = handler.skip_value > 0.0 && !request.answered;
+        match outcome {
+            CallOutcome::Completed => request.resume(self.costs.core_clock),
+            CallOutcome::Failed if repeats => self.call(now, id, actions),
+            _ if repeats => request.phase = Phase::AwaitingCall,
+            _ if may_skip => self.skip_call(now, id, actions),
+            _ => self.terminate(now, id, actions),
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/policy/load_advisor.rs
@@ -0,0 +1,81 @@
+//! What callers are told: advice on how much to send, and when a rejected one may come back.
+use super::caller_tracker::CallerTracker;
+use super::cost_estimator::EWMA_WEIGHT;
+use crate::random::MultiplyWithCarry;
+use crate::windows::{LoadSums, LoadWindow};
+use crate::{AdviceFormat, Arrival, CallerConfig, Time};
+
+const ADVICE_STEP: f64 = 0.02; // least relative change of the advice that is told
+const EXPENSIVE_READING: f64 = 0.25; // part of the cores from which reading counts as expensive
+const MAX_RETRY_SHARE: f64 = 0.2; // of that part, what reading retries takes as rejections ask for no retry
+
+/// Advises callers.
+pub(crate) struct LoadAdvisor {
+    pub(crate) config: CallerConfig,
+    pub(crate) callers: CallerTracker,
+    random: MultiplyWithCarry,
+    last_advice: Option<f64>,
+    pub(crate) load: LoadWindow,
+}
+
+impl LoadAdvisor {
+    pub(crate) fn new(now: Time, config: CallerConfig, seed: u64) -> Self {
+        let (callers, random) = (CallerTracker::new(now, config), MultiplyWithCarry::new(seed));
+        let load = LoadWindow::new(config.advice_lifetime);
+        LoadAdvisor { config, callers, random, last_advice: None, load }
+    }
+
+    pub(crate) fn count_arrival(&mut self, now: Time, arrival: &Arrival) {
+        self.load.add_arrival(now, arrival, 1.0 + EWMA_WEIGHT * EWMA_WEIGHT);
+        if let Some(caller) = arrival.caller {
+            self.callers.count_request(now, caller);
+        }
+    }
+
+    /// How long requests recently waited to be read.
+    pub(crate) fn read_delay(&self, now: Time) -> f64 {
+        let LoadSums { arrivals, observed_delay, .. } = self.load.sums(now);
+        observed_delay / arrivals.max(1.0)
+    }
+
+    /// What reading takes of the cores; from 1 it is expensive.
+    pub(crate) fn reading_load(&self, now: Time, cores: f64) -> f64 {
+        self.load.sums(now).arrivals * self.load.read_time()
+            / (self.load.duration() * EXPENSIVE_READING * cores)
+    }
+
+    /// A further attempt costs its reading: where that is cheap it may still succeed elsewhere.
+    pub(crate) fn discourages_retries(&self, now: Time, reading_load: f64) -> bool {
+        let LoadSums { arrivals, retries, rejections, .. } = self.load.sums(now);
+        retries.max(rejections - 1.0) * reading_load > MAX_RETRY_SHARE * arrivals
+    }
+
+    /// When a rejected caller may come back. Where no share can be advised, the time for one request of each
+    /// caller; else a random part of the `excess` work, and at least `room`, in which the cores make room.
+    pub(crate) fn retry_after(&mut self, now: Time, reading_load: f64, excess: f64, room: f64) -> Time {
+        let LoadSums { arrivals, rejections, .. } = self.load.sums(now);
+        let retry_after = if self.config.advice_format == AdviceFormat::Unused {
+            let round = self.config.expected * self.load.duration() / (arrivals - rejections).max(1.0);
+            round * reading_load.min(1.0)
+        } else {
+            excess * self.random.draw() + room
+        };
+        Time(retry_after as i64).min(self.config.max_retry_after)
+    }
+
+    /// The advice to tell, if it has changed. `wanted`: the share of their traffic that is wanted.
+    pub(crate) fn advise(&mut self, wanted: f64, concurrency_limit: f64) -> Option<f64> {
+        let advice = match self.config.advice_format {
+            AdviceFormat::Unused => return None,
+            AdviceFormat::Share => wanted,
+            AdviceFormat::Credit => wanted * concurrency_limit / self.callers.senders(),
+            AdviceFormat::Rank => 1.0 - wanted,
+        };
+        let has_changed = |last: f64| (last - advice).abs() > ADVICE_STEP * advice.max(last);
+        if !self.last_advice.is_none_or(has_changed) {
+            return None;
+        }
+        self.last_advice = Some(advice);
+        Some(advice)
+    }
+}
--- /dev/null
+++ b/crates/admission/src/value_ledger.rs
@@ -0,0 +1,56 @@
+//! The value offered and won recently, by handler and by tenant.
+
+use crate::request::RequestRecord;
+use crate::windows::{ValueSums, ValueWindow};
+use cottondyke_types::Time;
+
+/// The value offered and won over a window, by handler and by tenant.
+pub(crate) struct ValueLedger {
+    window: Time,
+    by_handler: Vec<ValueWindow>,
+    by_tenant: Vec<ValueWindow>,
+}
+
+impl ValueLedger {
+    pub(crate) fn new(window: Time, handlers: usize, tenants: usize) -> Self {
+        ValueLedger {
+            window,
+            by_handler: vec![ValueWindow::new(window); handlers],
+            by_tenant: vec![ValueWindow::new(window); tenants],
+        }
+    }
+
+    /// The window, in tenths of a millisecond.
+    pub(crate) fn duration(&self) -> f64 {
+        ValueWindow::new(self.window).duration()
+    }
+
+    pub(crate) fn add_offered(&mut self, now: Time, request: &RequestRecord, value: f64) {
+        for window in self.windows(request) {
+            window.add_offered(now, value);
+        }
+    }
+
+    pub(crate) fn add_completed(&mut self, now: Time, request: &RequestRecord, value: f64) {
+        for window in self.windows(request) {
+            window.add_completed(now, value);
+        }
+    }
+
+    fn windows(&mut self, request: &RequestRecord) -> impl Iterator<Item = &mut ValueWindow> {
+        let tenant = request.arrival.tenant;
+        let of_tenant = tenant.and_then(|tenant| self.by_tenant.get_mut(tenant.0));
+        let of_handler = &mut self.by_handler[request.handler_index()];
+        of_tenant.into_iter().chain([of_handler])
+    }
+
+    /// The sums of each handler.
+    pub(crate) fn by_handler(&self, now: Time) -> Vec<ValueSums> {
+        self.by_handler.iter().map(|w| w.sums(now)).collect()
+    }
+
+    /// The sums of each tenant.
+    pub(crate) fn by_tenant(&self, now: Time) -> Vec<ValueSums> {
+        self.by_tenant.iter().map(|w| w.sums(now)).collect()
+    }
+}
--- a/crates/admission/tests/decide/plain.rs
+++ b/crates/admission/tests/decide/plain.rs
@@ -71,12 +71,12 @@
 fn threshold_slides_from_the_upper_bound_to_the_floor() {
     let (floor, upper) = (Time(1000), Time(9000));
     for loss in [0.0, 0.05] {
-        assert_eq!(threshold(floor, upper, loss), upper);
+        assert_eq!(termination_threshold(floor, upper, loss), upper);
     }
     for loss in [0.15, 0.5, 2.0] {
-        assert_eq!(threshold(floor, upper, loss), floor);
+        assert_eq!(termination_threshold(floor, upper, loss), floor);
     }
-    assert_eq!(threshold(floor, upper, 0.10), Time(1500));
+    assert_eq!(termination_threshold(floor, upper, 0.10), Time(1500));
 }
 
 #[test]
@@ -427,27 +427,47 @@
             AdviceFormat::Unused,
         ] {
             let span = Time(scale as i64);
-            let mut controller = AdmissionController::new(
-                Time(1),
-                PriorityWeights::new(&one, &[scale, scale], scale, 0.1, true, [0.0, scale, scale]),
-                ConcurrencyLimit::new(none, scale.min(1e3) as usize, scale, scale.min(1.0), span),
-                TerminationThreshold::new(span, Cancellation::Drop, &one),
-                CostEstimator::new(none, &one, scale.min(1.0)),
-                MemoryLimits {
+            let config = AdmissionConfig {
+                resolution: Time(1),
+                handlers: one.to_vec(),
+                quotas: vec![scale, scale],
+                fleet_size: scale,
+                goal: GoalWeights {
+                    total: 0.0,
+                    worst_handler: scale,
+                    worst_tenant: scale,
+                    over_quota: 0.1,
+                    by_work: true,
+                },
+                concurrency: ConcurrencyConfig {
+                    cores: scale.min(1e3) as usize,
+                    overload_factor: scale,
+                    start_capacity: scale.min(1.0),
+                    warm_within: span,
+                },
+                cancellation: Cancellation::Drop,
+                loss_window: span,
+                memory: MemoryLimits {
                     limit: scale,
                     running_factor: scale,
                     per_key: scale,
                 },
-                CallLimiter::new(Some(scale), span, span, scale.min(1e3) as usize),
-                span,
-                LoadAdvisor::new(
-                    reading,
-                    CallerTracker::new(none, scale, span, span),
-                    span,
-                    span,
-                    u64::MAX,
-                ),
-            );
+                calls: CallConfig {
+                    share: Some(scale),
+                    window: span,
+                    abandoned_linger: span,
+                },
+                drain_grace: span,
+                callers: CallerConfig {
+                    expected: scale,
+                    max_idle: span,
+                    advice_format: reading,
+                    advice_lifetime: span,
+                    max_retry_after: span,
+                },
+                seed: u64::MAX,
+            };
+            let mut controller = AdmissionController::new(none, &config);
             let mut all = vec![controller.tick(none, LoadSample::default())];
             for id in 0..40 {
                 let (id, customer) = (RequestId(id), Some(TenantId(id as usize % 3)));
--- a/crates/admission/tests/decide/world.rs
+++ b/crates/admission/tests/decide/world.rs
@@ -109,31 +109,47 @@
             Idempotency::Keyed,
             Idempotency::NonIdempotent,
         ];
-        let handlers = kinds.map(|k| handler(k, set.skip));
-        let callers = CallerTracker::new(now, set.callers, TARGET, IDLE);
-        let first = if set.cold { FIRST } else { 1.0 };
-        let controller = AdmissionController::new(
-            Time(20),
-            PriorityWeights::new(
-                &handlers,
-                &[50.0, 50.0, 50.0],
-                10.0,
-                0.1,
-                false,
-                [0.6, 0.2, 0.2],
-            ),
-            ConcurrencyLimit::new(now, CORES, FACTOR, first, WARM),
-            TerminationThreshold::new(TARGET, set.halting, &handlers),
-            CostEstimator::new(now, &handlers, first),
-            MemoryLimits {
+        let config = AdmissionConfig {
+            resolution: Time(20),
+            handlers: kinds.map(|k| handler(k, set.skip)).to_vec(),
+            quotas: vec![50.0, 50.0, 50.0],
+            fleet_size: 10.0,
+            goal: GoalWeights {
+                total: 0.6,
+                worst_handler: 0.2,
+                worst_tenant: 0.2,
+                over_quota: 0.1,
+                by_work: false,
+            },
+            concurrency: ConcurrencyConfig {
+                cores: CORES,
+                overload_factor: FACTOR,
+                start_capacity: if set.cold { FIRST } else { 1.0 },
+                warm_within: WARM,
+            },
+            cancellation: set.halting,
+            loss_window: TARGET,
+            memory: MemoryLimits {
                 limit: set.limit_kb,
                 running_factor: BLOWUP,
                 per_key: PER_KEY,
             },
-            CallLimiter::new(set.share, TARGET, Time(2000), CORES),
-            GRACE,
-            LoadAdvisor::new(set.reading, callers, TARGET, TARGET, 7),
-        );
+            calls: CallConfig {
+                share: set.share,
+                window: TARGET,
+                abandoned_linger: Time(2000),
+            },
+            drain_grace: GRACE,
+            callers: CallerConfig {
+                expected: set.callers,
+                max_idle: IDLE,
+                advice_format: set.reading,
+                advice_lifetime: TARGET,
+                max_retry_after: TARGET,
+            },
+            seed: 7,
+        };
+        let controller = AdmissionController::new(now, &config);
         let (reqs, keys, wakes, shed) = (BTreeMap::new(), BTreeMap::new(), vec![], vec![]);
         let (left, frozen, most_passes, advice, caps, next) = (None, false, 0, 1.0, vec![], 1);
         let mut world = World {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -151,77 +151,81 @@
         .map(|c| number(c, "quota_per_s"))
         .collect::<Result<Vec<_>, _>>()?;
     let weight = |key: &str| maybe_number(blend, key).map(|w| w.unwrap_or(0.0));
-    let weights = [
-        weight("whole")? + weight("worst_window")?,
-        weight("worst_class")?,
-        weight("worst_tenant")?,
-    ];
-    let by_work = conf.get("worth_by").and_then(Value::as_str) == Some("work");
-    let over_share = maybe_number(conf, "over_share_worth")?.unwrap_or(1.0);
-    let fleet = maybe_number(conf, "group_size")?.unwrap_or(1.0);
+    let goal = GoalWeights {
+        total: weight("whole")? + weight("worst_window")?,
+        worst_handler: weight("worst_class")?,
+        worst_tenant: weight("worst_tenant")?,
+        by_work: conf.get("worth_by").and_then(Value::as_str) == Some("work"),
+        over_quota: maybe_number(conf, "over_share_worth")?.unwrap_or(1.0),
+    };
+    let fleet_size = maybe_number(conf, "group_size")?.unwrap_or(1.0);
     let cores = whole(info, "n_cores")? as usize;
-    let cold = flag(info, "cold");
-    let first = if cold {
+    let start_capacity = if flag(info, "cold") {
         number(rules, "start_capacity")?
     } else {
         1.0
     };
-    let halting = match text(info, "preemption")? {
+    let cancellation = match text(info, "preemption")? {
         "none" => Cancellation::Never,
         "drop" => Cancellation::Drop,
         "pause" => Cancellation::Pause,
         other => return Err(format!("unknown preemption {other}")),
     };
-    let reading = match text(info, "advert")? {
+    let advice_format = match text(info, "advert")? {
         "none" => AdviceFormat::Unused,
         "bias" => AdviceFormat::Share,
         "tokens" => AdviceFormat::Credit,
         "min_rank" => AdviceFormat::Rank,
         other => return Err(format!("unknown advert {other}")),
     };
-    let longest_pause = if flag(policy, "retry_after") {
+    let max_retry_after = if flag(policy, "retry_after") {
         span(policy, "max_retry_after_ms")?
     } else {
         Time(0)
     };
-    let factor = number(rules, "overload_factor")?;
-    let interval = handlers
-        .iter()
-        .map(|h| h.response_target)
-        .min()
-        .unwrap_or(Time(1));
+    let overload_factor = number(rules, "overload_factor")?;
+    let response_targets = handlers.iter().map(|h| h.response_target);
+    let loss_window = response_targets.min().unwrap_or(Time(1));
     let share = match text(info, "below")? {
         "common" => maybe_number(info, "dep_share")?,
         _ => None,
     };
-    let told = maybe_number(info, "upstreams")?.unwrap_or(1.0);
-    let callers = CallerTracker::new(now, told, span(info, "heeded_ms")?, span(info, "idle_ms")?);
-    let pool = ConcurrencyLimit::new(now, cores, factor, first, span(rules, "warm_within_ms")?);
+    let callers = CallerConfig {
+        expected: maybe_number(info, "upstreams")?.unwrap_or(1.0),
+        advice_format,
+        advice_lifetime: span(info, "heeded_ms")?,
+        max_idle: span(info, "idle_ms")?,
+        max_retry_after,
+    };
+    let concurrency = ConcurrencyConfig {
+        cores,
+        overload_factor,
+        start_capacity,
+        warm_within: span(rules, "warm_within_ms")?,
+    };
     let memory = MemoryLimits {
         limit: number(info, "mem_limit_kb")?,
         running_factor: maybe_number(info, "blowup")?.unwrap_or(1.0),
         per_key: maybe_number(info, "kb_per_key")?.unwrap_or(0.0),
     };
-    Ok(AdmissionController::new(
-        span(conf, "resolution_ms")?.max(Time(1)),
-        PriorityWeights::new(&handlers, &quotas, fleet, over_share, by_work, weights),
-        pool,
-        TerminationThreshold::new(interval, halting, &handlers),
-        CostEstimator::new(now, &handlers, first),
+    let config = AdmissionConfig {
+        resolution: span(conf, "resolution_ms")?.max(Time(1)),
+        handlers,
+        quotas,
+        fleet_size,
+        goal,
+        concurrency,
+        cancellation,
+        loss_window,
         memory,
-        CallLimiter::new(
+        calls: CallConfig {
             share,
-            span(info, "calls_over_ms")?,
-            span(info, "linger_ms")?,
-            cores,
-        ),
-        span(rules, "drain_grace_ms")?,
-        LoadAdvisor::new(
-            reading,
-            callers,
-            longest_pause,
-            span(info, "heeded_ms")?,
-            seed,
-        ),
-    ))
+            window: span(info, "calls_over_ms")?,
+            abandoned_linger: span(info, "linger_ms")?,
+        },
+        drain_grace: span(rules, "drain_grace_ms")?,
+        callers,
+        seed,
+    };
+    Ok(AdmissionController::new(now, &config))
 }
