--- a/crates/server/src/cluster/data_dir.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -1,5 +1,6 @@
-//! The folder of an instance: its lock, the number of its life, and the registry's file with the thread that
-//! writes it.
+//! The data directory of an instance: its lock, the number of its incarnation, and the replica's file with the thread
+//! that writes it.
+use crate::cluster::error::{ClusterError, SourceError};
 use async_channel::{Receiver, Sender};
 use cottondyke_consensus::sqlite::SqliteStorage;
 use cottondyke_consensus::{PersistedState, ReplicaId, StorageOperation};
@@ -9,110 +10,132 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Writes that are carried out in one step.
-const AT_ONCE: usize = 64;
+/// Storage operations that are carried out in one step.
+const MAX_BATCH: usize = 64;
+/// Bits of an incarnation below its milliseconds, which are random.
+const RANDOM_BITS: u32 = 16;
 
-/// A number that differs from life to life, also where clocks were stepped back: milliseconds with a draw below.
-pub fn fresh() -> u64 {
-    let unix = SystemTime::now()
+const LOCK_FILE: &str = "lock";
+const INCARNATION_FILE: &str = "life";
+const NEW_INCARNATION_FILE: &str = "life.new";
+const REPLICA_FILE: &str = "registry.db";
+
+/// A number that differs from incarnation to incarnation, also where clocks were stepped back: Unix milliseconds with
+/// random bits below.
+pub(super) fn new_incarnation() -> u64 {
+    let unix_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    unix << 16 | draw() & 0xffff
+    unix_ms << RANDOM_BITS | random() & ((1 << RANDOM_BITS) - 1)
 }
 
-/// A draw from the system, by the only way that the standard library has.
-fn draw() -> u64 {
+/// A random number from the system, by the only way that the standard library has.
+fn random() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish()
 }
 
-/// While it is held no other process runs from the folder: so the life that is noted there is over.
-pub struct DataDirectory {
-    folder: PathBuf,
-    pub life: u64,
-    pub former: Option<u64>,
+/// While it is open no other process runs from the directory: so the incarnation that is noted there has ended.
+pub(super) struct DataDirectory {
+    path: PathBuf,
+    pub(super) incarnation: u64,
+    pub(super) previous_incarnation: Option<u64>,
     _lock: File,
 }
 
 impl DataDirectory {
-    pub fn open(folder: &str) -> Result<Self, String> {
-        let folder = PathBuf::from(folder);
-        let wrong = |e: io::Error| format!("data = {:?}: {e}", folder.display().to_string());
-        std::fs::create_dir_all(&folder).map_err(wrong)?;
-        let lock = File::create(folder.join("lock")).map_err(wrong)?;
-        lock.try_lock().map_err(|e| match e {
-            TryLockError::Error(e) => wrong(e),
-            TryLockError::WouldBlock => {
-                let folder = folder.display().to_string();
-                format!("data = {folder:?}: another process has it: expected a folder of its own for each instance")
-            }
+    /// Locks the directory, which is created where it is missing, and begins an incarnation.
+    pub(super) fn open(path: &str) -> Result<Self, ClusterError> {
+        let path = PathBuf::from(path);
+        let failed = |source: io::Error| ClusterError::DataDirectory {
+            path: path.clone(),
+            source,
+        };
+        std::fs::create_dir_all(&path).map_err(failed)?;
+        let lock = File::create(path.join(LOCK_FILE)).map_err(failed)?;
+        lock.try_lock().map_err(|error| match error {
+            TryLockError::Error(source) => failed(source),
+            TryLockError::WouldBlock => ClusterError::DataDirectoryInUse { path: path.clone() },
         })?;
-        let former = match std::fs::read_to_string(folder.join("life")) {
-            Ok(text) => Some(text.trim().parse::<u64>().map_err(|_| {
-                let path = folder.join("life").display().to_string();
-                format!("data: {path} holds no number: expected what this program wrote there")
-            })?),
+        let previous_incarnation = match std::fs::read_to_string(path.join(INCARNATION_FILE)) {
+            Ok(text) => Some(parse_incarnation(&path, &text)?),
             Err(e) if e.kind() == io::ErrorKind::NotFound => None,
-            Err(e) => return Err(wrong(e)),
+            Err(e) => return Err(failed(e)),
         };
-        let life = former.map_or_else(fresh, |former| fresh().max(former + 1));
-        note(&folder, life).map_err(wrong)?;
+        let incarnation = match previous_incarnation {
+            Some(previous) => new_incarnation().max(previous + 1),
+            None => new_incarnation(),
+        };
+        write_incarnation(&path, incarnation).map_err(failed)?;
         Ok(DataDirectory {
-            life,
-            former,
+            incarnation,
+            previous_incarnation,
             _lock: lock,
-            folder,
+            path,
         })
     }
 
-    /// The registry's file, and what it holds.
-    pub fn registry(&self) -> Result<(SqliteStorage, PersistedState), String> {
-        SqliteStorage::open(&self.folder.join("registry.db"), ReplicaId(draw() | 1))
-            .map_err(|error| error.to_string())
+    /// The replica's file, and what it holds.
+    pub(super) fn open_replica(&self) -> Result<(SqliteStorage, PersistedState), ClusterError> {
+        let new_id = ReplicaId(random() | 1);
+        SqliteStorage::open(&self.path.join(REPLICA_FILE), new_id)
+            .map_err(|error| ClusterError::Storage(error.into()))
     }
 }
 
-/// The number of a life is on disk before the life begins.
-fn note(folder: &Path, life: u64) -> io::Result<()> {
-    let new = folder.join("life.new");
+fn parse_incarnation(directory: &Path, text: &str) -> Result<u64, ClusterError> {
+    let number = text.trim().parse::<u64>();
+    number.map_err(|source| ClusterError::CorruptIncarnation {
+        path: directory.join(INCARNATION_FILE),
+        source,
+    })
+}
+
+/// The number of an incarnation is on disk before the incarnation begins.
+fn write_incarnation(directory: &Path, incarnation: u64) -> io::Result<()> {
+    let new = directory.join(NEW_INCARNATION_FILE);
     let mut file = File::create(&new)?;
-    writeln!(file, "{life}")?;
+    writeln!(file, "{incarnation}")?;
     file.sync_all()?;
-    std::fs::rename(&new, folder.join("life"))?;
-    File::open(folder)?.sync_all()
+    std::fs::rename(&new, directory.join(INCARNATION_FILE))?;
+    File::open(directory)?.sync_all()
 }
 
+/// The number of the last operation of a batch that is on disk, or why the storage failed.
+pub(super) type StorageResult = Result<u64, SourceError>;
+
 /// The thread that writes. What waits is written in one step.
-pub struct StorageThread(Sender<StorageOperation>);
+pub(super) struct StorageThread(Sender<StorageOperation>);
 
 impl StorageThread {
-    pub fn start(mut disk: SqliteStorage) -> io::Result<(Self, Receiver<Result<u64, String>>)> {
-        let (to_disk, writes) = async_channel::unbounded::<StorageOperation>();
-        let (told, stored) = async_channel::unbounded();
-        std::thread::Builder::new()
-            .name("registry".into())
-            .spawn(move || {
-                while let Ok(first) = writes.recv_blocking() {
-                    let rest = std::iter::from_fn(|| writes.try_recv().ok()).take(AT_ONCE - 1);
-                    let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
-                    let number = batch.last().map_or(0, |write| write.number);
-                    let result = disk
-                        .apply(&batch)
-                        .map(|()| number)
-                        .map_err(|error| error.to_string());
-                    let failed = result.is_err();
-                    if told.send_blocking(result).is_err() || failed {
-                        return;
-                    }
+    /// Starts the thread; results come in the order of the operations.
+    pub(super) fn start(mut storage: SqliteStorage) -> io::Result<(Self, Receiver<StorageResult>)> {
+        let (sender, operations) = async_channel::unbounded::<StorageOperation>();
+        let (results, stored) = async_channel::unbounded();
+        let work = move || {
+            while let Ok(first) = operations.recv_blocking() {
+                let rest = std::iter::from_fn(|| operations.try_recv().ok()).take(MAX_BATCH - 1);
+                let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
+                let last = batch.last().map_or(0, |operation| operation.number);
+                let result = storage
+                    .apply(&batch)
+                    .map(|()| last)
+                    .map_err(SourceError::from);
+                let has_failed = result.is_err();
+                if results.send_blocking(result).is_err() || has_failed {
+                    return;
                 }
-            })?;
-        Ok((StorageThread(to_disk), stored))
+            }
+        };
+        let thread = std::thread::Builder::new().name("registry".into());
+        thread.spawn(work)?;
+        Ok((StorageThread(sender), stored))
     }
 
-    /// Bounded by raft itself, which proposes no more than a megabyte that is not agreed.
-    pub fn write(&self, write: StorageOperation) {
-        let _ = self.0.try_send(write);
+    /// Bounded by raft itself, which proposes no more than a megabyte that is not committed.
+    pub(super) fn submit(&self, operation: StorageOperation) {
+        let _ = self.0.try_send(operation);
     }
 }
--- /dev/null
+++ b/crates/server/src/cluster/event_log.rs
@@ -0,0 +1,46 @@
+//! One line in the log for each change in the cluster.
+use cottondyke_cluster::ClusterEvent;
+
+pub(super) fn log(event: &ClusterEvent) {
+    match event {
+        ClusterEvent::QuotaChanged {
+            budget,
+            before,
+            now,
+            epoch,
+        } => {
+            tracing::debug!(budget, before, now, epoch = epoch.0, "quota changed");
+        }
+        ClusterEvent::LeaseChanged { in_force: true } => tracing::info!("quota lease acquired"),
+        ClusterEvent::LeaseChanged { in_force: false } => {
+            tracing::warn!("quota lease expired; using nothing of the shared budgets")
+        }
+        ClusterEvent::LeadershipChanged { is_leader: true } => {
+            tracing::info!("became leader of the replicas")
+        }
+        ClusterEvent::LeadershipChanged { is_leader: false } => {
+            tracing::info!("no longer leader of the replicas")
+        }
+        ClusterEvent::Bootstrapped { replicas } => {
+            tracing::info!(replicas, "replica group bootstrapped")
+        }
+        ClusterEvent::MemberUp(member) => {
+            let (name, zone) = (&member.name, &member.zone);
+            tracing::info!(name, zone, incarnation = member.incarnation, "member up")
+        }
+        ClusterEvent::MemberDown(member) => {
+            let name = &member.name;
+            tracing::warn!(name, incarnation = member.incarnation, "member down")
+        }
+        ClusterEvent::SuspicionRefuted => {
+            tracing::warn!("refuted a suspicion that this instance is dead")
+        }
+        ClusterEvent::DuplicateName(member) => {
+            let (name, addr) = (&member.name, member.addr);
+            tracing::error!(name, %addr, "another process uses this instance's name");
+        }
+        ClusterEvent::ReplicaFailed => {
+            tracing::error!("replica failed; it takes no further part")
+        }
+    }
+}
--- a/crates/server/src/cluster/links.rs
+++ b/crates/server/src/cluster/links.rs
@@ -1,6 +1,7 @@
 //! Links between instances: one TCP connection a pair, dialled by whoever has something to say to an address of the
-//! file, and used in both directions. Words may be lost with a link; none waits long.
+//! operator's file, and used in both directions. Messages may be lost with a link; none waits long.
 use super::ClusterDriver;
+use crate::backoff::Backoff;
 use crate::protocol::peers::{encode, Decoder};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
@@ -12,162 +13,172 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Words that may wait for a link; past that the newest are lost.
-const MAX_WAITING: usize = 256;
-/// Links that are open at one time, and that are taken from others.
+/// Messages that may wait for a link; past that the newest are lost.
+const MAX_PENDING_MESSAGES: usize = 256;
+/// Links that are open at one time, and that are accepted from others.
 const MAX_LINKS: usize = 4_096;
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// A peer that takes nothing for this long has its link broken, and words that waited are lost.
-const WRITE_LIMIT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Accepting pauses this long after an error.
+const ACCEPT_BACKOFF: Duration = MAX_BACKOFF;
+/// A peer that reads nothing for this long has its link broken, and messages that waited are lost.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A link on which nothing came for this long is closed.
-const IDLE: Duration = Duration::from_secs(60);
-const READ: usize = 16_384;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const READ_BYTES: usize = 16_384;
 
 struct Link {
-    out: Sender<Vec<u8>>,
-    /// None for one that was taken from another: its own task keeps it.
-    _dialling: Option<Task<()>>,
+    outgoing: Sender<Vec<u8>>,
+    /// None for one that was accepted from another: its own task owns it.
+    dialling: Option<Task<()>>,
 }
 
+/// The links of this instance.
 #[derive(Default)]
-pub struct Links {
+pub(super) struct Links {
     open: RefCell<BTreeMap<SocketAddr, Link>>,
-    /// Addresses of the file, which may be dialled.
+    /// Addresses of the operator's file, which may be dialled.
     known: RefCell<Vec<SocketAddr>>,
 }
 
 impl Links {
-    /// Links to other addresses than these are let go.
-    pub fn keep(&self, known: impl Iterator<Item = SocketAddr>) {
+    /// Closes dialled links to other addresses than these.
+    pub(super) fn retain(&self, known: impl Iterator<Item = SocketAddr>) {
         *self.known.borrow_mut() = known.collect();
         let known = self.known.borrow();
         self.open
             .borrow_mut()
-            .retain(|addr, link| link._dialling.is_none() || known.contains(addr));
+            .retain(|addr, link| link.dialling.is_none() || known.contains(addr));
     }
 
-    pub fn send(&self, fleet: &ClusterDriver, to: SocketAddr, word: &[u8]) {
+    /// Sends an encoded message, over a new link where there is none.
+    pub(super) fn send(&self, driver: &ClusterDriver, to: SocketAddr, message: &[u8]) {
         let mut open = self.open.borrow_mut();
         if !open.contains_key(&to) {
-            let dials = fleet.own.keepers.iter().any(|(_, addr)| *addr == to)
-                || self.known.borrow().contains(&to);
-            let Some(fleet) = fleet.this().filter(|_| dials && open.len() < MAX_LINKS) else {
+            let may_dial = driver.is_own_replica(to) || self.known.borrow().contains(&to);
+            if !may_dial || open.len() >= MAX_LINKS {
                 return;
+            }
+            let Some(driver) = driver.shared() else {
+                return;
+            };
+            let (outgoing, messages) = async_channel::bounded(MAX_PENDING_MESSAGES);
+            let dialling = driver.tasks.clone().spawn(dial(driver, to, messages));
+            let link = Link {
+                outgoing,
+                dialling: Some(dialling),
             };
-            let (out, words) = async_channel::bounded(MAX_WAITING);
-            let dialling = fleet.executor.clone().spawn(dial(fleet, to, words));
-            open.insert(
-                to,
-                Link {
-                    out,
-                    _dialling: Some(dialling),
-                },
-            );
+            open.insert(to, link);
         }
         if let Some(link) = open.get(&to) {
-            let _ = link.out.try_send(encode(word));
+            let _ = link.outgoing.try_send(encode(message));
         }
     }
 }
 
-async fn late<T>(limit: Duration, value: T) -> T {
-    Timer::after(limit).await;
+async fn after<T>(timeout: Duration, value: T) -> T {
+    Timer::after(timeout).await;
     value
 }
 
-/// Keeps a link to an address of the file.
-async fn dial(fleet: Rc<ClusterDriver>, to: SocketAddr, words: Receiver<Vec<u8>>) {
-    let mut pause = SHORTEST_PAUSE;
+/// Keeps a link to an address of the operator's file open.
+async fn dial(driver: Rc<ClusterDriver>, to: SocketAddr, messages: Receiver<Vec<u8>>) {
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         let connecting = async { Async::<TcpStream>::connect(to).await.ok() };
-        if let Some(stream) = connecting.or(late(CONNECT_LIMIT, None)).await {
+        if let Some(stream) = connecting.or(after(CONNECT_TIMEOUT, None)).await {
             let _ = stream.get_ref().set_nodelay(true);
-            if carry(&fleet, &stream, to, &words).await {
-                pause = SHORTEST_PAUSE;
+            if exchange(&driver, &stream, to, &messages).await {
+                backoff.reset();
             }
         }
         // What waited for a link that was not there is of no use by now.
-        while words.try_recv().is_ok() {}
-        Timer::after(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        while messages.try_recv().is_ok() {}
+        backoff.wait().await;
     }
 }
 
-/// Words in both directions until the link breaks; true if any came.
-async fn carry(
-    fleet: &ClusterDriver,
+/// Messages in both directions until the link breaks; true if any came.
+async fn exchange(
+    driver: &ClusterDriver,
     stream: &Async<TcpStream>,
     peer: SocketAddr,
-    words: &Receiver<Vec<u8>>,
+    messages: &Receiver<Vec<u8>>,
 ) -> bool {
-    let mut any = false;
-    let reading = async {
-        let mut decoder = Decoder::default();
-        let mut bytes = vec![0; READ];
+    let mut has_received = false;
+    let reading = read_messages(driver, stream, peer, &mut has_received);
+    let writing = write_messages(stream, messages);
+    reading.or(writing).await;
+    has_received
+}
+
+async fn read_messages(
+    driver: &ClusterDriver,
+    stream: &Async<TcpStream>,
+    peer: SocketAddr,
+    has_received: &mut bool,
+) {
+    let mut decoder = Decoder::default();
+    let mut bytes = vec![0; READ_BYTES];
+    loop {
+        let reading = async { (&mut &*stream).read(&mut bytes).await.unwrap_or(0) };
+        let count = reading.or(after(IDLE_TIMEOUT, 0)).await;
+        if count == 0 {
+            return;
+        }
+        decoder.feed(&bytes[..count]);
         loop {
-            let read = async { (&mut &*stream).read(&mut bytes).await.unwrap_or(0) };
-            let count = read.or(late(IDLE, 0)).await;
-            if count == 0 {
-                return;
-            }
-            decoder.feed(&bytes[..count]);
-            loop {
-                match decoder.word() {
-                    Ok(Some(word)) => {
-                        any = true;
-                        fleet.heard(peer, &word);
-                    }
-                    Ok(None) => break,
-                    Err(wrong) => {
-                        tracing::warn!(%peer, wrong = wrong.0, "a link to another instance is closed");
-                        return;
-                    }
+            match decoder.next_message() {
+                Ok(Some(message)) => {
+                    *has_received = true;
+                    driver.handle_message(peer, &message);
+                }
+                Ok(None) => break,
+                Err(error) => {
+                    tracing::warn!(%peer, %error, "closing a link to another instance");
+                    return;
                 }
             }
         }
-    };
-    let writing = async {
-        while let Ok(first) = words.recv().await {
-            let mut bytes = first;
-            while let Ok(more) = words.try_recv() {
-                bytes.extend(more);
-            }
-            let write = async { (&mut &*stream).write_all(&bytes).await.is_ok() };
-            if !write.or(late(WRITE_LIMIT, false)).await {
-                return;
-            }
+    }
+}
+
+async fn write_messages(stream: &Async<TcpStream>, messages: &Receiver<Vec<u8>>) {
+    while let Ok(first) = messages.recv().await {
+        let mut bytes = first;
+        while let Ok(more) = messages.try_recv() {
+            bytes.extend(more);
         }
-    };
-    reading.or(writing).await;
-    any
+        let writing = async { (&mut &*stream).write_all(&bytes).await.is_ok() };
+        if !writing.or(after(WRITE_TIMEOUT, false)).await {
+            return;
+        }
+    }
 }
 
-/// Takes links from other instances, and from operators who look.
-pub async fn accept(fleet: Rc<ClusterDriver>, listener: Async<TcpListener>) {
+/// Accepts links from other instances, and from operators who ask for the status.
+pub(super) async fn accept(driver: Rc<ClusterDriver>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            Timer::after(LONGEST_PAUSE).await;
+            Timer::after(ACCEPT_BACKOFF).await;
             continue;
         };
-        if fleet.links.open.borrow().len() >= MAX_LINKS {
+        if driver.links.open.borrow().len() >= MAX_LINKS {
             continue;
         }
         let _ = stream.get_ref().set_nodelay(true);
-        let (out, words) = async_channel::bounded(MAX_WAITING);
-        fleet.links.open.borrow_mut().insert(
-            peer,
-            Link {
-                out,
-                _dialling: None,
-            },
-        );
-        let of = fleet.clone();
-        let carrying = async move {
-            carry(&of, &stream, peer, &words).await;
+        let (outgoing, messages) = async_channel::bounded(MAX_PENDING_MESSAGES);
+        let link = Link {
+            outgoing,
+            dialling: None,
+        };
+        driver.links.open.borrow_mut().insert(peer, link);
+        let of = driver.clone();
+        let exchanging = async move {
+            exchange(&of, &stream, peer, &messages).await;
             of.links.open.borrow_mut().remove(&peer);
         };
-        fleet.executor.spawn(carrying).detach();
+        driver.tasks.spawn(exchanging).detach();
     }
 }
--- a/crates/server/src/cluster/status.rs
+++ b/crates/server/src/cluster/status.rs
@@ -1,95 +1,107 @@
 //! `cottondyke peers ADDR`: asks a running instance what it knows.
+use crate::cluster::error::StatusError;
 use crate::protocol::peers::{encode, Decoder};
 use cottondyke_cluster::{Message, NodeStatus};
-use std::fmt::Write as _;
-use std::io::{Read, Write};
+use std::fmt::{self, Write as _};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
+const READ_BYTES: usize = 4_096;
 
-pub fn query(addr: SocketAddr) -> Result<NodeStatus, String> {
-    let wrong = |e: std::io::Error| format!("{addr}: {e}");
-    let mut stream = TcpStream::connect_timeout(&addr, LIMIT).map_err(wrong)?;
-    stream.set_read_timeout(Some(LIMIT)).map_err(wrong)?;
-    stream.set_write_timeout(Some(LIMIT)).map_err(wrong)?;
-    stream
-        .write_all(&encode(&Message::StatusRequest.encode()))
-        .map_err(wrong)?;
-    let (mut decoder, mut bytes) = (Decoder::default(), [0; 4_096]);
-    let until = Instant::now() + LIMIT;
+/// Asks the instance whose peers port this is for its status.
+pub fn query(addr: SocketAddr) -> Result<NodeStatus, StatusError> {
+    let failed = |source: io::Error| StatusError::Io { addr, source };
+    let mut stream = TcpStream::connect_timeout(&addr, TIMEOUT).map_err(failed)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
+    stream.set_write_timeout(Some(TIMEOUT)).map_err(failed)?;
+    let request = encode(&Message::StatusRequest.encode());
+    stream.write_all(&request).map_err(failed)?;
+    let mut decoder = Decoder::default();
+    let mut bytes = [0; READ_BYTES];
+    let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
-        let count = stream.read(&mut bytes).map_err(wrong)?;
+        let count = stream.read(&mut bytes).map_err(failed)?;
         if count == 0 {
-            return Err(format!(
-                "{addr}: closed without an answer: expected the peers port of an instance"
-            ));
+            return Err(StatusError::Closed { addr });
         }
         decoder.feed(&bytes[..count]);
-        while let Some(word) = decoder
-            .word()
-            .map_err(|wrong| format!("{addr}: {}", wrong.0))?
-        {
-            if let Some(Message::Status(view)) = Message::decode(&word) {
-                return Ok(*view);
+        let refused = |source| StatusError::Protocol { addr, source };
+        while let Some(message) = decoder.next_message().map_err(refused)? {
+            if let Some(Message::Status(status)) = Message::decode(&message) {
+                return Ok(*status);
             }
         }
     }
-    Err(format!("{addr}: no answer in {} s", LIMIT.as_secs()))
+    Err(StatusError::Timeout {
+        addr,
+        seconds: TIMEOUT.as_secs(),
+    })
 }
 
-/// For people.
-pub fn render(view: &NodeStatus) -> String {
+/// The status as text, for people.
+pub fn render(status: &NodeStatus) -> String {
     let mut text = String::new();
-    let part = match (view.is_leader, view.is_replica) {
+    // Writing to a string does not fail.
+    let _ = write_status(&mut text, status);
+    text
+}
+
+fn write_status(text: &mut String, status: &NodeStatus) -> fmt::Result {
+    let role = match (status.is_leader, status.is_replica) {
         (true, _) => "leads the registry",
         (_, true) => "keeps the registry",
         _ => "member",
     };
-    let leader = view.leader.as_deref().unwrap_or("unknown here");
-    let _ = writeln!(
+    let leader = status.leader.as_deref().unwrap_or("unknown here");
+    writeln!(
         text,
-        "{} (life {}): {part}; leader {leader}; lease for {} ms",
-        view.name, view.incarnation, view.lease_ms
-    );
-    for member in &view.members {
-        let standing = format!("{:?}", member.state).to_lowercase();
-        let _ = writeln!(
+        "{} (life {}): {role}; leader {leader}; lease for {} ms",
+        status.name, status.incarnation, status.lease_ms
+    )?;
+    for member in &status.members {
+        let state = format!("{:?}", member.state).to_lowercase();
+        writeln!(
             text,
-            "  {} (life {}) in zone {}: {standing}",
+            "  {} (life {}) in zone {}: {state}",
             member.name, member.incarnation, member.zone
-        );
+        )?;
     }
-    for (budget, units) in &view.quotas {
-        let _ = writeln!(text, "  may use {units} of {budget}");
+    for (budget, units) in &status.quotas {
+        writeln!(text, "  may use {units} of {budget}")?;
+    }
+    write_budgets(text, status)?;
+    for quarantined in &status.quarantined {
+        writeln!(
+            text,
+            "held back: {} of {} for {}, {} ms more at the most",
+            quarantined.units, quarantined.budget, quarantined.holder, quarantined.remaining_ms
+        )?;
     }
-    for budget in &view.budgets {
-        let used: u32 = budget.quotas.iter().map(|s| s.amount).sum();
-        let (name, whole, linger) = (&budget.name, budget.units, budget.post_cancel_grace_ms);
-        let _ = writeln!(
+    Ok(())
+}
+
+fn write_budgets(text: &mut String, status: &NodeStatus) -> fmt::Result {
+    for budget in &status.budgets {
+        let leased: u32 = budget.quotas.iter().map(|quota| quota.amount).sum();
+        writeln!(
             text,
-            "budget {name}: {used} of {whole} lent, a unit lingers up to {linger} ms"
-        );
-        for share in &budget.quotas {
-            let back = if share.fenced {
+            "budget {}: {leased} of {} lent, a unit lingers up to {} ms",
+            budget.name, budget.units, budget.post_cancel_grace_ms
+        )?;
+        for quota in &budget.quotas {
+            let fenced = if quota.fenced {
                 ", kept back: its lease ran out"
             } else {
                 ""
             };
-            let _ = writeln!(
+            writeln!(
                 text,
-                "  {} {}, epoch {}{back}",
-                share.holder, share.amount, share.epoch
-            );
+                "  {} {}, epoch {}{fenced}",
+                quota.holder, quota.amount, quota.epoch
+            )?;
         }
     }
-    for back in &view.quarantined {
-        let (units, budget, holder, ms) =
-            (back.units, &back.budget, &back.holder, back.remaining_ms);
-        let _ = writeln!(
-            text,
-            "held back: {units} of {budget} for {holder}, {ms} ms more at the most"
-        );
-    }
-    text
+    Ok(())
 }
--- /dev/null
+++ b/crates/server/src/config/reload.rs
@@ -0,0 +1,66 @@
+//! A configuration that is read again while the server runs.
+use super::{Config, ConfigError};
+
+/// What is in force after a reload.
+pub struct Reloaded {
+    /// The configuration.
+    pub config: Config,
+    /// Names of what was changed in the files and stays as it was: what was learned belongs to the settings, what is
+    /// connected to the address.
+    pub unchangeable: Vec<&'static str>,
+}
+
+impl Config {
+    /// What is in force once `new` was read while the server runs. An operator's file is obeyed completely or not at
+    /// all: an error where it cannot be.
+    pub fn reload(&self, new: Config) -> Result<Reloaded, ConfigError> {
+        let unchangeable = self.unchangeable_differences(&new);
+        if let Some(operator) = &new.operator {
+            if operator.serve.is_some() && !unchangeable.is_empty() {
+                let file = operator.file.clone();
+                return Err(ConfigError::FixedWhileRunning { file });
+            }
+            operator
+                .validate(&self.handler_specs())
+                .map_err(ConfigError::Operator)?;
+        }
+        // Quotas that are leased can't be told apart from fixed ones while calls of either are in flight.
+        if self.has_peers() != new.has_peers() {
+            let file = match &new.operator {
+                Some(operator) => operator.file.clone(),
+                None => "the configuration".to_string(),
+            };
+            return Err(ConfigError::PeersFixedWhileRunning { file });
+        }
+        let config = Config {
+            engine: new.engine,
+            control: new.control,
+            records: new.records,
+            operator: new.operator,
+            shutdown_timeout: new.shutdown_timeout,
+            max_connections: new.max_connections,
+            memory_bytes: new.memory_bytes,
+            ..self.clone()
+        };
+        Ok(Reloaded {
+            config,
+            unchangeable,
+        })
+    }
+
+    fn unchangeable_differences(&self, new: &Config) -> Vec<&'static str> {
+        let differences = [
+            ("name", new.name != self.name),
+            ("listen", new.listen != self.listen),
+            ("settings", new.settings != self.settings),
+            ("front", new.caller_source != self.caller_source),
+        ];
+        let names = differences.iter().filter(|(_, differs)| *differs);
+        names.map(|(name, _)| *name).collect()
+    }
+
+    fn has_peers(&self) -> bool {
+        let operator = self.operator.as_ref();
+        operator.is_some_and(|operator| operator.peers.is_some())
+    }
+}
--- /dev/null
+++ b/crates/server/src/config/standalone.rs
@@ -0,0 +1,99 @@
+//! A program that serves on its own: all is declared by the operator's file, from which the settings are made.
+use super::capacity::left_for_callers;
+use super::{Config, ConfigError};
+use cottondyke_operator_config::{Effect, OperatorConfig, Serve};
+use serde_json::{json, Value};
+
+/// The admission controller uses 0.85 of the overload that it is told is survived: so `at_once` itself is the most
+/// that run.
+const OVERLOAD_FACTOR: f64 = 1.0 / 0.85 + 1e-6;
+/// Half of the memory, in the kilobytes of a megabyte, is the requests'.
+const REQUEST_KB_PER_MB: f64 = 512.0;
+
+impl Config {
+    /// The configuration that an operator's file alone declares.
+    pub fn standalone(operator: OperatorConfig) -> Result<Self, ConfigError> {
+        operator
+            .validate_standalone()
+            .map_err(ConfigError::Operator)?;
+        let serve = operator
+            .serve
+            .clone()
+            .ok_or(ConfigError::Missing("serve(...)"))?;
+        let document = document(&operator, &serve);
+        let mut config = Self::parse(&document.to_string())
+            .map_err(|error| error.within(operator.file.as_str()))?;
+        config.max_connections =
+            left_for_callers(config.max_connections, config.memory_bytes, &operator)?;
+        config.engine = None;
+        config.control = None;
+        config.records = None;
+        config.operator = Some(operator);
+        Ok(config)
+    }
+}
+
+/// The platform's configuration that says the same as the operator's file.
+fn document(operator: &OperatorConfig, serve: &Serve) -> Value {
+    let listen = serve.listen.to_string();
+    json!({
+        "name": serve.name, "listen": listen, "engine": listen, "control": listen, "records": listen,
+        "seed": format!("{:x}", serve.seed), "stop_ms": (serve.stop / 10).max(1),
+        "limits": { "memory_mb": serve.memory_mb, "sockets": serve.sockets },
+        "settings": settings(operator, serve),
+    })
+}
+
+fn settings(operator: &OperatorConfig, serve: &Serve) -> Value {
+    // Requests that run are the cores of the admission controller here: they wait for dependencies, not for each other.
+    json!({
+        "blend": { "whole": 1.0 },
+        "classes": classes(operator),
+        "customers": tenants(operator),
+        "family_info": {
+            "advert": "none", "below": "none", "blowup": 2.0, "calls_over_ms": 1_000.0, "cold": false,
+            "fresh_ms": 0.0, "heeded_ms": 1_000.0, "idle_ms": 60_000.0, "kb_per_key": 1.0, "linger_ms": 0.0,
+            "mem_limit_kb": serve.memory_mb as f64 * REQUEST_KB_PER_MB, "n_cores": serve.at_once, "own_stats": [],
+            "preemption": "drop", "upstreams": 1.0,
+        },
+        "group_size": operator.instances.unwrap_or(1),
+        "obligations": {
+            "drain_grace_ms": milliseconds(serve.stop) / 2.0, "overload_factor": OVERLOAD_FACTOR,
+            "start_capacity": 1.0, "warm_within_ms": 1_000.0,
+        },
+        "over_share_worth": 0.1,
+        "policy_limits": { "max_retry_after_ms": milliseconds(serve.pause), "retry_after": true },
+        "resolution_ms": 1.0,
+        "worth_by": "request",
+    })
+}
+
+fn classes(operator: &OperatorConfig) -> Vec<Value> {
+    let class = |handler: &cottondyke_operator_config::Handler| {
+        let effect = match handler.effect {
+            Effect::Replayable => "repeatable",
+            Effect::Uniqued => "by_key",
+            Effect::NonReplayable => "once",
+        };
+        json!({
+            "name": handler.name, "effect": effect, "credit": handler.value, "late_value": handler.late_value,
+            "aim_ms": milliseconds(handler.response_target),
+            "deadline_ms": milliseconds(handler.client_timeout),
+            "dedup_window_ms": milliseconds(handler.window),
+        })
+    };
+    operator.handlers.iter().map(class).collect()
+}
+
+fn tenants(operator: &OperatorConfig) -> Vec<Value> {
+    operator
+        .tenants
+        .iter()
+        .map(|tenant| json!({ "name": tenant.name, "quota_per_s": tenant.per_second }))
+        .collect()
+}
+
+/// The operator's file counts time in tenths of a millisecond.
+fn milliseconds(tenths: i64) -> f64 {
+    tenths as f64 / 10.0
+}
--- a/crates/server/src/cpu_usage.rs
+++ b/crates/server/src/cpu_usage.rs
@@ -1,41 +1,46 @@
-//! The gauge of the cores where no engine reads one out: what this program itself uses of the one core that it
-//! can use.
+//! CPU utilization where no engine reports it: what this program itself uses of the one core that it can use.
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant};
 
-pub struct CpuSampler {
-    at: Instant,
-    used: Duration,
-}
+/// A sample over less than this says nothing.
+const MIN_SAMPLE_WINDOW: Duration = Duration::from_millis(5);
+const MAX_NANOS: i64 = 999_999_999;
 
-/// A reading over less than this says nothing.
-const SHORTEST: Duration = Duration::from_millis(5);
-
-fn used() -> Duration {
-    let time = clock_gettime(ClockId::ProcessCPUTime);
-    Duration::new(
-        time.tv_sec.max(0) as u64,
-        time.tv_nsec.clamp(0, 999_999_999) as u32,
-    )
+/// Samples the process's CPU time.
+pub struct CpuSampler {
+    sampled_at: Instant,
+    cpu_time: Duration,
 }
 
 impl CpuSampler {
+    /// Starts the first window now.
     pub fn start() -> Self {
         CpuSampler {
-            at: Instant::now(),
-            used: used(),
+            sampled_at: Instant::now(),
+            cpu_time: process_cpu_time(),
         }
     }
 
-    /// The part of a core in use since the last reading.
-    pub fn read(&mut self) -> Option<f64> {
-        let (now, used) = (Instant::now(), used());
-        let span = now - self.at;
-        if span < SHORTEST {
+    /// The fraction of a core in use since the last sample; none where that was too short ago.
+    pub fn sample(&mut self) -> Option<f64> {
+        let now = Instant::now();
+        let cpu_time = process_cpu_time();
+        let window = now - self.sampled_at;
+        if window < MIN_SAMPLE_WINDOW {
             return None;
         }
-        let busy = used.saturating_sub(self.used).as_secs_f64() / span.as_secs_f64();
-        (self.at, self.used) = (now, used);
-        Some(busy.min(1.0))
+        let used = cpu_time.saturating_sub(self.cpu_time);
+        let utilization = used.as_secs_f64() / window.as_secs_f64();
+        self.sampled_at = now;
+        self.cpu_time = cpu_time;
+        Some(utilization.min(1.0))
     }
 }
+
+fn process_cpu_time() -> Duration {
+    let time = clock_gettime(ClockId::ProcessCPUTime);
+    Duration::new(
+        time.tv_sec.max(0) as u64,
+        time.tv_nsec.clamp(0, MAX_NANOS) as u32,
+    )
+}
--- /dev/null
+++ b/crates/server/src/dispatcher/actions.rs
@@ -0,0 +1,148 @@
+//! Performs what the admission controller decides, in the order in which it stands.
+use super::RequestDispatcher;
+use crate::clock::ms;
+use crate::dedup::DedupOutcome;
+use crate::event::ReportUpdate;
+use crate::execution::ExecutionRequest;
+use crate::protocol::sidecar::Response;
+use cottondyke_admission::{Actions, Rejection};
+use cottondyke_types::{RequestId, Time};
+
+impl RequestDispatcher {
+    /// Performs actions, and all that follows from them.
+    pub(super) fn perform_all(&mut self, now: Time, actions: Actions) {
+        self.perform(now, actions);
+        loop {
+            if let Some((id, outcome)) = self.coalesced_outcomes.pop_front() {
+                let actions = self.admission.run_ended(now, id, outcome);
+                self.perform(now, actions);
+            } else if let Some(event) = self.execution_events.pop_front() {
+                if let Some(actions) = self.handle_execution_event(now, event) {
+                    self.perform(now, actions);
+                }
+            } else {
+                return;
+            }
+        }
+    }
+
+    fn perform(&mut self, now: Time, actions: Actions) {
+        for id in actions.cancel {
+            self.cancel_run(now, id);
+        }
+        for id in actions.fail {
+            self.fail(now, id);
+        }
+        for rejection in actions.reject {
+            self.reject(now, &rejection);
+        }
+        // What the admission controller retains it books; the entry itself stands since the request was read.
+        for id in actions.release_key {
+            self.dedup.release(id);
+        }
+        for id in actions.start {
+            self.start_run(now, id);
+        }
+        for id in actions.coalesce {
+            self.coalesce(now, id);
+        }
+        if let Some(engine) = &mut self.executors.engine {
+            for (id, timeout) in actions.call {
+                engine.start_call(id, timeout);
+            }
+            for id in actions.skip_call {
+                engine.skip_call(now, id);
+            }
+        }
+        if let Some(healthy) = actions.health {
+            self.set_healthy(healthy);
+        }
+        self.connections.advice = actions.advice.or(self.connections.advice);
+        if let Some(delay) = actions.next_tick {
+            self.ticks.insert(now + delay);
+        }
+    }
+
+    fn cancel_run(&mut self, now: Time, id: RequestId) {
+        if self.requests.get(id).is_some_and(|r| r.is_running) {
+            let events = self.executors.cancel(now, id);
+            self.execution_events.extend(events);
+        }
+    }
+
+    fn fail(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let (stream, is_running) = (request.stream, request.is_running);
+        self.counters.failed += 1;
+        self.answer(now, id, Response::Failed(stream));
+        if !is_running {
+            self.forget_unstarted(now, id);
+        }
+    }
+
+    fn reject(&mut self, now: Time, rejection: &Rejection) {
+        let Some(request) = self.requests.get(rejection.id) else {
+            return;
+        };
+        let response = Response::Rejected {
+            stream: request.stream,
+            retry_after_ms: ms(rejection.retry_after),
+            do_not_retry: rejection.do_not_retry,
+        };
+        self.counters.rejected += 1;
+        self.answer(now, rejection.id, response);
+        self.forget_unstarted(now, rejection.id);
+    }
+
+    /// A request that was answered before it ran leaves nothing for its repeats.
+    fn forget_unstarted(&mut self, now: Time, id: RequestId) {
+        self.dedup.release(id);
+        self.answer_coalesced(now, id, None);
+    }
+
+    fn start_run(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.is_running = true;
+        let times = self.config.times[request.arrival.handler.0];
+        let execution = ExecutionRequest {
+            wire_id: request.wire_id,
+            handler: request.arrival.handler,
+            tenant: request.arrival.tenant,
+            body: request.body.clone(),
+            target: request.arrived + times.response_target,
+            deadline: request.deadline(times.client_timeout),
+        };
+        let events = self.executors.start(now, id, &execution);
+        self.execution_events.extend(events);
+    }
+
+    /// The request waits for the response of the one that it repeats, or gets it where it is known.
+    fn coalesce(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(original) = request.arrival.duplicate_of else {
+            return;
+        };
+        request.coalesced_with = Some(original);
+        let result = match self.dedup.outcome(original) {
+            Some(DedupOutcome::InFlight) => return,
+            Some(DedupOutcome::Completed(result)) => result.clone(),
+            Some(DedupOutcome::Failed) => None,
+            None if self.requests.contains(original) => return,
+            None => None,
+        };
+        self.answer_coalesced(now, original, result);
+    }
+
+    /// Health counts once something can run.
+    fn set_healthy(&mut self, healthy: bool) {
+        if self.executors.is_ready() && self.health.set_healthy(healthy) {
+            let _ = self.report.try_send(ReportUpdate::Health { healthy });
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/dispatcher/engine.rs
@@ -0,0 +1,90 @@
+//! The engine's comings and goings, and the health checks that it answers.
+use super::RequestDispatcher;
+use crate::clock::time_of_ms;
+use crate::dedup::DedupTable;
+use crate::event::ConnectionId;
+use crate::execution::engine::EngineExecutor;
+use crate::health_check::HealthCheckOrigin;
+use crate::protocol::engine::EngineCommand;
+use crate::protocol::sidecar::{Response, StreamId};
+use async_channel::Sender;
+use cottondyke_admission::LoadSample;
+use cottondyke_types::Time;
+
+impl RequestDispatcher {
+    /// The first hello tells when the engine started. The admission controller reckons from there, but not from before
+    /// this program could observe anything. Nothing has run by then: what is open arrives again.
+    pub(super) fn handle_engine_up(
+        &mut self,
+        now: Time,
+        age_ms: f64,
+        commands: Sender<EngineCommand>,
+    ) {
+        let Some(engine) = &mut self.executors.engine else {
+            return;
+        };
+        let first = !engine.was_ever_up();
+        engine.link_up(now, commands);
+        tracing::info!(first, age_ms, "connected to the engine");
+        if first {
+            let born = (now - time_of_ms(age_ms)).max(self.started_at);
+            self.restart_admission(now, born);
+        }
+    }
+
+    /// A new admission controller, of an engine that started at `born`, to which all that is open arrives again.
+    fn restart_admission(&mut self, now: Time, born: Time) {
+        match self.config.admission_controller(born) {
+            Ok(admission) => self.admission = admission,
+            Err(error) => {
+                tracing::error!(%error, "cannot build an admission controller from the settings")
+            }
+        }
+        self.executors.forget_all(now);
+        // What is open arrives again, and enters the table again: the first attempt of each key that is left is the
+        // first.
+        self.dedup = DedupTable::default();
+        self.requests.remove_answered();
+        self.ticks.clear();
+        self.tick(now, LoadSample::default());
+        if let Some(shutdown_at) = self.shutdown_at {
+            let left = shutdown_at + self.shutdown_timeout() - now;
+            let actions = self.admission.drain(now, left);
+            self.perform_all(now, actions);
+        }
+        for id in self.requests.ids_where(|request| !request.is_answered) {
+            self.readmit(now, id);
+        }
+    }
+
+    pub(super) fn handle_health_check(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        stream: StreamId,
+        deep: bool,
+    ) {
+        self.connections.record_request(now, connection);
+        let check = HealthCheckOrigin { connection, stream };
+        if let Some(healthy) = self.health.answer(deep, self.executors.is_up()) {
+            self.answer_health_check(now, check, healthy);
+            return;
+        }
+        let engine = self.executors.engine.as_mut();
+        match engine.and_then(EngineExecutor::start_self_test) {
+            Some(tag) => self.health.wait_for_test(now, tag, check),
+            None => self.answer_health_check(now, check, false),
+        }
+    }
+
+    pub(super) fn answer_health_check(
+        &mut self,
+        now: Time,
+        check: HealthCheckOrigin,
+        healthy: bool,
+    ) {
+        let stream = check.stream;
+        let response = Response::HealthStatus { stream, healthy };
+        self.connections.send(now, check.connection, &response);
+    }
+}
--- /dev/null
+++ b/crates/server/src/dispatcher/outcomes.rs
@@ -0,0 +1,194 @@
+//! What executors tell: runs that end, calls, load and self-tests; and the response that each request gets once.
+use super::RequestDispatcher;
+use crate::clock::time_of_ms;
+use crate::dedup::RetentionLimits;
+use crate::execution::ExecutionEvent;
+use crate::protocol::sidecar::{Response, RunOutput};
+use cottondyke_admission::{Actions, LoadSample, RunOutcome};
+use cottondyke_types::{RequestId, Time};
+use std::rc::Rc;
+
+/// Multiple of the longest client timeout after which a run that nobody waits for holds its place no more.
+const ABANDON_RUNS_AFTER: f64 = 4.0;
+
+impl RequestDispatcher {
+    pub(super) fn handle_execution_events(
+        &mut self,
+        now: Time,
+        events: impl IntoIterator<Item = ExecutionEvent>,
+    ) {
+        for event in events {
+            if let Some(actions) = self.handle_execution_event(now, event) {
+                self.perform_all(now, actions);
+            }
+        }
+    }
+
+    /// What an executor tells, and what the admission controller makes of it.
+    pub(super) fn handle_execution_event(
+        &mut self,
+        now: Time,
+        event: ExecutionEvent,
+    ) -> Option<Actions> {
+        match event {
+            ExecutionEvent::Ended(id, outcome, output) => {
+                self.handle_run_ended(now, id, outcome, output)
+            }
+            ExecutionEvent::CallWanted(id) => Some(self.admission.call_wanted(now, id)),
+            ExecutionEvent::CallEnded(id, outcome) => {
+                Some(self.admission.call_ended(now, id, outcome))
+            }
+            ExecutionEvent::LoadSample(cpu_utilization) => {
+                self.load_query_until = None;
+                let sample = LoadSample {
+                    cpu_utilization,
+                    runnable_tasks: None,
+                };
+                Some(self.admission.tick(now, sample))
+            }
+            ExecutionEvent::Alive(id) => {
+                if let Some(request) = self.requests.get(id) {
+                    self.connections.mark_proven(request.connection);
+                }
+                None
+            }
+            ExecutionEvent::SelfTested(tag, healthy) => {
+                if let Some(check) = self.health.finish_test(tag) {
+                    self.answer_health_check(now, check, healthy);
+                }
+                None
+            }
+        }
+    }
+
+    fn handle_run_ended(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        outcome: RunOutcome,
+        output: RunOutput,
+    ) -> Option<Actions> {
+        let coalesced = match outcome {
+            RunOutcome::NotStarted => self.detach_coalesced(id),
+            _ => Vec::new(),
+        };
+        let actions = self.end_run(now, id, outcome, output)?;
+        if coalesced.is_empty() {
+            return Some(actions);
+        }
+        // What the end of the run brings goes before what the requests that arrive again bring.
+        self.perform_all(now, actions);
+        for id in coalesced {
+            self.readmit(now, id);
+        }
+        None
+    }
+
+    /// Nothing was started for a request, since the engine does not know it: it leaves nothing for its repeats. Guards
+    /// keys against clients that use them first: those that were coalesced with it do not fail for it.
+    fn detach_coalesced(&mut self, id: RequestId) -> Vec<RequestId> {
+        self.dedup.release(id);
+        let coalesced = self
+            .requests
+            .ids_where(|request| !request.is_answered && request.coalesced_with == Some(id));
+        for coalesced in &coalesced {
+            if let Some(request) = self.requests.get_mut(*coalesced) {
+                request.coalesced_with = None;
+            }
+        }
+        coalesced
+    }
+
+    /// A run has ended: what is still owed goes out first, then the admission controller is told.
+    fn end_run(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        outcome: RunOutcome,
+        output: RunOutput,
+    ) -> Option<Actions> {
+        let request = self.requests.get_mut(id).filter(|r| r.is_running)?;
+        request.is_running = false;
+        let (connection, stream) = (request.connection, request.stream);
+        let is_shared = request.key.is_some();
+        let is_completed = outcome == RunOutcome::Completed;
+        self.executors.forget(id);
+        if is_completed {
+            self.connections.mark_proven(connection);
+        }
+        let retained = (is_completed && is_shared).then(|| Rc::new(output.clone()));
+        let response = match is_completed {
+            true => Response::Completed(stream, output),
+            false => Response::Failed(stream),
+        };
+        self.answer(now, id, response);
+        if is_shared {
+            let limits = RetentionLimits {
+                read_ttl: self.config.read_cache_ttl,
+                max_bytes: self.limits.max_retained_bytes(),
+            };
+            self.dedup.record_outcome(now, id, retained.clone(), limits);
+            self.answer_coalesced(now, id, retained);
+        }
+        Some(self.admission.run_ended(now, id, outcome))
+    }
+
+    /// Fails runs of which nothing was heard since long after their clients gave up.
+    pub(super) fn abandon_lost_runs(&mut self, now: Time) {
+        let max_age = time_of_ms(self.config.max_client_timeout_ms).scaled(ABANDON_RUNS_AFTER);
+        let lost = self.requests.ids_where(|request| {
+            request.is_running && request.is_answered && now - request.arrived > max_age
+        });
+        for id in lost {
+            tracing::warn!("abandoning a run that never ended");
+            // It may have run, so its entry in the dedup table stays.
+            let output = RunOutput::default();
+            if let Some(actions) = self.end_run(now, id, RunOutcome::NotStarted, output) {
+                self.perform_all(now, actions);
+            }
+        }
+    }
+
+    /// Requests that wait for the response of `original` get it.
+    pub(super) fn answer_coalesced(
+        &mut self,
+        now: Time,
+        original: RequestId,
+        result: Option<Rc<RunOutput>>,
+    ) {
+        let coalesced = self
+            .requests
+            .ids_where(|request| !request.is_answered && request.coalesced_with == Some(original));
+        for id in coalesced {
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let stream = request.stream;
+            let (response, outcome) = match &result {
+                Some(result) => (
+                    Response::Completed(stream, RunOutput::clone(result)),
+                    RunOutcome::Completed,
+                ),
+                None => (Response::Failed(stream), RunOutcome::Failed),
+            };
+            self.answer(now, id, response);
+            self.coalesced_outcomes.push_back((id, outcome));
+        }
+    }
+
+    /// The final response, once.
+    pub(super) fn answer(&mut self, now: Time, id: RequestId, response: Response) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if !request.is_answered {
+            request.is_answered = true;
+            self.connections.send(now, request.connection, &response);
+        }
+        if request.is_running {
+            self.executors.mark_unwanted(id);
+        } else {
+            self.requests.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/dispatcher/shutdown.rs
@@ -0,0 +1,49 @@
+//! The shutdown: from its signal until all that was read is answered, or its time is over.
+use super::RequestDispatcher;
+use crate::clock::time_of_ms;
+use crate::shutdown::{self, ShutdownPhase, FULL_AGGREGATIONS_UNTIL};
+use cottondyke_types::Time;
+
+impl RequestDispatcher {
+    pub(super) fn handle_shutdown(&mut self, now: Time) {
+        if self.shutdown_at.is_some() {
+            tracing::info!("repeated shutdown signal");
+            return;
+        }
+        tracing::info!(in_flight = self.requests.len(), "shutting down");
+        self.shutdown_at = Some(now);
+        let timeout = self.shutdown_timeout();
+        let actions = self.admission.drain(now, timeout);
+        self.perform_all(now, actions);
+        let until = now + timeout.scaled(FULL_AGGREGATIONS_UNTIL);
+        self.executors.start_draining(now, until);
+        self.connections.send_go_away_to_all(now);
+        self.next_maintenance = now;
+    }
+
+    /// From the shutdown signal until the end.
+    pub(super) fn shutdown_timeout(&self) -> Time {
+        time_of_ms(self.config.shutdown_timeout.as_secs_f64() * 1_000.0)
+    }
+
+    pub(super) fn shutdown_phase(&self, now: Time) -> ShutdownPhase {
+        shutdown::phase(self.shutdown_at, self.shutdown_timeout(), now)
+    }
+
+    /// Closes what the phase closes; true once the server has ended.
+    pub(super) fn advance_shutdown(&mut self, now: Time, phase: ShutdownPhase) -> bool {
+        if phase >= ShutdownPhase::StoppedAccepting && self.stop_listening.take().is_some() {
+            self.connections.send_go_away_to_all(now);
+        }
+        if phase >= ShutdownPhase::Closing {
+            self.connections.close_idle();
+        }
+        // The end of the process is a close of every connection at once: it waits until each has written its responses
+        // and read what its sidecar still sent, or its time is over.
+        if phase == ShutdownPhase::Expired {
+            return true;
+        }
+        let is_answered = self.requests.values().all(|request| request.is_answered);
+        phase >= ShutdownPhase::StoppedAccepting && self.connections.count() == 0 && is_answered
+    }
+}
--- /dev/null
+++ b/crates/server/src/dispatcher/timers.rs
@@ -0,0 +1,110 @@
+//! What is due by the clock: ticks of the admission controller, timeouts of checks and load queries, maintenance.
+use super::RequestDispatcher;
+use crate::execution::engine::EngineExecutor;
+use crate::shutdown::ShutdownPhase;
+use cottondyke_admission::LoadSample;
+use cottondyke_types::{Time, SECOND};
+
+/// A tick goes to the admission controller without load when none comes from the engine within this time.
+const LOAD_QUERY_TIMEOUT: Time = Time(100);
+const MAINTENANCE_INTERVAL: Time = Time(500);
+const DRAINING_MAINTENANCE_INTERVAL: Time = Time(50);
+const LOG_INTERVAL: Time = SECOND;
+
+impl RequestDispatcher {
+    pub(super) fn next_timer(&self) -> Time {
+        let timers = [
+            self.load_query_until,
+            self.ticks.first().copied(),
+            self.health.next_timer(),
+            self.executors.next_timer(),
+        ];
+        timers
+            .into_iter()
+            .flatten()
+            .fold(self.next_maintenance, Time::min)
+    }
+
+    /// Does what is due by the clock; true once the server has ended.
+    pub(super) fn handle_timers(&mut self) -> bool {
+        let now = self.clock.now();
+        for check in self.health.take_expired(now) {
+            self.answer_health_check(now, check, false);
+        }
+        self.expire_load_query(now);
+        self.handle_due_ticks(now);
+        let events = self.executors.handle_timer(now);
+        self.handle_execution_events(now, events);
+        now >= self.next_maintenance && self.maintain(now)
+    }
+
+    fn expire_load_query(&mut self, now: Time) {
+        if self.load_query_until.is_some_and(|until| until <= now) {
+            self.load_query_until = None;
+            if let Some(engine) = &mut self.executors.engine {
+                engine.abandon_load_query();
+            }
+            self.tick(now, LoadSample::default());
+        }
+    }
+
+    /// One tick for all that are due: at once, or with the load that the engine is asked for.
+    fn handle_due_ticks(&mut self, now: Time) {
+        let pending = self.ticks.len();
+        self.ticks.retain(|at| *at > now);
+        let is_due = self.ticks.len() < pending;
+        if !is_due || self.load_query_until.is_some() {
+            return;
+        }
+        let engine = self.executors.engine.as_mut();
+        match engine.map(EngineExecutor::query_load) {
+            Some(true) => self.load_query_until = Some(now + LOAD_QUERY_TIMEOUT),
+            Some(false) => self.tick(now, LoadSample::default()),
+            None => {
+                let sample = LoadSample {
+                    cpu_utilization: self.cpu.sample(),
+                    runnable_tasks: None,
+                };
+                self.tick(now, sample);
+            }
+        }
+    }
+
+    pub(super) fn tick(&mut self, now: Time, load: LoadSample) {
+        let actions = self.admission.tick(now, load);
+        self.perform_all(now, actions);
+    }
+
+    /// Housekeeping of all parts; true once the server has ended.
+    fn maintain(&mut self, now: Time) -> bool {
+        let interval = match self.shutdown_at {
+            Some(_) => DRAINING_MAINTENANCE_INTERVAL,
+            None => MAINTENANCE_INTERVAL,
+        };
+        self.next_maintenance = now + interval;
+        let phase = self.shutdown_phase(now);
+        let is_closing = phase >= ShutdownPhase::StoppedAccepting;
+        self.connections.maintain(now, is_closing);
+        self.evict_connections(now);
+        if let Some(engine) = &mut self.executors.engine {
+            engine.maintain(now);
+        }
+        if now >= self.next_log {
+            self.next_log = now + LOG_INTERVAL;
+            let engine = self.executors.log_and_count(now);
+            std::mem::take(&mut self.counters).log(engine);
+        }
+        self.abandon_lost_runs(now);
+        self.dedup.expire(now);
+        self.advance_shutdown(now, phase)
+    }
+
+    /// Guards newcomers that wait to be accepted while every place is taken: those told to go are not left until the
+    /// next maintenance.
+    pub(super) fn evict_connections(&mut self, now: Time) {
+        let count = self.limits.connections();
+        if let Some(at) = self.connections.evict_excess(now, count) {
+            self.next_maintenance = self.next_maintenance.min(at);
+        }
+    }
+}
--- a/crates/server/src/execution/command_queue.rs
+++ b/crates/server/src/execution/command_queue.rs
@@ -3,117 +3,133 @@
 use async_channel::Sender;
 use cottondyke_types::{Time, SECOND};
 
-/// Commands that may wait while the engine reads none; past that no halt is repeated. All others are one a req.
-const MOST_WAITING: usize = 1_024;
-const FENCE_WITHIN: Time = SECOND;
+/// Commands that may wait while the engine reads none; past that no cancel is repeated. All others are one a request.
+const MAX_PENDING_COMMANDS: usize = 1_024;
+/// The answer to the fence is waited for so long.
+const FENCE_TIMEOUT: Time = SECOND;
 
-/// What the desk knows of the engine: the link's way in, and what waits for a link.
+/// A question whose answer shows that all messages of earlier links have been read.
+#[derive(Debug)]
+struct Fence {
+    tag: Tag,
+    until: Time,
+}
+
+/// What the dispatcher knows of the engine's link: its way in, and what waits for a link.
 #[derive(Default)]
 pub struct EngineCommandQueue {
-    outlet: Option<Sender<EngineCommand>>,
-    /// After a link was taken up again, its answer shows that all earlier notices are read. It is waited for
-    /// until the time beside it.
-    fence: Option<(Tag, Time)>,
+    link: Option<Sender<EngineCommand>>,
+    /// Stands after a link was opened, until the backlog may go out.
+    fence: Option<Fence>,
     backlog: Vec<EngineCommand>,
-    tags: u64,
-    /// Gauges that were asked for and have not come: one question at a time.
-    unanswered: Option<Tag>,
-    /// Whether the engine has ever said hello.
-    pub greeted: bool,
+    next_tag: u64,
+    /// A load query that has not been answered: one question at a time.
+    pending_load_query: Option<Tag>,
+    was_ever_up: bool,
 }
 
 impl EngineCommandQueue {
-    pub fn up(&mut self, now: Time, outlet: Sender<EngineCommand>) {
-        self.greeted = true;
-        self.outlet = Some(outlet);
-        self.fence = self
-            .ask(EngineCommand::Stat)
-            .map(|tag| (tag, now + FENCE_WITHIN));
+    /// A link is open; it takes commands at `link`.
+    pub fn link_up(&mut self, now: Time, link: Sender<EngineCommand>) {
+        self.was_ever_up = true;
+        self.link = Some(link);
+        let tag = self.ask(EngineCommand::QueryLoad);
+        self.fence = tag.map(|tag| Fence {
+            tag,
+            until: now + FENCE_TIMEOUT,
+        });
     }
 
-    /// What was not sent whole was not carried out: it waits, as what comes meanwhile does.
-    pub fn down(&mut self, unsent: Vec<EngineCommand>) {
-        (self.outlet, self.fence, self.unanswered) = (None, None, None);
-        let since = std::mem::take(&mut self.backlog);
-        unsent
-            .into_iter()
-            .chain(since)
-            .for_each(|command| self.send(command));
+    /// The link broke. What was not sent to its last byte was not carried out: it waits, as what comes meanwhile does.
+    pub fn link_down(&mut self, unsent: Vec<EngineCommand>) {
+        self.link = None;
+        self.fence = None;
+        self.pending_load_query = None;
+        let later = std::mem::take(&mut self.backlog);
+        for command in unsent.into_iter().chain(later) {
+            self.send(command);
+        }
     }
 
-    /// True once the fence is passed: now the backlog can go out.
-    pub fn passed(&mut self, tag: Tag) -> bool {
-        self.fence.take_if(|(fence, _)| *fence == tag).is_some()
+    /// True once, when the answer with this tag is the fence's: now the backlog can go out.
+    pub fn pass_fence(&mut self, tag: Tag) -> bool {
+        self.fence.take_if(|fence| fence.tag == tag).is_some()
     }
 
     /// True once, when the fence has not been answered in time: what waited can wait no longer.
-    pub fn overdue(&mut self, now: Time) -> bool {
-        self.fence.take_if(|(_, until)| *until <= now).is_some()
+    pub fn expire_fence(&mut self, now: Time) -> bool {
+        self.fence.take_if(|fence| fence.until <= now).is_some()
     }
 
-    /// Sends what waited, after runs that may have been lost with the last link.
-    pub fn resume(&mut self, again: Vec<EngineCommand>) {
+    /// Sends what waited, after commands of runs that may have been lost with the last link.
+    pub fn resume(&mut self, repeated: Vec<EngineCommand>) {
         let backlog = std::mem::take(&mut self.backlog);
-        again
-            .into_iter()
-            .chain(backlog)
-            .for_each(|command| self.send(command));
+        for command in repeated.into_iter().chain(backlog) {
+            self.send(command);
+        }
     }
 
-    pub fn waits(&self, command: &EngineCommand) -> bool {
+    /// Whether a command waits for a link.
+    pub fn is_queued(&self, command: &EngineCommand) -> bool {
         self.backlog.contains(command)
     }
 
-    pub fn forget(&mut self) {
+    /// Forgets what waits.
+    pub fn clear(&mut self) {
         self.backlog.clear();
     }
 
+    /// Sends a command, or queues it where there is no link.
     pub fn send(&mut self, command: EngineCommand) {
-        let halt = matches!(command, EngineCommand::Halt(_));
-        let command = match &self.outlet {
-            Some(outlet) if halt && outlet.len() >= MOST_WAITING => return,
-            Some(outlet) if self.fence.is_none() => match outlet.try_send(command) {
+        let is_cancel = matches!(command, EngineCommand::CancelRun(_));
+        let command = match &self.link {
+            Some(link) if is_cancel && link.len() >= MAX_PENDING_COMMANDS => return,
+            Some(link) if self.fence.is_none() => match link.try_send(command) {
                 Ok(()) => return,
                 Err(closed) => closed.into_inner(),
             },
             _ => command,
         };
-        // Halts are asked for again and again; gauges and tests are of no use later.
-        let useless = matches!(
+        // Cancels are asked for again and again; load and self-tests are of no use later.
+        let is_useless_later = matches!(
             command,
-            EngineCommand::Stat(_) | EngineCommand::Test(_) | EngineCommand::Attach(_)
+            EngineCommand::QueryLoad(_) | EngineCommand::SelfTest(_) | EngineCommand::Attach(_)
         );
-        let twice = halt && self.backlog.contains(&command);
-        if !useless && !twice {
+        let is_repeated = is_cancel && self.backlog.contains(&command);
+        if !is_useless_later && !is_repeated {
             self.backlog.push(command);
         }
     }
 
-    /// Asks for gauges or a test; none while there is no link.
-    pub fn ask(&mut self, command: fn(Tag) -> EngineCommand) -> Option<Tag> {
-        let tag = Tag(self.tags);
-        self.tags += 1;
-        let sent = self
-            .outlet
-            .as_ref()
-            .is_some_and(|outlet| outlet.try_send(command(tag)).is_ok());
-        sent.then_some(tag)
+    /// Asks a question; none while there is no link.
+    pub fn ask(&mut self, question: fn(Tag) -> EngineCommand) -> Option<Tag> {
+        let tag = Tag(self.next_tag);
+        self.next_tag += 1;
+        let link = self.link.as_ref()?;
+        link.try_send(question(tag)).is_ok().then_some(tag)
     }
 
-    /// Asks for gauges, unless the last were not sent yet.
-    pub fn ask_gauges(&mut self) -> Option<Tag> {
-        if self.unanswered.is_none() {
-            self.unanswered = self.ask(EngineCommand::Stat);
-            return self.unanswered;
+    /// Asks for the load gauges, unless the last question has not been answered.
+    pub fn query_load(&mut self) -> Option<Tag> {
+        if self.pending_load_query.is_some() {
+            return None;
         }
-        None
+        self.pending_load_query = self.ask(EngineCommand::QueryLoad);
+        self.pending_load_query
     }
 
-    pub fn gauges_came(&mut self, tag: Tag) {
-        self.unanswered.take_if(|asked| *asked == tag);
+    /// Load gauges came.
+    pub fn load_received(&mut self, tag: Tag) {
+        self.pending_load_query.take_if(|pending| *pending == tag);
     }
 
+    /// Whether there is a link.
     pub fn is_up(&self) -> bool {
-        self.outlet.is_some()
+        self.link.is_some()
+    }
+
+    /// Whether the engine has ever said hello.
+    pub fn was_ever_up(&self) -> bool {
+        self.was_ever_up
     }
 }
--- a/crates/server/src/execution/engine.rs
+++ b/crates/server/src/execution/engine.rs
@@ -1,323 +1,382 @@
-//! Runs on the engine: which there are, what each waits for, and what a broken link may have lost. The calls that
-//! runs ask for are made here once the decider lets them out.
+//! Runs on the engine: which there are, what each waits for, and what a broken link may have lost. The calls that runs
+//! ask for are made here once the admission controller lets them out.
 use super::{ExecutionEvent, ExecutionRequest};
 use crate::event::{CallError, CallNumber, Event};
 use crate::execution::command_queue::EngineCommandQueue;
-use crate::outbound::records_call;
+use crate::outbound::records_call::{self, RecordsCall};
 use crate::protocol::engine::{EngineCommand, EngineMessage, MessageNumber, Tag};
 use crate::protocol::sidecar::RunOutput;
 use crate::protocol::WireId;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
-use cottondyke_admission::RunOutcome;
+use cottondyke_admission::{CallOutcome, RunOutcome};
 use cottondyke_types::{RequestId, Time, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// What was written to the engine this long before its link broke may not have been read.
-const MAYBE_LOST: Time = SECOND;
+const POSSIBLY_LOST_WINDOW: Time = SECOND;
+
+/// A call that a run waits for.
+struct NeededCall {
+    message: MessageNumber,
+    body: Vec<u8>,
+}
 
 struct EngineRun {
-    wire: WireId,
+    wire_id: WireId,
     class: Rc<str>,
     body: Rc<[u8]>,
-    replayable: bool,
+    is_idempotent: bool,
     /// Whether anybody still waits for it.
-    wanted: bool,
+    is_wanted: bool,
     /// Whether the engine has shown that it runs.
-    begun: bool,
+    has_begun: bool,
     /// The call that the run waits for.
-    need: Option<(MessageNumber, Vec<u8>)>,
+    needed_call: Option<NeededCall>,
     /// When the run was told to go on from its call, and how, until the engine shows that it has.
-    told: Option<(Time, EngineCommand)>,
+    resumed: Option<(Time, EngineCommand)>,
+    /// The call in flight; dropping its task cancels it.
     call: Option<(CallNumber, Task<()>)>,
 }
 
 impl EngineRun {
-    fn command(&self) -> EngineCommand {
-        EngineCommand::Run {
-            id: self.wire,
+    fn start_command(&self) -> EngineCommand {
+        EngineCommand::StartRun {
+            id: self.wire_id,
             class: self.class.clone(),
             body: self.body.clone(),
         }
     }
 }
 
-/// Calls of the last second that brought nothing, and commands that were refused.
+/// Calls since the last reading that brought nothing, and commands that were refused.
 #[derive(Default)]
 pub struct EngineCounters {
+    /// Calls that the service did not begin.
     pub not_begun: u64,
+    /// Calls that failed, or may have been executed.
     pub failed: u64,
+    /// Commands that the engine refused.
     pub refused: u64,
 }
 
+/// What the executor is started with.
+pub struct EngineExecutorConfig {
+    /// The records service; none where nothing lies below.
+    pub records: Option<SocketAddr>,
+    /// The place of the CPU utilization among the gauges that the engine reports.
+    pub cpu_gauge: Option<usize>,
+}
+
+/// Runs requests on the engine.
 pub struct EngineExecutor {
-    link: EngineCommandQueue,
+    commands: EngineCommandQueue,
     runs: BTreeMap<RequestId, EngineRun>,
-    by_wire: BTreeMap<WireId, RequestId>,
-    /// The gauge of the cores among those that the engine reads out.
-    busy: Option<usize>,
-    /// Gauges that the desk asked for.
-    asked: Option<Tag>,
+    by_wire_id: BTreeMap<WireId, RequestId>,
+    config: EngineExecutorConfig,
+    /// The load query of the dispatcher that has not been answered.
+    load_query: Option<Tag>,
     /// When the link last broke.
-    broke: Time,
-    /// None where nothing lies below.
-    records: Option<SocketAddr>,
-    calls: u64,
-    executor: Rc<LocalExecutor<'static>>,
-    inputs: Sender<Event>,
-    pub tally: EngineCounters,
+    link_lost_at: Time,
+    last_call: u64,
+    tasks: Rc<LocalExecutor<'static>>,
+    events: Sender<Event>,
+    counters: EngineCounters,
 }
 
 impl EngineExecutor {
+    /// An executor without a link.
     pub fn new(
         now: Time,
-        records: Option<SocketAddr>,
-        busy: Option<usize>,
-        executor: Rc<LocalExecutor<'static>>,
-        inputs: Sender<Event>,
+        config: EngineExecutorConfig,
+        tasks: Rc<LocalExecutor<'static>>,
+        events: Sender<Event>,
     ) -> Self {
         EngineExecutor {
-            link: EngineCommandQueue::default(),
+            commands: EngineCommandQueue::default(),
             runs: BTreeMap::new(),
-            by_wire: BTreeMap::new(),
-            busy,
-            asked: None,
-            broke: now,
-            records,
-            calls: 0,
-            executor,
-            inputs,
-            tally: EngineCounters::default(),
+            by_wire_id: BTreeMap::new(),
+            config,
+            load_query: None,
+            link_lost_at: now,
+            last_call: 0,
+            tasks,
+            events,
+            counters: EngineCounters::default(),
         }
     }
 
+    /// Starts a run, of the handler that the engine knows as `class`.
     pub fn start(
         &mut self,
         id: RequestId,
-        job: &ExecutionRequest,
+        request: &ExecutionRequest,
         class: Rc<str>,
-        replayable: bool,
+        is_idempotent: bool,
     ) {
         let run = EngineRun {
-            wire: job.wire,
+            wire_id: request.wire_id,
             class,
-            body: job.body.clone(),
-            replayable,
-            wanted: true,
-            begun: false,
-            need: None,
-            told: None,
+            body: request.body.clone(),
+            is_idempotent,
+            is_wanted: true,
+            has_begun: false,
+            needed_call: None,
+            resumed: None,
             call: None,
         };
-        self.link.send(run.command());
-        self.by_wire.insert(run.wire, id);
+        self.commands.send(run.start_command());
+        self.by_wire_id.insert(run.wire_id, id);
         self.runs.insert(id, run);
     }
 
     /// Asks for the run's end, which comes as an event once the engine has carried it out.
-    pub fn stop(&mut self, id: RequestId) {
+    pub fn cancel(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get(&id) {
-            self.link.send(EngineCommand::Halt(run.wire));
+            self.commands.send(EngineCommand::CancelRun(run.wire_id));
         }
     }
 
-    /// Nobody waits for the run any longer: its call in hand is given up.
-    pub fn unwanted(&mut self, id: RequestId) {
+    /// Nobody waits for the run any longer: its call in flight is cancelled.
+    pub fn mark_unwanted(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get_mut(&id) {
-            (run.wanted, run.call) = (false, None);
+            run.is_wanted = false;
+            run.call = None;
         }
     }
 
-    /// The run is over, or taken to be.
+    /// The run has ended, or is taken to have.
     pub fn forget(&mut self, id: RequestId) {
         if let Some(run) = self.runs.remove(&id) {
-            self.by_wire.remove(&run.wire);
+            self.by_wire_id.remove(&run.wire_id);
         }
     }
 
-    /// Before the first hello nothing has run: all runs are forgotten, to start anew.
+    /// Before the first hello nothing has run: all runs are forgotten, to start again.
     pub fn forget_all(&mut self) {
-        self.link.forget();
+        self.commands.clear();
         self.runs.clear();
-        self.by_wire.clear();
+        self.by_wire_id.clear();
     }
 
-    pub fn up(&mut self, now: Time, outlet: Sender<EngineCommand>) {
-        self.link.up(now, outlet);
+    /// A link is open; it takes commands at `link`.
+    pub fn link_up(&mut self, now: Time, link: Sender<EngineCommand>) {
+        self.commands.link_up(now, link);
     }
 
-    pub fn down(&mut self, now: Time, unsent: Vec<EngineCommand>) {
-        self.broke = now;
-        self.link.down(unsent);
+    /// The link broke with these commands unsent.
+    pub fn link_down(&mut self, now: Time, unsent: Vec<EngineCommand>) {
+        self.link_lost_at = now;
+        self.commands.link_down(unsent);
     }
 
-    pub fn greeted(&self) -> bool {
-        self.link.greeted
+    /// Whether the engine has ever said hello.
+    pub fn was_ever_up(&self) -> bool {
+        self.commands.was_ever_up()
     }
 
+    /// Whether there is a link.
     pub fn is_up(&self) -> bool {
-        self.link.is_up()
+        self.commands.is_up()
     }
 
-    pub fn moved(&mut self, records: Option<SocketAddr>) {
-        self.records = records;
+    /// The records service has another address, for calls from now on.
+    pub fn set_records(&mut self, records: Option<SocketAddr>) {
+        self.config.records = records;
     }
 
     /// Asks the engine to test itself; none while there is no link.
-    pub fn test(&mut self) -> Option<Tag> {
-        self.link.ask(EngineCommand::Test)
+    pub fn start_self_test(&mut self) -> Option<Tag> {
+        self.commands.ask(EngineCommand::SelfTest)
     }
 
-    /// Asks for gauges; false where none will come.
-    pub fn ask_gauges(&mut self) -> bool {
-        self.asked = self.link.ask_gauges();
-        self.asked.is_some()
+    /// Asks for the load; false where no answer will come.
+    pub fn query_load(&mut self) -> bool {
+        self.load_query = self.commands.query_load();
+        self.load_query.is_some()
     }
 
-    /// They are waited for no longer.
-    pub fn no_gauges(&mut self) {
-        self.asked = None;
+    /// The load is waited for no longer.
+    pub fn abandon_load_query(&mut self) {
+        self.load_query = None;
     }
 
-    pub fn chores(&mut self, now: Time) {
-        if self.link.overdue(now) {
-            self.link.resume(Vec::new());
+    /// Lets out what waits for a fence that was not answered in time.
+    pub fn maintain(&mut self, now: Time) {
+        if self.commands.expire_fence(now) {
+            self.commands.resume(Vec::new());
         }
     }
 
-    fn run_of(&mut self, wire: WireId) -> Option<(RequestId, &mut EngineRun)> {
-        let id = *self.by_wire.get(&wire)?;
+    /// The counters since the last reading.
+    pub fn take_counters(&mut self) -> EngineCounters {
+        std::mem::take(&mut self.counters)
+    }
+
+    fn find_run(&mut self, wire_id: WireId) -> Option<(RequestId, &mut EngineRun)> {
+        let id = *self.by_wire_id.get(&wire_id)?;
         self.runs.get_mut(&id).map(|run| (id, run))
     }
 
-    pub fn noticed(&mut self, notice: EngineMessage) -> Vec<ExecutionEvent> {
-        match notice {
-            EngineMessage::Done {
-                id, end, result, ..
+    /// What the engine says becomes events, in their order.
+    pub fn handle_message(&mut self, message: EngineMessage) -> Vec<ExecutionEvent> {
+        match message {
+            EngineMessage::RunEnded {
+                id,
+                outcome,
+                result,
+                ..
             } => {
-                let id = self.by_wire.get(&id);
-                id.map(|id| ExecutionEvent::Ended(*id, end, RunOutput::whole(result)))
-                    .into_iter()
-                    .collect()
-            }
-            EngineMessage::Need { no, id, body } => {
-                let Some((id, run)) = self.run_of(id) else {
+                let Some(id) = self.by_wire_id.get(&id) else {
                     return Vec::new();
                 };
-                (run.need, run.told, run.begun) = (Some((no, body)), None, true);
-                vec![ExecutionEvent::Lives(id), ExecutionEvent::CallWanted(id)]
+                let output = RunOutput::complete(result);
+                vec![ExecutionEvent::Ended(*id, outcome, output)]
             }
-            EngineMessage::Stats { tag, gauges } => {
-                self.link.gauges_came(tag);
-                if self.link.passed(tag) {
-                    let again = self.commands_to_repeat();
-                    self.link.resume(again);
-                } else if self.asked.take_if(|asked| *asked == tag).is_some() {
-                    let busy = self.busy.and_then(|place| gauges.get(place).copied());
-                    return vec![ExecutionEvent::LoadSample(busy.filter(|b| b.is_finite()))];
-                }
-                Vec::new()
-            }
-            EngineMessage::Tested { tag, good } => vec![ExecutionEvent::Tested(tag, good)],
-            EngineMessage::Refused { command, id } => {
-                let Some((id, run)) = id.and_then(|id| self.run_of(id)) else {
+            EngineMessage::CallNeeded { number, id, body } => {
+                let Some((id, run)) = self.find_run(id) else {
                     return Vec::new();
                 };
-                tracing::debug!(command, id = ?run.wire, "the engine refused a command");
-                // Any other says that this command was one too many, not that there is no run.
-                let none = command == "RUN" && !run.begun || command == "HALT" && !run.wanted;
-                self.tally.refused += 1;
-                let over = none.then(|| {
-                    ExecutionEvent::Ended(id, RunOutcome::NotStarted, RunOutput::default())
+                run.needed_call = Some(NeededCall {
+                    message: number,
+                    body,
                 });
-                over.into_iter().collect()
+                run.resumed = None;
+                run.has_begun = true;
+                vec![ExecutionEvent::Alive(id), ExecutionEvent::CallWanted(id)]
             }
-            EngineMessage::Hello { .. } | EngineMessage::Remark(_) | EngineMessage::Unknown(_) => {
+            EngineMessage::Load { tag, gauges } => self.handle_load(tag, &gauges),
+            EngineMessage::SelfTest { tag, passed } => {
+                vec![ExecutionEvent::SelfTested(tag, passed)]
+            }
+            EngineMessage::CommandRefused { command, id } => self.handle_refusal(&command, id),
+            EngineMessage::Hello { .. } | EngineMessage::Note(_) | EngineMessage::Unknown(_) => {
                 Vec::new()
             }
         }
     }
 
-    /// What may have been lost with the link though it was written whole: the commands of replayable runs that
-    /// showed no sign of life, and for runs that were told to go on shortly before, that.
-    fn commands_to_repeat(&self) -> Vec<EngineCommand> {
-        let lost = |run: &EngineRun| {
-            let told = run
-                .told
-                .as_ref()
-                .filter(|(at, _)| self.broke - *at <= MAYBE_LOST);
-            let again = (!run.begun && run.replayable).then(|| run.command());
-            told.map(|(_, command)| command.clone())
-                .or(again)
-                .filter(|command| !self.link.waits(command))
+    fn handle_load(&mut self, tag: Tag, gauges: &[f64]) -> Vec<ExecutionEvent> {
+        self.commands.load_received(tag);
+        if self.commands.pass_fence(tag) {
+            let repeated = self.possibly_lost_commands();
+            self.commands.resume(repeated);
+            return Vec::new();
+        }
+        if self.load_query.take_if(|asked| *asked == tag).is_none() {
+            return Vec::new();
+        }
+        let place = self.config.cpu_gauge;
+        let utilization = place.and_then(|place| gauges.get(place).copied());
+        let utilization = utilization.filter(|value| value.is_finite());
+        vec![ExecutionEvent::LoadSample(utilization)]
+    }
+
+    fn handle_refusal(&mut self, command: &str, id: Option<WireId>) -> Vec<ExecutionEvent> {
+        let Some((id, run)) = id.and_then(|id| self.find_run(id)) else {
+            return Vec::new();
         };
+        tracing::debug!(command, id = ?run.wire_id, "engine refused a command");
+        // Any other says that this command was one too many, not that there is no run.
+        let has_no_run = command == "RUN" && !run.has_begun || command == "HALT" && !run.is_wanted;
+        self.counters.refused += 1;
+        if !has_no_run {
+            return Vec::new();
+        }
+        let output = RunOutput::default();
+        vec![ExecutionEvent::Ended(id, RunOutcome::NotStarted, output)]
+    }
+
+    /// What may have been lost with the link though it was written to its last byte: the commands of idempotent runs
+    /// that showed no sign of life, and for runs that were told to go on shortly before, that.
+    fn possibly_lost_commands(&self) -> Vec<EngineCommand> {
         self.runs
             .values()
-            .filter(|run| run.wanted)
-            .filter_map(lost)
+            .filter(|run| run.is_wanted)
+            .filter_map(|run| self.possibly_lost_command(run))
+            .filter(|command| !self.commands.is_queued(command))
             .collect()
     }
 
-    /// Makes the call that the run waits for, for `cap` at the most.
-    pub fn call(&mut self, id: RequestId, cap: Time) {
+    fn possibly_lost_command(&self, run: &EngineRun) -> Option<EngineCommand> {
+        match &run.resumed {
+            Some((at, command)) if self.link_lost_at - *at <= POSSIBLY_LOST_WINDOW => {
+                Some(command.clone())
+            }
+            _ => (!run.has_begun && run.is_idempotent).then(|| run.start_command()),
+        }
+    }
+
+    /// Makes the call that the run waits for, in at most `timeout`.
+    pub fn start_call(&mut self, id: RequestId, timeout: Time) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        let Some((_, body)) = &run.need else { return };
-        self.calls += 1;
-        let no = CallNumber(self.calls);
-        let (records, inputs) = (self.records, self.inputs.clone());
-        let (of, body) = (run.wire, body.clone());
-        let task = self.executor.spawn(async move {
+        let Some(needed) = &run.needed_call else {
+            return;
+        };
+        self.last_call += 1;
+        let number = CallNumber(self.last_call);
+        let records = self.config.records;
+        let events = self.events.clone();
+        let call = RecordsCall {
+            request: run.wire_id,
+            body: needed.body.clone(),
+            timeout,
+        };
+        let task = self.tasks.spawn(async move {
             let result = match records {
-                Some(records) => records_call::call(records, of, body, cap).await,
+                Some(records) => records_call::call(records, call).await,
                 None => Err(CallError::NotBegun("nothing lies below")),
             };
-            let _ = inputs.send(Event::RecordsCallEnded(id, no, result)).await;
+            let event = Event::RecordsCallEnded(id, number, result);
+            let _ = events.send(event).await;
         });
-        run.call = Some((no, task));
+        run.call = Some((number, task));
     }
 
-    pub fn called(
+    /// A call has ended; nothing where it was cancelled before.
+    pub fn handle_call_ended(
         &mut self,
         now: Time,
         id: RequestId,
-        no: CallNumber,
+        number: CallNumber,
         result: Result<Vec<u8>, CallError>,
     ) -> Option<ExecutionEvent> {
         let run = self.runs.get_mut(&id)?;
-        let (_, call) = run.call.take_if(|(of, _)| *of == no)?;
-        drop(call);
-        let end = match result {
+        let (_, task) = run.call.take_if(|(of, _)| *of == number)?;
+        drop(task);
+        let outcome = match result {
             Ok(reply) => {
-                let feed = EngineCommand::Feed(run.wire, reply);
-                (run.need, run.told) = (None, Some((now, feed.clone())));
-                self.link.send(feed);
-                cottondyke_admission::CallOutcome::Completed
+                let command = EngineCommand::CallResult(run.wire_id, reply);
+                run.needed_call = None;
+                run.resumed = Some((now, command.clone()));
+                self.commands.send(command);
+                CallOutcome::Completed
             }
             Err(error) => {
-                tracing::debug!(?error, id = ?run.wire, "a call failed");
+                tracing::debug!(?error, id = ?run.wire_id, "call to the records service failed");
                 match error {
-                    CallError::NotBegun(_) => self.tally.not_begun += 1,
-                    CallError::MaybeBegun(_) | CallError::Ended(_) => self.tally.failed += 1,
+                    CallError::NotBegun(_) => self.counters.not_begun += 1,
+                    CallError::MaybeBegun(_) | CallError::Ended(_) => self.counters.failed += 1,
                 }
-                error.end()
+                error.outcome()
             }
         };
-        Some(ExecutionEvent::CallEnded(id, end))
+        Some(ExecutionEvent::CallEnded(id, outcome))
     }
 
     /// The run goes on without its call.
-    pub fn skip(&mut self, now: Time, id: RequestId) {
+    pub fn skip_call(&mut self, now: Time, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        if let Some((need, _)) = run.need.take() {
-            let skip = EngineCommand::Skip(run.wire, need);
-            run.told = Some((now, skip.clone()));
-            self.link.send(skip);
+        if let Some(needed) = run.needed_call.take() {
+            let command = EngineCommand::SkipCall(run.wire_id, needed.message);
+            run.resumed = Some((now, command.clone()));
+            self.commands.send(command);
         }
     }
 }
--- a/crates/server/src/execution/engine_link.rs
+++ b/crates/server/src/execution/engine_link.rs
@@ -1,165 +1,207 @@
-//! The link to the engine: kept open, taken up again where it broke.
+//! The link to the engine: kept open, opened again where it broke.
+use crate::backoff::Backoff;
 use crate::event::Event;
 use crate::protocol::engine::{Decoder, EngineCommand, EngineMessage, MessageNumber};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
+use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::collections::VecDeque;
 use std::future::Future;
+use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-const READ: usize = 16_384;
-/// How long a link that was left for another stays open.
-const LEFT_OPEN: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const READ_BYTES: usize = 16_384;
+/// How long a link that was left for another address stays open.
+const ABANDONED_LINK_LIFETIME: Duration = Duration::from_secs(1);
+/// Characters of an unknown line that are logged.
+const MAX_LOGGED_LINE: usize = 80;
 
-/// Connects again and again, with growing pauses; the notices read whole are never asked for again. `moves`
-/// tells new addresses of the engine.
-pub async fn keep(mut addr: SocketAddr, moves: Receiver<SocketAddr>, desk: Sender<Event>) {
-    let mut last = MessageNumber(0);
-    let mut pause = SHORTEST_PAUSE;
-    let mut before = None;
+/// Connects again and again, with growing backoff; messages that were read are never asked for again. `moves` tells
+/// new addresses of the engine.
+pub async fn run(mut addr: SocketAddr, moves: Receiver<SocketAddr>, events: Sender<Event>) {
+    let mut link = EngineLink {
+        events,
+        last_message: MessageNumber(0),
+        abandoned: None,
+    };
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
-        let mut to = addr;
-        let late = async {
-            Timer::after(CONNECT_LIMIT).await;
-            Err(std::io::ErrorKind::TimedOut.into())
-        };
-        let moving = async {
-            moved(&moves, &mut to).await;
-            Err(std::io::ErrorKind::Interrupted.into())
-        };
-        match Async::<TcpStream>::connect(addr).or(late).or(moving).await {
+        let mut next_addr = addr;
+        match connect(addr, &moves, &mut next_addr).await {
             Ok(stream) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                let moving = moved(&moves, &mut to);
-                if attached(&stream, &mut last, &desk, moving, &mut before).await {
-                    pause = SHORTEST_PAUSE;
+                let moving = wait_for_move(&moves, &mut next_addr);
+                if link.serve(&stream, moving).await {
+                    backoff.reset();
                 }
-                if to != addr {
+                if next_addr != addr {
                     let _ = stream.get_ref().shutdown(Shutdown::Write);
-                    before = Some(stream);
+                    link.abandoned = Some(stream);
                 }
             }
-            Err(error) => tracing::debug!(%error, "the engine cannot be reached"),
+            Err(error) => tracing::debug!(%error, "cannot connect to the engine"),
         }
-        if to == addr {
-            let rest = async {
-                Timer::after(pause).await;
-            };
-            rest.or(moved(&moves, &mut to)).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+        if next_addr == addr {
+            let moving = wait_for_move(&moves, &mut next_addr);
+            backoff.wait().or(moving).await;
         }
-        if to != addr {
-            tracing::info!(engine = %to, "the engine has a new address");
-            (addr, pause) = (to, SHORTEST_PAUSE);
+        if next_addr != addr {
+            tracing::info!(engine = %next_addr, "engine address changed");
+            addr = next_addr;
+            backoff.reset();
         }
     }
 }
 
-async fn moved(moves: &Receiver<SocketAddr>, to: &mut SocketAddr) {
+/// Connects in bounded time, or until the engine moves.
+async fn connect(
+    addr: SocketAddr,
+    moves: &Receiver<SocketAddr>,
+    next_addr: &mut SocketAddr,
+) -> io::Result<Async<TcpStream>> {
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    let moving = async {
+        wait_for_move(moves, next_addr).await;
+        Err(io::ErrorKind::Interrupted.into())
+    };
+    let connecting = Async::<TcpStream>::connect(addr);
+    connecting.or(timeout).or(moving).await
+}
+
+async fn wait_for_move(moves: &Receiver<SocketAddr>, next_addr: &mut SocketAddr) {
     match moves.recv().await {
-        Ok(next) => *to = next,
-        Err(_) => std::future::pending().await,
+        Ok(addr) => *next_addr = addr,
+        Err(_) => future::pending().await,
     }
 }
 
-/// One link, from `ATTACH` until it breaks or `moving` ends; true if the engine said hello on it. A link that
-/// was left for it stays open a little: closed with notices unread, it could take the last commands with it.
-async fn attached(
-    stream: &Async<TcpStream>,
-    last: &mut MessageNumber,
-    desk: &Sender<Event>,
-    moving: impl Future<Output = ()>,
-    before: &mut Option<Async<TcpStream>>,
-) -> bool {
-    let (outlet, commands) = async_channel::unbounded();
-    let _ = outlet.try_send(EngineCommand::Attach(*last));
-    let mut unsent = VecDeque::new();
-    let mut greeted = None;
-    let why = {
-        let reading = read(stream, last, desk, outlet, &mut greeted);
-        let writing = write(stream, &commands, &mut unsent);
-        let leaving = async {
-            moving.await;
-            "it moves"
+/// What lasts from link to link.
+struct EngineLink {
+    events: Sender<Event>,
+    /// The last message that was read and handed on.
+    last_message: MessageNumber,
+    /// A link that was left for another address.
+    abandoned: Option<Async<TcpStream>>,
+}
+
+impl EngineLink {
+    /// One link, from `ATTACH` until it breaks or `moving` ends; true if the engine said hello on it. A link that was
+    /// left for it stays open a little: closed with messages unread, it could take the last commands with it.
+    async fn serve(&mut self, stream: &Async<TcpStream>, moving: impl Future<Output = ()>) -> bool {
+        let (sender, commands) = async_channel::unbounded();
+        let _ = sender.try_send(EngineCommand::Attach(self.last_message));
+        let mut unsent = VecDeque::new();
+        let mut reader = LinkReader {
+            stream,
+            events: &self.events,
+            last_message: &mut self.last_message,
+            commands: sender,
+            has_hello: false,
         };
-        let parting = async {
-            Timer::after(LEFT_OPEN).await;
-            *before = None;
-            std::future::pending().await
+        let abandoned = &mut self.abandoned;
+        let reason = {
+            let reading = reader.run();
+            let writing = write_commands(stream, &commands, &mut unsent);
+            let moving = async {
+                moving.await;
+                "its address changed"
+            };
+            let closing_abandoned = async {
+                Timer::after(ABANDONED_LINK_LIFETIME).await;
+                *abandoned = None;
+                future::pending().await
+            };
+            reading.or(writing).or(moving).or(closing_abandoned).await
         };
-        reading.or(writing).or(leaving).or(parting).await
-    };
-    tracing::warn!(why, "the link to the engine broke");
-    commands.close();
-    let left = unsent.into_iter().map(|(command, _)| command);
-    let left: Vec<_> = left
-        .chain(std::iter::from_fn(|| commands.try_recv().ok()))
-        .collect();
-    if greeted.is_some() {
-        let _ = desk.send(Event::EngineDown(left)).await;
+        tracing::warn!(reason, "lost the link to the engine");
+        commands.close();
+        let has_hello = reader.has_hello;
+        if has_hello {
+            let unsent = unsent.into_iter().map(|(command, _)| command);
+            let queued = std::iter::from_fn(|| commands.try_recv().ok());
+            let unsent = unsent.chain(queued).collect();
+            let _ = self.events.send(Event::EngineDown(unsent)).await;
+        }
+        has_hello
     }
-    greeted.is_some()
 }
 
-async fn read(
-    stream: &Async<TcpStream>,
-    last: &mut MessageNumber,
-    desk: &Sender<Event>,
-    outlet: Sender<EngineCommand>,
-    greeted: &mut Option<()>,
-) -> &'static str {
-    let mut decoder = Decoder::default();
-    let mut bytes = vec![0; READ];
-    loop {
-        match (&mut &*stream).read(&mut bytes).await {
-            Ok(count) if count > 0 => decoder.feed(&bytes[..count]),
-            Ok(_) => return "closed by the engine",
-            Err(_) => return "reset",
-        }
+struct LinkReader<'a> {
+    stream: &'a Async<TcpStream>,
+    events: &'a Sender<Event>,
+    last_message: &'a mut MessageNumber,
+    /// Handed to the dispatcher with the engine's hello.
+    commands: Sender<EngineCommand>,
+    has_hello: bool,
+}
+
+impl LinkReader<'_> {
+    /// Reads until the link breaks, and says why it did.
+    async fn run(&mut self) -> &'static str {
+        let mut decoder = Decoder::default();
+        let mut bytes = vec![0; READ_BYTES];
         loop {
-            let notice = match decoder.notice() {
-                Ok(Some(notice)) => notice,
-                Ok(None) => break,
-                Err(wrong) => return wrong.0,
-            };
-            let number = notice.number();
-            // A notice that comes again changes nothing.
-            if number.is_some_and(|no| no <= *last) {
-                continue;
+            match (&mut &*self.stream).read(&mut bytes).await {
+                Ok(count) if count > 0 => decoder.feed(&bytes[..count]),
+                Ok(_) => return "closed by the engine",
+                Err(_) => return "reset",
             }
-            let input = match notice {
-                EngineMessage::Hello { age_ms } => {
-                    *greeted = Some(());
-                    Event::EngineUp {
-                        age_ms,
-                        outlet: outlet.clone(),
-                    }
-                }
-                EngineMessage::Remark(_) => {
-                    *last = number.unwrap_or(*last);
-                    continue;
+            loop {
+                let message = match decoder.next_message() {
+                    Ok(Some(message)) => message,
+                    Ok(None) => break,
+                    Err(error) => return error.message(),
+                };
+                if !self.forward(message).await {
+                    return "the dispatcher has ended";
                 }
-                EngineMessage::Unknown(line) => {
-                    tracing::warn!(line = line.get(..80).unwrap_or(&line), "an unknown notice");
-                    continue;
-                }
-                other => Event::EngineMessage(other),
-            };
-            if desk.send(input).await.is_err() {
-                return "the desk has ended";
             }
-            *last = number.unwrap_or(*last);
         }
     }
+
+    /// Hands a message to the dispatcher; false where it has ended.
+    async fn forward(&mut self, message: EngineMessage) -> bool {
+        let number = message.number();
+        // A message that comes again changes nothing.
+        if number.is_some_and(|number| number <= *self.last_message) {
+            return true;
+        }
+        let event = match message {
+            EngineMessage::Hello { age_ms } => {
+                self.has_hello = true;
+                Some(Event::EngineUp {
+                    age_ms,
+                    commands: self.commands.clone(),
+                })
+            }
+            EngineMessage::Note(_) => None,
+            EngineMessage::Unknown(line) => {
+                let line = line.get(..MAX_LOGGED_LINE).unwrap_or(&line);
+                tracing::warn!(line, "unknown engine message");
+                None
+            }
+            other => Some(Event::EngineMessage(other)),
+        };
+        if let Some(event) = event {
+            if self.events.send(event).await.is_err() {
+                return false;
+            }
+        }
+        *self.last_message = number.unwrap_or(*self.last_message);
+        true
+    }
 }
 
-/// Writes commands; what was not written to its last byte stays in `unsent`.
-async fn write(
+/// Writes commands; what was not written to its last byte stays in `unsent`, with the byte at which it ends. Says why
+/// the link broke.
+async fn write_commands(
     stream: &Async<TcpStream>,
     commands: &Receiver<EngineCommand>,
     unsent: &mut VecDeque<(EngineCommand, usize)>,
@@ -167,8 +209,8 @@
     let mut bytes = Vec::new();
     while let Ok(first) = commands.recv().await {
         bytes.clear();
-        for command in std::iter::once(first).chain(std::iter::from_fn(|| commands.try_recv().ok()))
-        {
+        let more = std::iter::from_fn(|| commands.try_recv().ok());
+        for command in std::iter::once(first).chain(more) {
             command.encode(&mut bytes);
             unsent.push_back((command, bytes.len()));
         }
@@ -183,5 +225,5 @@
             }
         }
     }
-    "the desk let it go"
+    "the dispatcher let it go"
 }
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -1,169 +1,190 @@
-//! What a started req does. A kind of work is told `start` and `stop`, and ends each run exactly once with an
-//! `ExecutionEvent::Ended`; it knows nothing of connections, and the decider hears of it by the desk alone.
+//! What runs a request that was started: the engine, or an aggregation of dependencies. An executor is told `start` and
+//! `cancel`, and ends each run exactly once with an [`ExecutionEvent::Ended`]; it knows nothing of connections, and the
+//! admission controller hears of it by the dispatcher alone.
 pub mod aggregation;
 pub mod command_queue;
 pub mod engine;
 pub mod engine_link;
+pub mod response_body;
 
+use crate::protocol::engine::Tag;
 use crate::protocol::sidecar::RunOutput;
+use crate::protocol::WireId;
+use aggregation::AggregationExecutor;
 use cottondyke_admission::{CallOutcome, RunOutcome};
-use cottondyke_types::{Idempotency, RequestId, TenantId, Time};
+use cottondyke_types::{HandlerId, Idempotency, RequestId, TenantId, Time};
+use engine::{EngineCounters, EngineExecutor};
 use std::rc::Rc;
 
-/// A req as a kind of work needs it.
+/// A request as an executor needs it.
 #[derive(Clone, Debug)]
 pub struct ExecutionRequest {
-    pub wire: crate::protocol::WireId,
-    pub handler: cottondyke_types::HandlerId,
-    pub customer: Option<TenantId>,
+    /// Its id on the wire.
+    pub wire_id: WireId,
+    /// What is asked for.
+    pub handler: HandlerId,
+    /// For whom.
+    pub tenant: Option<TenantId>,
+    /// What the run is given.
     pub body: Rc<[u8]>,
-    /// The end of its response target, and the time by which it must be answered.
+    /// The end of its response target.
     pub target: Time,
-    pub due: Time,
+    /// By when it must be answered.
+    pub deadline: Time,
 }
 
-/// What a kind of work tells the desk.
+/// What an executor tells the dispatcher.
 #[derive(Debug)]
 pub enum ExecutionEvent {
     /// The run shows that it goes on.
-    Lives(RequestId),
+    Alive(RequestId),
+    /// The run has ended.
     Ended(RequestId, RunOutcome, RunOutput),
-    /// The run needs a call that the decider lets out.
+    /// The run needs a call that the admission controller lets out.
     CallWanted(RequestId),
+    /// The run's call has ended.
     CallEnded(RequestId, CallOutcome),
-    /// The part of the cores in use, asked for by the desk.
+    /// The fraction of the cores in use, which the dispatcher asked for; none where it is not known.
     LoadSample(Option<f64>),
-    /// A test that the desk asked for.
-    Tested(crate::protocol::engine::Tag, bool),
+    /// A self-test that the dispatcher asked for, and whether it went well.
+    SelfTested(Tag, bool),
 }
 
-/// The kinds of work that this server has, and which handler goes to which. Events come back from every input,
-/// for the desk to take in their order.
+/// The handlers' names and idempotency, by `HandlerId`.
+pub struct HandlerTable {
+    /// Names, as the engine knows them.
+    pub classes: Vec<Rc<str>>,
+    /// Whether a handler's runs may be repeated.
+    pub idempotency: Vec<Idempotency>,
+}
+
+/// The executors that this server has, and which handler goes to which. Events come back from every input, for the
+/// dispatcher to take in their order.
 pub struct Executors {
     /// None where the program serves on its own.
-    pub engine: Option<engine::EngineExecutor>,
+    pub engine: Option<EngineExecutor>,
     /// None without an operator's file.
-    pub pages: Option<aggregation::AggregationExecutor>,
-    classes: Vec<Rc<str>>,
-    kinds: Vec<Idempotency>,
+    pub aggregation: Option<AggregationExecutor>,
+    handlers: HandlerTable,
 }
 
 impl Executors {
-    /// `classes` and `kinds` by handler.
+    /// Executors for these handlers.
     pub fn new(
-        engine: Option<engine::EngineExecutor>,
-        pages: Option<aggregation::AggregationExecutor>,
-        classes: Vec<Rc<str>>,
-        kinds: Vec<Idempotency>,
+        engine: Option<EngineExecutor>,
+        aggregation: Option<AggregationExecutor>,
+        handlers: HandlerTable,
     ) -> Self {
         Executors {
             engine,
-            pages,
-            classes,
-            kinds,
+            aggregation,
+            handlers,
         }
     }
 
     /// Whether anything can run: with an engine, only once it has said hello.
-    pub fn ready(&self) -> bool {
-        self.engine
-            .as_ref()
-            .is_none_or(engine::EngineExecutor::greeted)
+    pub fn is_ready(&self) -> bool {
+        self.engine.as_ref().is_none_or(EngineExecutor::was_ever_up)
     }
 
-    /// Whether what runs reqs can be reached now.
+    /// Whether what runs requests can be reached now.
     pub fn is_up(&self) -> bool {
-        self.engine
-            .as_ref()
-            .is_none_or(engine::EngineExecutor::is_up)
+        self.engine.as_ref().is_none_or(EngineExecutor::is_up)
     }
 
+    /// Starts a run.
     pub fn start(
         &mut self,
         now: Time,
         id: RequestId,
-        job: &ExecutionRequest,
+        request: &ExecutionRequest,
     ) -> Vec<ExecutionEvent> {
-        let (place, ready) = (job.handler.0, self.ready());
-        let replayable = self.kinds[place] == Idempotency::Idempotent;
-        match (&mut self.pages, &mut self.engine) {
-            // What starts before the first hello starts anew with it.
-            (Some(pages), _) if pages.has(place) && !ready => {}
-            (Some(pages), _) if pages.has(place) => return pages.start(now, id, job, replayable),
-            (_, Some(engine)) => engine.start(id, job, self.classes[place].clone(), replayable),
-            (_, None) => {
-                return vec![ExecutionEvent::Ended(
-                    id,
-                    RunOutcome::Failed,
-                    RunOutput::default(),
-                )]
-            }
+        let HandlerId(handler) = request.handler;
+        let is_idempotent = self.handlers.idempotency[handler] == Idempotency::Idempotent;
+        let is_ready = self.is_ready();
+        let aggregation = self.aggregation.as_mut();
+        if let Some(aggregation) = aggregation.filter(|executor| executor.has(request.handler)) {
+            // What starts before the first hello starts again with it.
+            return match is_ready {
+                true => aggregation.start(now, id, request, is_idempotent),
+                false => Vec::new(),
+            };
         }
+        let Some(engine) = &mut self.engine else {
+            let output = RunOutput::default();
+            return vec![ExecutionEvent::Ended(id, RunOutcome::Failed, output)];
+        };
+        let class = self.handlers.classes[handler].clone();
+        engine.start(id, request, class, is_idempotent);
         Vec::new()
     }
 
     /// Asks for a run's end.
-    pub fn stop(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
+    pub fn cancel(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
         if let Some(engine) = &mut self.engine {
-            engine.stop(id);
+            engine.cancel(id);
+        }
+        match &mut self.aggregation {
+            Some(aggregation) => aggregation.cancel(now, id),
+            None => Vec::new(),
         }
-        self.pages
-            .as_mut()
-            .map_or(Vec::new(), |pages| pages.stop(now, id))
     }
 
-    /// Nobody waits for the run any longer. Pages end by themselves when they are due.
-    pub fn unwanted(&mut self, id: RequestId) {
+    /// Nobody waits for the run any longer. Aggregations end by themselves at their deadline.
+    pub fn mark_unwanted(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
-            engine.unwanted(id);
+            engine.mark_unwanted(id);
         }
     }
 
-    /// The run is over for the desk.
+    /// The run has ended for the dispatcher.
     pub fn forget(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
             engine.forget(id);
         }
     }
 
+    /// All runs are forgotten, without events.
     pub fn forget_all(&mut self, now: Time) {
         if let Some(engine) = &mut self.engine {
             engine.forget_all();
         }
-        if let Some(pages) = &mut self.pages {
-            pages.forget_all(now);
+        if let Some(aggregation) = &mut self.aggregation {
+            aggregation.forget_all(now);
         }
     }
 
-    /// All is to be answered by `until`.
-    pub fn leaving(&mut self, now: Time, until: Time) {
-        if let Some(pages) = &mut self.pages {
-            pages.leaving(now, until);
+    /// The server drains: all is to be answered by `until`.
+    pub fn start_draining(&mut self, now: Time, until: Time) {
+        if let Some(aggregation) = &mut self.aggregation {
+            aggregation.start_draining(now, until);
         }
     }
 
-    pub fn next(&self) -> Option<Time> {
-        self.pages
+    /// When [`Executors::handle_timer`] is due.
+    pub fn next_timer(&self) -> Option<Time> {
+        self.aggregation
             .as_ref()
-            .and_then(aggregation::AggregationExecutor::next)
+            .and_then(AggregationExecutor::next_timer)
     }
 
-    pub fn timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
-        let due = self.next().is_some_and(|at| at <= now);
-        self.pages
-            .as_mut()
-            .filter(|_| due)
-            .map_or(Vec::new(), |pages| pages.timer(now))
+    /// Does what is due by the clock.
+    pub fn handle_timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
+        let is_due = self.next_timer().is_some_and(|at| at <= now);
+        match &mut self.aggregation {
+            Some(aggregation) if is_due => aggregation.handle_timer(now),
+            _ => Vec::new(),
+        }
     }
 
-    /// Once a second: lines for the log.
-    pub fn tally(&mut self, now: Time) -> engine::EngineCounters {
-        if let Some(pages) = &mut self.pages {
-            pages.chores(now);
+    /// Once a second: logs the dependencies, and returns what the engine counted.
+    pub fn log_and_count(&mut self, now: Time) -> EngineCounters {
+        if let Some(aggregation) = &mut self.aggregation {
+            aggregation.maintain(now);
+        }
+        match &mut self.engine {
+            Some(engine) => engine.take_counters(),
+            None => EngineCounters::default(),
         }
-        self.engine
-            .as_mut()
-            .map(|engine| std::mem::take(&mut engine.tally))
-            .unwrap_or_default()
     }
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -3,19 +3,14 @@
 //!
 //! Modules by floor, from the ground; none imports one that stands after it:
 //!
-//! - [`clock`], [`protocol`] (bytes to messages and back), [`config`] and [`event`] (what reaches the dispatcher);
+//! - [`clock`], [`backoff`], [`protocol`] (bytes to messages and back), [`config`] and [`event`] (what reaches the dispatcher);
 //! - [`resource_limits`], [`cpu_usage`], [`shutdown`], [`health_check`], [`dedup`], [`signal`];
 //! - [`connection`], [`listener`], [`outbound`], [`load_report`], [`cluster`], [`execution`];
 //! - [`dispatcher`], the sole owner of the admission controller, the in-flight requests and the timers;
 //! - [`app`], which puts all together.
-#![expect(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
 
 pub mod app;
+pub mod backoff;
 pub mod clock;
 pub mod cluster;
 pub mod config;
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections from sidecars, within the budget of descriptors.
+//! Accepts connections from sidecars, within the budget of descriptors.
 use crate::connection::reader::{self, ConnectionContext};
 use crate::event::{ConnectionId, Event};
 use async_channel::Receiver;
@@ -7,72 +7,84 @@
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::io;
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::panic::AssertUnwindSafe;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Accepting rests this long when the system has no descriptor left.
-const REST: Duration = Duration::from_millis(50);
+/// Accepting pauses this long when the system has no descriptor left.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Connections that may wait to be accepted: what finds no place there is lost or late by seconds.
 const BACKLOG: i32 = 1_024;
-/// A pause is told at most this often.
-const TOLD_EACH: Duration = Duration::from_secs(1);
+/// A full table is logged at most this often.
+const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-pub fn bind(addr: std::net::SocketAddr) -> io::Result<Async<TcpListener>> {
+/// Listens at an address.
+pub fn bind(addr: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(addr)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Ok(listener)
 }
 
-/// Accepts until `close` ends. What waits to be accepted by then is still taken: the machine has accepted it.
+/// Accepts until `stop` ends. What waits to be accepted by then is still taken: the machine has accepted it.
 pub async fn listen(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
-    front: Rc<ConnectionContext>,
-    close: Receiver<()>,
+    context: Rc<ConnectionContext>,
+    stop: Receiver<()>,
 ) {
-    let mut next = 0;
-    let closed = async {
-        let _ = close.recv().await;
+    let mut spawner = ConnectionSpawner {
+        executor,
+        context,
+        next_id: 0,
+    };
+    let stopped = async {
+        let _ = stop.recv().await;
         None
     };
-    futures_lite::pin!(closed);
-    let mut told = None;
+    futures_lite::pin!(stopped);
+    let mut full_logged_at = None;
     loop {
+        let limits = &spawner.context.limits;
         let now = Instant::now();
-        if front.room.full() && told.is_none_or(|at| now - at > TOLD_EACH) {
-            told = Some(now);
-            tracing::warn!("no room for further connections; the least useful go");
+        if limits.is_full() && full_logged_at.is_none_or(|at| now - at > FULL_LOG_INTERVAL) {
+            full_logged_at = Some(now);
+            tracing::warn!("connection limit reached; evicting the least useful connections");
         }
-        let taken = async {
-            front.room.free().await;
+        let accepting = async {
+            limits.wait_for_capacity().await;
             Some(listener.accept().await)
         };
-        match taken.or(closed.as_mut()).await {
-            Some(Ok((stream, _))) => take(&executor, &front, &mut next, stream),
+        match accepting.or(stopped.as_mut()).await {
+            Some(Ok((stream, _))) => spawner.serve(stream),
             Some(Err(error)) => {
-                tracing::warn!(%error, "cannot accept; resting");
-                Timer::after(REST).await;
+                tracing::warn!(%error, "cannot accept connections; pausing");
+                Timer::after(ACCEPT_BACKOFF).await;
             }
             None => break,
         }
     }
-    // Guards connections that come in the moment of the close: between the look that finds none and the close there
-    // is no other step, so that none is reset there with a req on it.
+    accept_backlog(listener, &mut spawner);
+}
+
+/// Guards connections that come in the moment of the close: between the look that finds none and the close there is no
+/// other step, so that none is reset there with a request on it.
+fn accept_backlog(listener: Async<TcpListener>, spawner: &mut ConnectionSpawner) {
     let Ok(listener) = listener.into_inner() else {
         return;
     };
-    while let Some(accepted) = waiting(&listener) {
+    while let Some(accepted) = next_in_backlog(&listener) {
         match accepted {
-            Ok(stream) => take(&executor, &front, &mut next, stream),
-            Err(error) => return tracing::warn!(%error, "cannot accept what waits at the end"),
+            Ok(stream) => spawner.serve(stream),
+            Err(error) => {
+                return tracing::warn!(%error, "cannot accept connections left in the backlog")
+            }
         }
     }
 }
 
 /// A connection that waits to be accepted; none where none does.
-fn waiting(listener: &TcpListener) -> Option<io::Result<Async<TcpStream>>> {
+fn next_in_backlog(listener: &TcpListener) -> Option<io::Result<Async<TcpStream>>> {
     loop {
         match listener.accept() {
             Ok((stream, _)) => return Some(Async::new(stream)),
@@ -86,29 +98,34 @@
     }
 }
 
-/// Serves a connection in a task of its own.
-fn take(
-    executor: &LocalExecutor<'static>,
-    front: &Rc<ConnectionContext>,
-    next: &mut u64,
-    stream: Async<TcpStream>,
-) {
-    let (conn, permit, front) = (ConnectionId(*next), front.room.permit(), front.clone());
-    *next += 1;
-    let task = async move {
-        guarded(conn, reader::serve(conn, stream, &front)).await;
-        let _ = front.desk.send(Event::Closed(conn)).await;
-        drop(permit);
-    };
-    executor.spawn(task).detach();
+/// Serves each connection in a task of its own.
+struct ConnectionSpawner {
+    executor: Rc<LocalExecutor<'static>>,
+    context: Rc<ConnectionContext>,
+    next_id: u64,
+}
+
+impl ConnectionSpawner {
+    fn serve(&mut self, stream: Async<TcpStream>) {
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
+        let permit = self.context.limits.acquire_connection();
+        let context = self.context.clone();
+        let task = async move {
+            contain_panic(id, reader::serve(id, stream, &context)).await;
+            let _ = context.events.send(Event::Closed(id)).await;
+            drop(permit);
+        };
+        self.executor.spawn(task).detach();
+    }
 }
 
 /// Serves a connection; a panic in its handling ends that connection alone.
-pub async fn guarded(conn: ConnectionId, serving: impl Future<Output = ()>) {
+pub async fn contain_panic(id: ConnectionId, serving: impl Future<Output = ()>) {
     if AssertUnwindSafe(serving).catch_unwind().await.is_err() {
         tracing::error!(
-            conn = conn.0,
-            "a connection's handling panicked; it is closed"
+            connection = id.0,
+            "connection handler panicked; closing the connection"
         );
     }
 }
--- a/crates/server/src/load_report.rs
+++ b/crates/server/src/load_report.rs
@@ -3,78 +3,87 @@
 use crate::protocol::http::{self, Decoder};
 use async_channel::Receiver;
 use async_io::{Async, Timer};
-use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
+use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt, StreamExt};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-const EACH: Duration = Duration::from_secs(1);
-const LIMIT: Duration = Duration::from_millis(800);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+const READ_BYTES: usize = 1_024;
 
-/// Reports until the program ends. News goes out at once, whatever report still waits for its answer.
-pub async fn keep(mut addr: SocketAddr, name: String, changes: Receiver<ReportUpdate>) {
+/// Reports until the program ends. An update goes out at once, whatever report still waits for its response.
+pub async fn run(mut addr: SocketAddr, name: String, updates: Receiver<ReportUpdate>) {
     let path = format!("/v2/endpoints/{name}");
-    let mut beat = Timer::interval_at(std::time::Instant::now(), EACH);
-    let (mut failing, mut ready) = (false, false);
+    let mut interval = Timer::interval_at(Instant::now(), REPORT_INTERVAL);
+    let mut healthy = false;
+    let mut is_failing = false;
     loop {
         let due = async {
-            futures_lite::StreamExt::next(&mut beat).await;
+            interval.next().await;
             None
         };
-        let mut news = heard(&changes).or(due).await;
+        let mut update = next_update(&updates).or(due).await;
         let result = loop {
-            match news.take() {
-                Some(ReportUpdate::Health(good)) => ready = good,
-                Some(ReportUpdate::Moved(to)) => addr = to,
+            match update.take() {
+                Some(ReportUpdate::Health { healthy: new }) => healthy = new,
+                Some(ReportUpdate::Moved(new)) => addr = new,
                 None => {}
             }
-            let condition = if ready { "Ready" } else { "NotReady" };
-            let body = format!("{{\"condition\":\"{condition}\"}}");
-            let late = async {
-                Timer::after(LIMIT).await;
-                Err(io::ErrorKind::TimedOut.into())
-            };
-            let answered = async { Ok(report(addr, &path, body.as_bytes()).or(late).await) };
-            match answered.or(async { Err(heard(&changes).await) }).await {
+            let reporting = async { Ok(report_in_time(addr, &path, healthy).await) };
+            let updated = async { Err(next_update(&updates).await) };
+            match reporting.or(updated).await {
                 Ok(result) => break result,
-                Err(more) => news = more,
+                Err(newer) => update = newer,
             }
         };
-        if result.is_err() != failing {
-            failing = !failing;
+        if result.is_err() != is_failing {
+            is_failing = !is_failing;
             match &result {
-                Err(error) => tracing::warn!(%error, "reports to the control plane fail"),
-                Ok(_) => tracing::info!("reports to the control plane arrive again"),
+                Err(error) => tracing::warn!(%error, "reports to the control plane are failing"),
+                Ok(_) => tracing::info!("reports to the control plane succeed again"),
             }
         }
     }
 }
 
-async fn heard(changes: &Receiver<ReportUpdate>) -> Option<ReportUpdate> {
-    match changes.recv().await {
-        Ok(news) => Some(news),
-        Err(_) => std::future::pending().await,
+async fn next_update(updates: &Receiver<ReportUpdate>) -> Option<ReportUpdate> {
+    match updates.recv().await {
+        Ok(update) => Some(update),
+        Err(_) => future::pending().await,
     }
 }
 
+async fn report_in_time(addr: SocketAddr, path: &str, healthy: bool) -> io::Result<()> {
+    let condition = if healthy { "Ready" } else { "NotReady" };
+    let body = format!("{{\"condition\":\"{condition}\"}}");
+    let timeout = async {
+        Timer::after(REPORT_TIMEOUT).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    report(addr, path, body.as_bytes()).or(timeout).await
+}
+
 /// One report, on a connection of its own.
 async fn report(addr: SocketAddr, path: &str, body: &[u8]) -> io::Result<()> {
     let mut stream = Async::<TcpStream>::connect(addr).await?;
     let _ = stream.get_ref().set_nodelay(true);
-    let mut bytes = Vec::new();
-    http::request("PUT", path, &addr.to_string(), &[], body, &mut bytes);
-    stream.write_all(&bytes).await?;
+    let mut request = Vec::new();
+    http::encode_request("PUT", path, &addr.to_string(), &[], body, &mut request);
+    stream.write_all(&request).await?;
     let mut decoder = Decoder::default();
-    let mut read = [0; 1_024];
+    let mut bytes = [0; READ_BYTES];
     loop {
-        let count = stream.read(&mut read).await?;
-        decoder.feed(&read[..count]);
-        let reply = decoder
-            .reply()
-            .map_err(|wrong| io::Error::new(io::ErrorKind::InvalidData, wrong.0))?;
-        match reply {
-            Some(reply) if (200..300).contains(&reply.status) => return Ok(()),
-            Some(reply) => return Err(io::Error::other(format!("answered {}", reply.status))),
+        let count = stream.read(&mut bytes).await?;
+        decoder.feed(&bytes[..count]);
+        let response = decoder
+            .next_response()
+            .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
+        match response {
+            Some(response) if (200..300).contains(&response.status) => return Ok(()),
+            Some(response) => {
+                return Err(io::Error::other(format!("answered {}", response.status)))
+            }
             None if count == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             None => {}
         }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,13 +1,11 @@
-//! The program: `serve`, `check`, `version`.
-#![expect(
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
-
+//! The program: `serve`, `check`, `peers`, `version`.
+use cottondyke::app;
 use cottondyke::cluster::status;
 use cottondyke::config::files::ConfigFiles;
-use cottondyke::{app, config::Config, signal};
+use cottondyke::config::Config;
+use cottondyke::signal;
 use lexopt::prelude::*;
+use std::fmt::Display;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
@@ -31,112 +29,142 @@
 SIGHUP reads both files anew; SIGTERM is the notice to leave
 exit codes: 0 well, 1 could not serve, 2 bad usage or configuration";
 
-struct Usage {
+/// Exit codes beside success.
+const CANNOT_SERVE: u8 = 1;
+const BAD_USAGE: u8 = 2;
+
+struct Arguments {
     command: String,
-    addr: Option<String>,
+    peer: Option<String>,
     json: bool,
-    sources: ConfigFiles,
-    log: LevelFilter,
+    files: ConfigFiles,
+    log_level: LevelFilter,
 }
 
-fn usage() -> Result<Usage, lexopt::Error> {
-    let mut usage = Usage {
-        command: String::new(),
-        addr: None,
-        json: false,
-        sources: ConfigFiles::default(),
-        log: LevelFilter::INFO,
-    };
-    let mut words = lexopt::Parser::from_env();
-    while let Some(word) = words.next()? {
-        match word {
-            Long("config") => usage.sources.config = Some(words.value()?.string()?),
-            Long("operator") => usage.sources.operator = Some(words.value()?.string()?),
-            Long("log") => usage.log = words.value()?.parse()?,
-            Long("help") | Short('h') => usage.command = "help".to_string(),
-            Long("version") | Short('V') => usage.command = "version".to_string(),
-            Long("json") => usage.json = true,
-            Value(command) if usage.command.is_empty() => usage.command = command.string()?,
-            Value(addr) if usage.command == "peers" && usage.addr.is_none() => {
-                usage.addr = Some(addr.string()?)
+impl Arguments {
+    fn parse() -> Result<Self, lexopt::Error> {
+        let mut arguments = Arguments {
+            command: String::new(),
+            peer: None,
+            json: false,
+            files: ConfigFiles::default(),
+            log_level: LevelFilter::INFO,
+        };
+        let mut parser = lexopt::Parser::from_env();
+        while let Some(argument) = parser.next()? {
+            match argument {
+                Long("config") => arguments.files.config = Some(parser.value()?.string()?),
+                Long("operator") => arguments.files.operator = Some(parser.value()?.string()?),
+                Long("log") => arguments.log_level = parser.value()?.parse()?,
+                Long("help") | Short('h') => arguments.command = "help".to_string(),
+                Long("version") | Short('V') => arguments.command = "version".to_string(),
+                Long("json") => arguments.json = true,
+                Value(command) if arguments.command.is_empty() => {
+                    arguments.command = command.string()?
+                }
+                Value(peer) if arguments.command == "peers" && arguments.peer.is_none() => {
+                    arguments.peer = Some(peer.string()?)
+                }
+                other => return Err(other.unexpected()),
             }
-            other => return Err(other.unexpected()),
+        }
+        Ok(arguments)
+    }
+
+    /// The files, where the environment may name the platform's.
+    fn files(self) -> ConfigFiles {
+        let config = self
+            .files
+            .config
+            .or_else(|| std::env::var("GW_CONFIG").ok());
+        ConfigFiles {
+            config: config.filter(|path| !path.is_empty()),
+            operator: self.files.operator,
         }
     }
-    Ok(usage)
 }
 
-fn fail(why: &str, code: u8) -> ExitCode {
-    eprintln!("cottondyke: {}", why.replace(['\n', '\r'], " "));
+/// Prints an error on one line.
+fn fail(error: impl Display, code: u8) -> ExitCode {
+    let line = error.to_string().replace(['\n', '\r'], " ");
+    eprintln!("cottondyke: {line}");
     ExitCode::from(code)
 }
 
+fn main() -> ExitCode {
+    let arguments = match Arguments::parse() {
+        Ok(arguments) => arguments,
+        Err(error) => return fail(format!("{error}; see cottondyke --help"), BAD_USAGE),
+    };
+    match arguments.command.as_str() {
+        "help" => println!("{HELP}"),
+        "version" => println!("cottondyke {}", env!("CARGO_PKG_VERSION")),
+        "check" => return check(arguments),
+        "serve" => return serve(arguments),
+        "peers" => return peers(arguments),
+        other => {
+            let what = format!("unknown command {other:?}; see cottondyke --help");
+            return fail(what, BAD_USAGE);
+        }
+    }
+    ExitCode::SUCCESS
+}
+
+fn check(arguments: Arguments) -> ExitCode {
+    match arguments.files().read() {
+        Ok(config) => {
+            print!("{}", summary(&config));
+            ExitCode::SUCCESS
+        }
+        Err(error) => fail(error, BAD_USAGE),
+    }
+}
+
 /// What is in force, for people.
-fn checked(config: &Config) -> String {
-    let summary = config
+fn summary(config: &Config) -> String {
+    let operator = config
         .operator
         .as_ref()
-        .map(|o| o.summary(&config.known()))
+        .map(|operator| operator.summary(&config.handler_specs()))
         .unwrap_or_default();
-    format!("{}: the configuration is good\n{summary}", config.name)
+    format!("{}: the configuration is good\n{operator}", config.name)
 }
 
-fn main() -> ExitCode {
-    let usage = match usage() {
-        Ok(usage) => usage,
-        Err(wrong) => return fail(&format!("{wrong}; see cottondyke --help"), 2),
+fn serve(arguments: Arguments) -> ExitCode {
+    // First of all: until signals are caught, each has its default action, and a SIGHUP that comes while the files are
+    // read would end the program.
+    let signals = match signal::catch() {
+        Ok(signals) => signals,
+        Err(error) => return fail(format!("cannot watch for signals: {error}"), CANNOT_SERVE),
     };
-    match usage.command.as_str() {
-        "help" => println!("{HELP}"),
-        "version" => println!("cottondyke {}", env!("CARGO_PKG_VERSION")),
-        "check" | "serve" => {
-            // First of all: until this stands, a signal has its default action, and a SIGHUP that comes while the
-            // files are read would end the program.
-            let signals = match (usage.command == "serve").then(signal::signals).transpose() {
-                Ok(signals) => signals,
-                Err(wrong) => return fail(&format!("cannot watch for signals: {wrong}"), 1),
-            };
-            let mut sources = usage.sources;
-            sources.config = sources
-                .config
-                .or_else(|| std::env::var("GW_CONFIG").ok())
-                .filter(|p| !p.is_empty());
-            let config = match sources.read() {
-                Ok(read) => read,
-                Err(wrong) => return fail(&wrong, 2),
-            };
-            let Some(signals) = signals else {
-                print!("{}", checked(&config));
-                return ExitCode::SUCCESS;
-            };
-            let log = tracing_subscriber::fmt()
-                .with_max_level(usage.log)
-                .with_ansi(false);
-            log.with_writer(std::io::stderr).init();
-            if let Err(wrong) = app::serve(signals, sources, config) {
-                return fail(&wrong, 1);
-            }
-        }
-        "peers" => {
-            let addr = usage.addr.unwrap_or_default();
-            let Ok(addr) = addr.parse() else {
-                let what = format!(
-                    "peers {addr:?}: expected an IP address with a port such as 127.0.0.1:7100"
-                );
-                return fail(&what, 2);
-            };
-            match status::query(addr) {
-                Ok(view) if usage.json => println!("{}", serde_json::json!(view)),
-                Ok(view) => print!("{}", status::render(&view)),
-                Err(wrong) => return fail(&wrong, 1),
-            }
-        }
-        other => {
-            return fail(
-                &format!("unknown command {other:?}; see cottondyke --help"),
-                2,
-            )
-        }
+    let log_level = arguments.log_level;
+    let files = arguments.files();
+    let config = match files.read() {
+        Ok(config) => config,
+        Err(error) => return fail(error, BAD_USAGE),
+    };
+    tracing_subscriber::fmt()
+        .with_max_level(log_level)
+        .with_ansi(false)
+        .with_writer(std::io::stderr)
+        .init();
+    match app::serve(signals, files, config) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => fail(error, CANNOT_SERVE),
+    }
+}
+
+fn peers(arguments: Arguments) -> ExitCode {
+    let addr = arguments.peer.unwrap_or_default();
+    let Ok(addr) = addr.parse() else {
+        let what =
+            format!("peers {addr:?}: expected an IP address with a port such as 127.0.0.1:7100");
+        return fail(what, BAD_USAGE);
+    };
+    match status::query(addr) {
+        Ok(status) if arguments.json => println!("{}", serde_json::json!(status)),
+        Ok(status) => print!("{}", status::render(&status)),
+        Err(error) => return fail(error, CANNOT_SERVE),
     }
     ExitCode::SUCCESS
 }
--- a/crates/server/src/outbound/dependency_call.rs
+++ b/crates/server/src/outbound/dependency_call.rs
@@ -1,73 +1,101 @@
-//! Calls to the dependencies of pages: what is asked, and what a reply says of the dependency.
+//! Calls to the dependencies of aggregations: what is asked, and what a response says of the dependency.
 use crate::clock::{ms, Clock};
 use crate::event::CallError;
-use crate::outbound::http_client::{self, ConnectionPool};
-use crate::protocol::{http, WireId};
+use crate::outbound::http_client::{self, ConnectionPool, Exchange, ExchangeProgress};
+use crate::protocol::http::{self, Response};
+use crate::protocol::WireId;
 use cottondyke_dependency::{CallResult, Dependency, SendTimestamp};
 use cottondyke_types::Time;
-use std::cell::Cell;
 use std::rc::Rc;
 
-/// Asks `to`. Dropping the future closes its connection. Nothing here limits its time: who waits does.
-pub async fn fetch(
-    pool: Rc<ConnectionPool>,
-    (clock, stamp): (Clock, Rc<SendTimestamp>),
-    to: Rc<Dependency>,
-    of: WireId,
-    body: Rc<[u8]>,
-    within: Time,
-    reuse: bool,
-) -> CallResult {
-    let mut bytes = Vec::with_capacity(256 + body.len());
-    let left = (ms(within).floor() as u64).to_string();
-    let headers = [("Req-Id", of.as_str()), ("Time-Left-Ms", left.as_str())];
-    http::request(
-        "POST",
-        &to.path,
-        &to.addr.to_string(),
-        &headers,
-        &body,
-        &mut bytes,
-    );
-    let pooled = if reuse { pool.take(to.addr) } else { None };
-    let (used, connected) = match pooled {
-        Some(stream) => (true, Ok(stream)),
-        None => (false, http_client::connect(to.addr).await),
+/// One call.
+pub struct DependencyCall {
+    /// Who is asked.
+    pub dependency: Rc<Dependency>,
+    /// The request whose aggregation it belongs to.
+    pub request: WireId,
+    /// What is sent.
+    pub body: Rc<[u8]>,
+    /// The time that is left for it, which the dependency is told.
+    pub remaining: Time,
+    /// Whether a pooled connection may be used.
+    pub may_reuse: bool,
+    /// Where the time of sending is noted.
+    pub timestamp: Rc<SendTimestamp>,
+}
+
+/// Makes a call. Dropping the future closes its connection. Nothing here limits its time: who waits does.
+pub async fn call(pool: Rc<ConnectionPool>, clock: Clock, call: DependencyCall) -> CallResult {
+    let dependency = &*call.dependency;
+    let pooled = call.may_reuse.then(|| pool.take(dependency.addr)).flatten();
+    let is_reused = pooled.is_some();
+    let connected = match pooled {
+        Some(stream) => Ok(stream),
+        None => http_client::connect(dependency.addr).await,
     };
     let Ok(mut stream) = connected else {
         return CallResult::Rejected;
     };
-    // The last look at a share that is lent, in the same step as the first byte: connecting may have taken long, and
-    // so may a stop of the whole process.
+    let request = encode(&call);
+    // The last check of a leased quota, in the same step as the first byte: connecting may have taken long, and so may
+    // a stop of the whole process.
     let now = clock.now();
-    if !to.may_send(&stamp, now) {
+    if !dependency.may_send(&call.timestamp, now) {
         return CallResult::LeaseExpired;
     }
-    stamp.record_send(now);
-    let (sending, heard) = (Cell::new(false), Cell::new(false));
-    let (reply, again) = match http_client::exchange(&mut stream, &bytes, &sending, &heard).await {
-        Ok(got) => got,
-        Err(_) if used && !heard.get() => return CallResult::StaleConnection,
+    call.timestamp.record_send(now);
+    let progress = ExchangeProgress::default();
+    let exchange = match http_client::exchange(&mut stream, &request, &progress).await {
+        Ok(exchange) => exchange,
+        Err(_) if is_reused && !progress.has_received.get() => return CallResult::StaleConnection,
         Err(CallError::NotBegun(_)) => return CallResult::Rejected,
         Err(CallError::MaybeBegun(_)) => return CallResult::TimedOut,
         Err(CallError::Ended(_)) => return CallResult::Failure,
     };
-    if again {
-        pool.give(to.addr, stream, to.max_calls);
+    let Exchange {
+        response,
+        is_reusable,
+    } = exchange;
+    if is_reusable {
+        pool.put(dependency.addr, stream, dependency.max_calls);
     }
-    match reply.status {
-        200 if fits(&to, &reply.body) => CallResult::Success(reply.body.into()),
+    classify(dependency, response)
+}
+
+fn encode(call: &DependencyCall) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(256 + call.body.len());
+    let left_ms = (ms(call.remaining).floor() as u64).to_string();
+    let headers = [
+        ("Req-Id", call.request.as_str()),
+        ("Time-Left-Ms", left_ms.as_str()),
+    ];
+    let dependency = &call.dependency;
+    let host = dependency.addr.to_string();
+    http::encode_request(
+        "POST",
+        &dependency.path,
+        &host,
+        &headers,
+        &call.body,
+        &mut bytes,
+    );
+    bytes
+}
+
+fn classify(dependency: &Dependency, response: Response) -> CallResult {
+    match response.status {
+        200 if is_valid(dependency, &response.body) => CallResult::Success(response.body.into()),
         429 => CallResult::Rejected,
-        503 | 409 if reply.not_begun => CallResult::Rejected,
-        400..=499 if reply.status != 408 => CallResult::InvalidRequest,
+        503 | 409 if response.not_executed => CallResult::Rejected,
+        400..=499 if response.status != 408 => CallResult::InvalidRequest,
         504 => CallResult::TimedOut,
         _ => CallResult::Failure,
     }
 }
 
-/// Whether a body is what the file says that replies are.
-fn fits(to: &Dependency, body: &[u8]) -> bool {
-    if to.json {
+/// Whether a body is what the operator's file says that responses are.
+fn is_valid(dependency: &Dependency, body: &[u8]) -> bool {
+    if dependency.json {
         serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
     } else {
         std::str::from_utf8(body).is_ok()
--- a/crates/server/src/protocol/engine.rs
+++ b/crates/server/src/protocol/engine.rs
@@ -1,151 +1,204 @@
-//! Lines between the server and its engine.
+//! Lines between the server and its engine: commands out, messages in.
 use super::{ProtocolError, ReadBuffer, WireId};
 use cottondyke_admission::RunOutcome;
 use std::rc::Rc;
 
-const MOST_LINE: usize = 65_536;
-const MOST_BODY: usize = 262_144;
+const MAX_LINE_BYTES: usize = 65_536;
+const MAX_BODY_BYTES: usize = 262_144;
+const LINE_END: &[u8] = b"\r\n";
 
-/// Numbers the notices of one life of the server.
+/// Numbers the engine's messages through one incarnation of the server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageNumber(pub u64);
 
+/// Ties an answer of the engine to the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Tag(pub u64);
 
+/// What the engine is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineCommand {
+    /// Opens a link: messages after this number are to be sent (again).
     Attach(MessageNumber),
-    Run {
+    /// Starts a run.
+    StartRun {
+        /// The id under which the engine knows the run.
         id: WireId,
+        /// The handler's name.
         class: Rc<str>,
+        /// The request's body.
         body: Rc<[u8]>,
     },
-    Halt(WireId),
-    Feed(WireId, Vec<u8>),
-    Skip(WireId, MessageNumber),
-    Stat(Tag),
-    Test(Tag),
+    /// Asks for the end of a run, which a message tells once it is carried out.
+    CancelRun(WireId),
+    /// The reply to the call that a run waits for.
+    CallResult(WireId, Vec<u8>),
+    /// The run goes on without the call that this message asked for.
+    SkipCall(WireId, MessageNumber),
+    /// Asks for the load gauges.
+    QueryLoad(Tag),
+    /// Asks the engine to test itself.
+    SelfTest(Tag),
 }
 
 impl EngineCommand {
+    /// Appends the command as it stands on the wire.
     pub fn encode(&self, to: &mut Vec<u8>) {
-        let mut put = |line: String, body: Option<&[u8]>| {
-            to.extend(line.as_bytes());
-            if let Some(body) = body {
-                to.extend(format!(" {}\r\n", body.len()).as_bytes());
-                to.extend(body);
-            }
-            to.extend(b"\r\n");
-        };
         match self {
-            EngineCommand::Attach(last) => put(format!("ATTACH {}", last.0), None),
-            EngineCommand::Run { id, class, body } => {
-                put(format!("RUN {} {class}", id.as_str()), Some(body))
+            EngineCommand::Attach(last) => put_line(to, format!("ATTACH {}", last.0)),
+            EngineCommand::StartRun { id, class, body } => {
+                put_with_body(to, format!("RUN {} {class}", id.as_str()), body)
+            }
+            EngineCommand::CancelRun(id) => put_line(to, format!("HALT {}", id.as_str())),
+            EngineCommand::CallResult(id, body) => {
+                put_with_body(to, format!("FEED {}", id.as_str()), body)
             }
-            EngineCommand::Halt(id) => put(format!("HALT {}", id.as_str()), None),
-            EngineCommand::Feed(id, body) => put(format!("FEED {}", id.as_str()), Some(body)),
-            EngineCommand::Skip(id, need) => put(format!("SKIP {} {}", id.as_str(), need.0), None),
-            EngineCommand::Stat(tag) => put(format!("STAT {}", tag.0), None),
-            EngineCommand::Test(tag) => put(format!("TEST {}", tag.0), None),
+            EngineCommand::SkipCall(id, need) => {
+                put_line(to, format!("SKIP {} {}", id.as_str(), need.0))
+            }
+            EngineCommand::QueryLoad(tag) => put_line(to, format!("STAT {}", tag.0)),
+            EngineCommand::SelfTest(tag) => put_line(to, format!("TEST {}", tag.0)),
         }
     }
 }
 
+fn put_line(to: &mut Vec<u8>, line: String) {
+    to.extend(line.as_bytes());
+    to.extend(LINE_END);
+}
+
+fn put_with_body(to: &mut Vec<u8>, line: String, body: &[u8]) {
+    to.extend(line.as_bytes());
+    to.extend(format!(" {}\r\n", body.len()).as_bytes());
+    to.extend(body);
+    to.extend(LINE_END);
+}
+
+/// What the engine says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineMessage {
+    /// The first line of a link.
     Hello {
+        /// How long ago the engine started, in milliseconds.
         age_ms: f64,
     },
-    Done {
-        no: MessageNumber,
+    /// A run has ended.
+    RunEnded {
+        /// The message's number.
+        number: MessageNumber,
+        /// The run.
         id: WireId,
-        end: RunOutcome,
+        /// How it ended.
+        outcome: RunOutcome,
+        /// The response's body.
         result: Vec<u8>,
     },
-    Need {
-        no: MessageNumber,
+    /// A run waits for a call.
+    CallNeeded {
+        /// The message's number.
+        number: MessageNumber,
+        /// The run.
         id: WireId,
+        /// What is to be sent.
         body: Vec<u8>,
     },
-    Stats {
+    /// The load gauges that were asked for, in the settings' order; one that cannot be read is not a number.
+    Load {
+        /// Of the question.
         tag: Tag,
+        /// The values.
         gauges: Vec<f64>,
     },
-    Tested {
+    /// The result of a self-test.
+    SelfTest {
+        /// Of the question.
         tag: Tag,
-        good: bool,
+        /// Whether it went well.
+        passed: bool,
     },
-    Refused {
+    /// A command that the engine does not carry out.
+    CommandRefused {
+        /// Its first word.
         command: String,
+        /// The run, if there was one.
         id: Option<WireId>,
     },
-    Remark(Option<MessageNumber>),
+    /// A numbered line that carries nothing.
+    Note(Option<MessageNumber>),
+    /// A line that this version does not know.
     Unknown(String),
 }
 
 impl EngineMessage {
+    /// The message's number, if its kind is numbered.
     pub fn number(&self) -> Option<MessageNumber> {
         match self {
-            EngineMessage::Done { no, .. } | EngineMessage::Need { no, .. } => Some(*no),
-            EngineMessage::Remark(no) => *no,
+            EngineMessage::RunEnded { number, .. } | EngineMessage::CallNeeded { number, .. } => {
+                Some(*number)
+            }
+            EngineMessage::Note(number) => *number,
             _ => None,
         }
     }
 }
 
+/// Decodes the messages of one link.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    pending: ReadBuffer,
+    buffer: ReadBuffer,
 }
 
 impl Decoder {
+    /// Appends what was read.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.pending.feed(bytes);
+        self.buffer.feed(bytes);
     }
 
-    /// The next notice, once it has come whole with its body. After an error the link is of no more use.
-    pub fn notice(&mut self) -> Result<Option<EngineMessage>, ProtocolError> {
-        let Some((line, end)) = self.pending.line() else {
-            let long = self.pending.rest().len() > MOST_LINE;
-            return if long {
-                Err(ProtocolError("a line without an end"))
-            } else {
-                Ok(None)
-            };
+    /// The next message, once it is complete with its body. After an error the link is of no more use.
+    pub fn next_message(&mut self) -> Result<Option<EngineMessage>, ProtocolError> {
+        let Some((line, line_end)) = self.buffer.line() else {
+            if self.buffer.rest().len() > MAX_LINE_BYTES {
+                return Err(ProtocolError::LineTooLong);
+            }
+            return Ok(None);
         };
-        let line = std::str::from_utf8(line).map_err(|_| ProtocolError("a line is not text"))?;
+        let line = std::str::from_utf8(line).map_err(|_| ProtocolError::LineNotText)?;
         let words: Vec<&str> = line.split(' ').collect();
-        let length = match words[0] {
-            "DONE" | "NEED" => words
-                .last()
-                .and_then(|w| w.parse().ok())
-                .ok_or(ProtocolError("no length"))?,
-            _ => 0,
-        };
-        if length > MOST_BODY {
-            return Err(ProtocolError("a body is too long"));
-        }
-        let with_body = matches!(words[0], "DONE" | "NEED");
-        let whole = end + if with_body { length + 2 } else { 0 };
-        let Some(body) = self.pending.rest().get(end..whole) else {
+        let body_length = body_length(&words)?;
+        let message_end = line_end + body_length.map_or(0, |length| length + LINE_END.len());
+        let Some(body) = self.buffer.rest().get(line_end..message_end) else {
             return Ok(None);
         };
-        let body = if with_body {
-            body.strip_suffix(b"\r\n")
-                .ok_or(ProtocolError("a body without its end"))?
-                .to_vec()
-        } else {
-            Vec::new()
+        let body = match body_length {
+            Some(_) => body
+                .strip_suffix(LINE_END)
+                .ok_or(ProtocolError::UnterminatedBody)?
+                .to_vec(),
+            None => Vec::new(),
         };
-        let notice = notice(&words, body).ok_or(ProtocolError("a notice that cannot be read"))?;
-        self.pending.take(whole);
-        Ok(Some(notice))
+        let message = parse_message(&words, body).ok_or(ProtocolError::UnreadableMessage)?;
+        self.buffer.consume(message_end);
+        Ok(Some(message))
+    }
+}
+
+/// The length of the body behind a line; none where its kind has no body.
+fn body_length(words: &[&str]) -> Result<Option<usize>, ProtocolError> {
+    if !matches!(words[0], "DONE" | "NEED") {
+        return Ok(None);
+    }
+    let length = words
+        .last()
+        .and_then(|word| word.parse().ok())
+        .ok_or(ProtocolError::MissingBodyLength)?;
+    if length > MAX_BODY_BYTES {
+        return Err(ProtocolError::BodyTooLong);
     }
+    Ok(Some(length))
 }
 
-fn notice(words: &[&str], body: Vec<u8>) -> Option<EngineMessage> {
-    let number = |w: &str| w.parse().ok();
+fn parse_message(words: &[&str], body: Vec<u8>) -> Option<EngineMessage> {
+    let number = |word: &str| word.parse().ok();
     Some(match *words {
         ["HELLO", _, ms] => EngineMessage::Hello {
             age_ms: ms
@@ -153,42 +206,43 @@
                 .ok()
                 .filter(|ms| ms.is_finite() && *ms >= 0.0)?,
         },
-        ["DONE", no, id, end, _, _] => {
-            let end = match end {
-                "fine" => RunOutcome::Completed,
-                "fault" => RunOutcome::Failed,
-                "broken_off" => RunOutcome::Cancelled,
-                "late" => RunOutcome::NotStarted,
-                _ => return None,
-            };
-            EngineMessage::Done {
-                no: MessageNumber(number(no)?),
-                id: WireId::new(id)?,
-                end,
-                result: body,
-            }
-        }
-        ["NEED", no, id, _] => EngineMessage::Need {
-            no: MessageNumber(number(no)?),
+        ["DONE", message, id, outcome, _, _] => EngineMessage::RunEnded {
+            outcome: run_outcome(outcome)?,
+            number: MessageNumber(number(message)?),
+            id: WireId::new(id)?,
+            result: body,
+        },
+        ["NEED", message, id, _] => EngineMessage::CallNeeded {
+            number: MessageNumber(number(message)?),
             id: WireId::new(id)?,
             body,
         },
-        ["STATS", tag, ref gauges @ ..] => EngineMessage::Stats {
+        ["STATS", tag, ref gauges @ ..] => EngineMessage::Load {
             tag: Tag(number(tag)?),
             gauges: gauges
                 .iter()
-                .map(|g| g.parse().unwrap_or(f64::NAN))
+                .map(|gauge| gauge.parse().unwrap_or(f64::NAN))
                 .collect(),
         },
-        ["TESTED", tag, end] => EngineMessage::Tested {
+        ["TESTED", tag, result] => EngineMessage::SelfTest {
             tag: Tag(number(tag)?),
-            good: end == "fine",
+            passed: result == "fine",
         },
-        ["NO", command, id] => EngineMessage::Refused {
+        ["NO", command, id] => EngineMessage::CommandRefused {
             command: command.to_string(),
             id: WireId::new(id),
         },
-        ["NOTE", no, ..] => EngineMessage::Remark(number(no).map(MessageNumber)),
+        ["NOTE", message, ..] => EngineMessage::Note(number(message).map(MessageNumber)),
         _ => EngineMessage::Unknown(words.join(" ")),
     })
 }
+
+fn run_outcome(word: &str) -> Option<RunOutcome> {
+    match word {
+        "fine" => Some(RunOutcome::Completed),
+        "fault" => Some(RunOutcome::Failed),
+        "broken_off" => Some(RunOutcome::Cancelled),
+        "late" => Some(RunOutcome::NotStarted),
+        _ => None,
+    }
+}
--- a/crates/server/src/protocol/http.rs
+++ b/crates/server/src/protocol/http.rs
@@ -1,19 +1,20 @@
-//! HTTP/1.1 as a client speaks it: one request, one reply. What follows the reply is never read.
+//! HTTP/1.1 as a client speaks it (RFC 9112): one request, one response. What follows the response is never decoded.
 use super::{ProtocolError, ReadBuffer};
 
-const MOST_HEAD: usize = 16_384;
-const MOST_BODY: usize = 262_144;
+const MAX_HEAD_BYTES: usize = 16_384;
+const MAX_BODY_BYTES: usize = 262_144;
+const LINE_END: &[u8] = b"\r\n";
 
 /// Appends a request with a body. Names and values hold no line ends.
-pub fn request(
-    verb: &str,
+pub fn encode_request(
+    method: &str,
     path: &str,
     host: &str,
     headers: &[(&str, &str)],
     body: &[u8],
     to: &mut Vec<u8>,
 ) {
-    let mut head = format!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n");
+    let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     for (name, value) in headers {
         head += &format!("{name}: {value}\r\n");
     }
@@ -22,184 +23,201 @@
     to.extend(body);
 }
 
+/// A final response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
-    /// The service says that the call never ran.
-    pub not_begun: bool,
+    /// The service says that the call was not executed (header `Op-Not-Begun`).
+    pub not_executed: bool,
     /// The service closes the connection after it.
     pub close: bool,
     /// Only a 200 has one that counts.
     pub body: Vec<u8>,
 }
 
-/// Where the body stands.
+/// How long the body is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Body {
+enum BodyLength {
     Sized(usize),
     Chunked,
 }
 
+/// Decodes one response.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    pending: ReadBuffer,
-    head: Option<(Response, Body)>,
+    buffer: ReadBuffer,
+    /// A response whose body is not complete yet.
+    head: Option<(Response, BodyLength)>,
 }
 
 impl Decoder {
+    /// Appends what was read.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.pending.feed(bytes);
+        self.buffer.feed(bytes);
     }
 
-    /// Whether nothing more has come than was decoded.
+    /// Whether nothing more was read than was decoded.
     pub fn is_empty(&self) -> bool {
-        self.pending.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// The reply, once it has come whole.
-    pub fn reply(&mut self) -> Result<Option<Response>, ProtocolError> {
+    /// The response, once it is complete.
+    pub fn next_response(&mut self) -> Result<Option<Response>, ProtocolError> {
         while self.head.is_none() {
-            let rest = self.pending.rest();
+            let rest = self.buffer.rest();
             let Some(end) = head_end(rest) else {
-                let long = rest.len() > MOST_HEAD;
-                return if long {
-                    Err(ProtocolError("a head without an end"))
-                } else {
-                    Ok(None)
-                };
+                if rest.len() > MAX_HEAD_BYTES {
+                    return Err(ProtocolError::HeadTooLong);
+                }
+                return Ok(None);
             };
-            let head = head(&rest[..end])?;
-            self.pending.take(end);
-            // A reply before the reply says nothing.
-            self.head = Some(head).filter(|(reply, _)| reply.status >= 200);
+            let head = parse_head(&rest[..end])?;
+            self.buffer.consume(end);
+            // An interim response (1xx) says nothing.
+            self.head = Some(head).filter(|(response, _)| response.status >= 200);
         }
-        let Some((mut reply, body)) = self.head.take() else {
+        let Some((mut response, body)) = self.head.take() else {
             return Ok(None);
         };
         match body {
-            Body::Sized(length) if self.pending.rest().len() >= length => {
-                reply.body = self.pending.rest()[..length].to_vec();
-                self.pending.take(length);
-                return Ok(Some(reply));
+            BodyLength::Sized(length) if self.buffer.rest().len() >= length => {
+                response.body = self.buffer.rest()[..length].to_vec();
+                self.buffer.consume(length);
+                return Ok(Some(response));
+            }
+            BodyLength::Chunked if self.take_chunks(&mut response.body)? => {
+                return Ok(Some(response))
             }
-            Body::Chunked if self.chunks(&mut reply.body)? => return Ok(Some(reply)),
-            _ if self.pending.rest().len() > MOST_BODY => {
-                return Err(ProtocolError("a body is too long"))
+            _ if self.buffer.rest().len() > MAX_BODY_BYTES => {
+                return Err(ProtocolError::BodyTooLong)
             }
             _ => {}
         }
-        self.head = Some((reply, body));
+        self.head = Some((response, body));
         Ok(None)
     }
 
-    /// Moves whole chunks over; true after the last.
-    fn chunks(&mut self, to: &mut Vec<u8>) -> Result<bool, ProtocolError> {
+    /// Moves complete chunks over; true after the last.
+    fn take_chunks(&mut self, to: &mut Vec<u8>) -> Result<bool, ProtocolError> {
         loop {
-            let Some((line, end)) = self.pending.line() else {
-                let long = self.pending.rest().len() > MOST_HEAD;
-                return if long {
-                    Err(ProtocolError("a chunk without a size"))
-                } else {
-                    Ok(false)
-                };
+            let Some((line, line_end)) = self.buffer.line() else {
+                if self.buffer.rest().len() > MAX_HEAD_BYTES {
+                    return Err(ProtocolError::ChunkWithoutSize);
+                }
+                return Ok(false);
             };
-            let size = std::str::from_utf8(line)
-                .ok()
-                .and_then(|l| l.split(';').next());
-            let size = size.and_then(|s| usize::from_str_radix(s.trim(), 16).ok());
-            let size = size
-                .filter(|s| *s <= MOST_BODY - to.len())
-                .ok_or(ProtocolError("a chunk's size"))?;
+            let size = chunk_size(line)
+                .filter(|size| *size <= MAX_BODY_BYTES - to.len())
+                .ok_or(ProtocolError::ChunkSize)?;
             if size == 0 {
-                let trailer = &self.pending.rest()[end..];
-                let done = trailer
-                    .starts_with(b"\r\n")
-                    .then_some(2)
-                    .or_else(|| head_end(trailer));
-                if let Some(length) = done {
-                    self.pending.take(end + length);
-                }
-                return Ok(done.is_some());
+                return Ok(self.take_trailer(line_end));
             }
-            let Some(chunk) = self.pending.rest().get(end..end + size + 2) else {
+            let chunk_end = line_end + size + LINE_END.len();
+            let Some(chunk) = self.buffer.rest().get(line_end..chunk_end) else {
                 return Ok(false);
             };
-            to.extend(
-                chunk
-                    .strip_suffix(b"\r\n")
-                    .ok_or(ProtocolError("a chunk without its end"))?,
-            );
-            self.pending.take(end + size + 2);
+            let chunk = chunk
+                .strip_suffix(LINE_END)
+                .ok_or(ProtocolError::UnterminatedChunk)?;
+            to.extend(chunk);
+            self.buffer.consume(chunk_end);
         }
     }
+
+    /// Consumes what stands behind the last chunk, whose line ends at `line_end`; false until all of it has been read.
+    fn take_trailer(&mut self, line_end: usize) -> bool {
+        let trailer = &self.buffer.rest()[line_end..];
+        let length = if trailer.starts_with(LINE_END) {
+            Some(LINE_END.len())
+        } else {
+            head_end(trailer)
+        };
+        if let Some(length) = length {
+            self.buffer.consume(line_end + length);
+        }
+        length.is_some()
+    }
+}
+
+fn chunk_size(line: &[u8]) -> Option<usize> {
+    let line = std::str::from_utf8(line).ok()?;
+    let size = line.split(';').next()?;
+    usize::from_str_radix(size.trim(), 16).ok()
 }
 
 fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes
         .windows(4)
-        .position(|w| w == b"\r\n\r\n")
+        .position(|window| window == b"\r\n\r\n")
         .map(|at| at + 4)
 }
 
-fn head(bytes: &[u8]) -> Result<(Response, Body), ProtocolError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| ProtocolError("a head is not text"))?;
+fn parse_head(bytes: &[u8]) -> Result<(Response, BodyLength), ProtocolError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| ProtocolError::HeadNotText)?;
     let mut lines = text.split("\r\n");
     let mut first = lines.next().unwrap_or_default().splitn(3, ' ');
     let version = first
         .next()
-        .filter(|v| v.starts_with("HTTP/1."))
-        .ok_or(ProtocolError("not HTTP/1"))?;
-    let mut close = version == "HTTP/1.0";
-    let status = first
-        .next()
-        .filter(|s| s.len() == 3)
-        .and_then(|s| s.parse::<u16>().ok());
-    let status = status
-        .filter(|s| (100..600).contains(s))
-        .ok_or(ProtocolError("no status"))?;
-    let mut body = (status != 200).then_some(Body::Sized(0));
-    let (bodiless, mut not_begun) = (body.is_some(), false);
-    for line in lines.filter(|l| !l.is_empty()) {
+        .filter(|version| version.starts_with("HTTP/1."))
+        .ok_or(ProtocolError::NotHttp1)?;
+    let status = parse_status(first.next()).ok_or(ProtocolError::MissingStatus)?;
+    let has_body = status == 200;
+    let mut response = Response {
+        status,
+        not_executed: false,
+        close: version == "HTTP/1.0",
+        body: Vec::new(),
+    };
+    let mut length = (!has_body).then_some(BodyLength::Sized(0));
+    for line in lines.filter(|line| !line.is_empty()) {
         let (name, value) = line
             .split_once(':')
-            .ok_or(ProtocolError("a header without a colon"))?;
+            .ok_or(ProtocolError::HeaderWithoutColon)?;
         let (name, value) = (name.to_ascii_lowercase(), value.trim());
         match name.as_str() {
-            "content-length" if body != Some(Body::Chunked) && !bodiless => {
-                let digits = value.bytes().all(|b| b.is_ascii_digit());
-                let length = value.parse().ok().filter(|l| digits && *l <= MOST_BODY);
-                let length = length.ok_or(ProtocolError("a length"))?;
-                if matches!(body, Some(Body::Sized(other)) if other != length) {
-                    return Err(ProtocolError("two lengths"));
-                }
-                body = Some(Body::Sized(length));
+            "content-length" if has_body && length != Some(BodyLength::Chunked) => {
+                length = Some(content_length(value, length)?);
             }
-            "transfer-encoding" if !bodiless => {
-                let chunked = value.eq_ignore_ascii_case("chunked");
-                body = if chunked {
-                    Some(Body::Chunked)
-                } else {
-                    Err(ProtocolError("an unknown encoding"))?
-                };
-            }
-            "connection" => {
-                close |= value
-                    .split(',')
-                    .any(|v| v.trim().eq_ignore_ascii_case("close"))
-            }
-            "op-not-begun" => not_begun = value == "1",
+            "transfer-encoding" if has_body => length = Some(transfer_encoding(value)?),
+            "connection" => response.close |= says_close(value),
+            "op-not-begun" => response.not_executed = value == "1",
             _ => {}
         }
     }
-    // One that ends with its connection may have been cut short: it is not believed.
-    let body = body.ok_or(ProtocolError("a body without a length"))?;
-    Ok((
-        Response {
-            status,
-            not_begun,
-            close,
-            body: Vec::new(),
-        },
-        body,
-    ))
+    // A body that ends with its connection may have been cut short: it is not believed.
+    let length = length.ok_or(ProtocolError::BodyWithoutLength)?;
+    Ok((response, length))
+}
+
+fn parse_status(word: Option<&str>) -> Option<u16> {
+    let status = word.filter(|word| word.len() == 3)?.parse::<u16>().ok()?;
+    (100..600).contains(&status).then_some(status)
+}
+
+fn content_length(value: &str, earlier: Option<BodyLength>) -> Result<BodyLength, ProtocolError> {
+    let is_number = value.bytes().all(|byte| byte.is_ascii_digit());
+    let length = value
+        .parse()
+        .ok()
+        .filter(|length| is_number && *length <= MAX_BODY_BYTES)
+        .ok_or(ProtocolError::ContentLength)?;
+    match earlier {
+        Some(BodyLength::Sized(other)) if other != length => Err(ProtocolError::ConflictingLengths),
+        _ => Ok(BodyLength::Sized(length)),
+    }
+}
+
+fn transfer_encoding(value: &str) -> Result<BodyLength, ProtocolError> {
+    if value.eq_ignore_ascii_case("chunked") {
+        Ok(BodyLength::Chunked)
+    } else {
+        Err(ProtocolError::UnknownEncoding)
+    }
+}
+
+fn says_close(connection: &str) -> bool {
+    connection
+        .split(',')
+        .any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
--- a/crates/server/src/protocol/mod.rs
+++ b/crates/server/src/protocol/mod.rs
@@ -1,42 +1,58 @@
-//! The three protocols as state machines that are fed bytes and know no socket or clock. Each message is
-//! decoded once into a small typed value and encoded once; the protocols' names end here.
+//! The protocols as state machines that are fed bytes and know no socket or clock. Each message is decoded once into
+//! a small typed value and encoded once; the names that stand on the wire end here.
 pub mod engine;
+pub mod error;
 pub mod http;
 pub mod peers;
 pub mod sidecar;
 
-/// Bytes that came and are not yet decoded. They take only as much room as has come, whatever length a
+pub use error::{FieldError, ProtocolError, RequestError};
+
+/// Bytes that were read and are not yet decoded. They take only as much memory as has been read, whatever length a
 /// message announces.
+///
+/// ```
+/// let mut buffer = cottondyke::protocol::ReadBuffer::default();
+/// buffer.feed(b"one\r\ntw");
+/// assert_eq!(buffer.line(), Some((&b"one"[..], 5)));
+/// buffer.consume(5);
+/// assert_eq!((buffer.line(), buffer.len()), (None, 2));
+/// ```
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    taken: usize,
+    consumed: usize,
 }
 
 impl ReadBuffer {
+    /// Appends what was read.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.taken);
-        self.taken = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// How much has come and is not decoded.
+    /// How many bytes are not decoded yet.
     pub fn len(&self) -> usize {
         self.rest().len()
     }
 
+    /// Whether all that was read is decoded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// What is not decoded yet.
     pub fn rest(&self) -> &[u8] {
-        &self.bytes[self.taken..]
+        &self.bytes[self.consumed..]
     }
 
-    pub fn take(&mut self, count: usize) {
-        self.taken = (self.taken + count).min(self.bytes.len());
-        if self.taken == self.bytes.len() {
-            (self.bytes, self.taken) = (Vec::new(), 0);
+    /// Marks the next `count` bytes as decoded. An empty buffer gives its memory back.
+    pub fn consume(&mut self, count: usize) {
+        self.consumed = (self.consumed + count).min(self.bytes.len());
+        if self.consumed == self.bytes.len() {
+            self.bytes = Vec::new();
+            self.consumed = 0;
         }
     }
 
@@ -48,15 +64,12 @@
     }
 }
 
-/// What cannot be decoded any further, in words.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProtocolError(pub &'static str);
-
-/// The id that a req bears on the wire, kept as it came.
+/// The id that a request bears on the wire: 16 hexadecimal digits, retained as they came.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WireId([u8; 16]);
 
 impl WireId {
+    /// The id, if `text` is one.
     pub fn new(text: &str) -> Option<Self> {
         let bytes: [u8; 16] = text.as_bytes().try_into().ok()?;
         bytes
@@ -65,13 +78,14 @@
             .then_some(WireId(bytes))
     }
 
+    /// The digits as they came.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
 }
 
 impl std::fmt::Debug for WireId {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        to.write_str(self.as_str())
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str(self.as_str())
     }
 }
--- /dev/null
+++ b/crates/server/src/protocol/sidecar/mod.rs
@@ -0,0 +1,163 @@
+//! Frames between sidecars and the server. A frame is a length (4 bytes, counting what follows it), a kind (1 byte), a
+//! stream (4 bytes) and a payload; numbers are big-endian.
+mod request;
+mod response;
+
+pub use request::Request;
+pub use response::{Response, RunOutput};
+
+use super::{FieldError, ProtocolError, ReadBuffer, RequestError};
+use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
+use std::rc::Rc;
+
+/// Lengths that a frame may have, in bytes behind the length itself.
+const FRAME_LENGTH: RangeInclusive<usize> = 5..=262_144;
+/// Bytes of the length.
+const LENGTH_BYTES: usize = 4;
+/// Stream numbers noted ahead of a gap in them; past that the oldest gap counts as used.
+const MAX_STREAMS_AHEAD: usize = 1_024;
+
+const REQUEST: u8 = 1;
+const RESPONSE: u8 = 2;
+const CANCEL: u8 = 3;
+const HEALTH_CHECK: u8 = 4;
+const HEALTH_STATUS: u8 = 5;
+const GO_AWAY: u8 = 6;
+
+/// Numbers the requests and health checks of one connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StreamId(pub u32);
+
+/// What the settings say of requests: the names of handlers and tenants in their order, and how long one lives.
+#[derive(Debug, Default)]
+pub struct NameTable {
+    /// Names of the handlers; the place of a name is its `HandlerId`.
+    pub handlers: Vec<String>,
+    /// Names of the tenants; the place of a name is its `TenantId`.
+    pub tenants: Vec<String>,
+    /// The longest client timeout, in milliseconds.
+    pub max_client_timeout_ms: f64,
+}
+
+/// A frame of a sidecar.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Frame {
+    /// A request that can be run.
+    Request(Request),
+    /// A request that can be answered, not run.
+    InvalidRequest(StreamId, RequestError),
+    /// A health check.
+    HealthCheck {
+        /// To be answered on this stream.
+        stream: StreamId,
+        /// Whether the engine is to test itself for it.
+        deep: bool,
+    },
+    /// The sidecar waits for this request no longer.
+    Cancel(StreamId),
+}
+
+/// Decodes the frames of one connection.
+#[derive(Debug)]
+pub struct Decoder {
+    names: Rc<NameTable>,
+    buffer: ReadBuffer,
+    /// All streams up to this one count as used.
+    used_through: u32,
+    /// Streams above it that were used.
+    used_ahead: BTreeSet<u32>,
+}
+
+impl Decoder {
+    /// A decoder that knows these names.
+    pub fn new(names: Rc<NameTable>) -> Self {
+        Decoder {
+            names,
+            buffer: ReadBuffer::default(),
+            used_through: 0,
+            used_ahead: BTreeSet::new(),
+        }
+    }
+
+    /// Appends what was read.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        self.buffer.feed(bytes);
+    }
+
+    /// How many bytes of an incomplete frame have been read.
+    pub fn pending_bytes(&self) -> usize {
+        self.buffer.len()
+    }
+
+    /// The next frame, once it is complete. After an error nothing more can be decoded.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, ProtocolError> {
+        let rest = self.buffer.rest();
+        let Some(head) = rest.first_chunk::<LENGTH_BYTES>() else {
+            return Ok(None);
+        };
+        let length = u32::from_be_bytes(*head) as usize;
+        if !FRAME_LENGTH.contains(&length) {
+            return Err(ProtocolError::FrameLength);
+        }
+        let Some(bytes) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+            return Ok(None);
+        };
+        let stream = StreamId(u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]));
+        let (kind, payload) = (bytes[0], &bytes[5..]);
+        let frame = match kind {
+            REQUEST if stream.0 == 0 => return Err(ProtocolError::RequestOnStreamZero),
+            REQUEST => request::decode(&self.names, stream, payload)
+                .map_or_else(|e| Frame::InvalidRequest(stream, e), Frame::Request),
+            HEALTH_CHECK => {
+                let (fields, _) = read_fields(payload).map_err(ProtocolError::Fields)?;
+                let deep = fields.contains(&("deep", "1"));
+                Frame::HealthCheck { stream, deep }
+            }
+            CANCEL if stream.0 > 0 => Frame::Cancel(stream),
+            _ => return Err(ProtocolError::UnknownFrameKind),
+        };
+        self.buffer.consume(LENGTH_BYTES + length);
+        if kind == REQUEST && !self.mark_used(stream.0) {
+            return Err(ProtocolError::StreamReused);
+        }
+        Ok(Some(frame))
+    }
+
+    /// False if the stream was used before.
+    fn mark_used(&mut self, stream: u32) -> bool {
+        if stream <= self.used_through || !self.used_ahead.insert(stream) {
+            return false;
+        }
+        while self.used_ahead.len() > MAX_STREAMS_AHEAD
+            || self.used_ahead.first() == Some(&(self.used_through + 1))
+        {
+            self.used_through = self.used_ahead.pop_first().unwrap_or(self.used_through);
+        }
+        true
+    }
+}
+
+/// Names and values of a payload, in their order.
+type Fields<'a> = Vec<(&'a str, &'a str)>;
+
+/// The fields of a payload, and the body behind them. Each is a name (1 byte of length) and a value (2 bytes).
+fn read_fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), FieldError> {
+    let (count, mut rest) = payload.split_first().ok_or(FieldError::MissingCount)?;
+    let mut fields = Vec::new();
+    for _ in 0..*count {
+        let size = rest.split_off_first().ok_or(FieldError::PastFrame)?;
+        let name = read_text(&mut rest, usize::from(*size))?;
+        let (size, after) = rest.split_first_chunk::<2>().ok_or(FieldError::PastFrame)?;
+        rest = after;
+        let value = read_text(&mut rest, usize::from(u16::from_be_bytes(*size)))?;
+        fields.push((name, value));
+    }
+    Ok((fields, rest))
+}
+
+fn read_text<'a>(bytes: &mut &'a [u8], size: usize) -> Result<&'a str, FieldError> {
+    let (text, rest) = bytes.split_at_checked(size).ok_or(FieldError::PastFrame)?;
+    *bytes = rest;
+    std::str::from_utf8(text).map_err(|_| FieldError::NotText)
+}
--- a/crates/server/src/resource_limits.rs
+++ b/crates/server/src/resource_limits.rs
@@ -1,119 +1,147 @@
-//! The budgets of descriptors and memory. All that takes either asks here; the configuration sets both, anew on
+//! The budgets of descriptors and memory. All that takes either asks here; the configuration sets both, again on
 //! SIGHUP.
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
 
-/// Parts of the memory that frames which came in part, and results kept for repeats, may take.
-const PARTS: usize = 8;
-const RESULTS: usize = 8;
-/// Past this part of the connections the least useful ones go, so that a rush finds room while they do.
-const SOFT_PART: f64 = 0.85;
+/// The memory is divided by these: the portions that incomplete frames, and results retained for repeats, may take.
+const FRAME_BUFFER_DIVISOR: usize = 8;
+const RETAINED_RESULTS_DIVISOR: usize = 8;
+/// Past this fraction of the connections the least useful ones go, so that a rush finds places while they do.
+const EVICTION_THRESHOLD: f64 = 0.85;
 /// Bytes read at once, by any connection: they are decoded before the next one reads.
-const READ: usize = 32_768;
+const READ_BUFFER_BYTES: usize = 32_768;
+
+/// How many connections stand, and how many may.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCount {
+    /// Connections that stand, closing ones among them.
+    pub open: usize,
+    /// Past this number the least useful ones go.
+    pub target: usize,
+}
 
+/// What of descriptors and memory is taken.
 pub struct ResourceLimits {
-    connections: Cell<usize>,
-    memory: Cell<usize>,
-    taken: Cell<usize>,
-    parts: Cell<usize>,
-    given_back: (Sender<()>, Receiver<()>),
-    bytes: RefCell<Vec<u8>>,
+    max_connections: Cell<usize>,
+    memory_bytes: Cell<usize>,
+    open_connections: Cell<usize>,
+    frame_bytes: Cell<usize>,
+    /// Tells that a connection was given back, or the limit raised.
+    released: (Sender<()>, Receiver<()>),
+    read_buffer: RefCell<Vec<u8>>,
 }
 
 impl ResourceLimits {
+    /// Limits for so many connections and so many bytes of memory.
     pub fn new(connections: usize, memory: usize) -> Rc<Self> {
         Rc::new(ResourceLimits {
-            connections: Cell::new(connections),
-            memory: Cell::new(memory),
-            taken: Cell::new(0),
-            parts: Cell::new(0),
-            given_back: async_channel::bounded(1),
-            bytes: RefCell::new(vec![0; READ]),
+            max_connections: Cell::new(connections),
+            memory_bytes: Cell::new(memory),
+            open_connections: Cell::new(0),
+            frame_bytes: Cell::new(0),
+            released: async_channel::bounded(1),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
         })
     }
 
+    /// Changes both limits; what is taken past them is given back in its time.
     pub fn set(&self, connections: usize, memory: usize) {
-        self.connections.set(connections);
-        self.memory.set(memory);
-        let _ = self.given_back.0.try_send(());
+        self.max_connections.set(connections);
+        self.memory_bytes.set(memory);
+        self.notify_released();
     }
 
-    pub fn permit(self: &Rc<Self>) -> Option<ConnectionPermit> {
-        (!self.full()).then(|| {
-            self.taken.set(self.taken.get() + 1);
-            ConnectionPermit(self.clone())
-        })
+    /// A place for one connection, if there is one.
+    pub fn acquire_connection(self: &Rc<Self>) -> Option<ConnectionPermit> {
+        if self.is_full() {
+            return None;
+        }
+        self.open_connections.set(self.open_connections.get() + 1);
+        Some(ConnectionPermit(self.clone()))
     }
 
-    pub fn full(&self) -> bool {
-        self.taken.get() >= self.connections.get()
+    /// Whether no further connection has a place.
+    pub fn is_full(&self) -> bool {
+        self.open_connections.get() >= self.max_connections.get()
     }
 
-    /// Waits until there is a place.
-    pub async fn free(&self) {
-        while self.full() {
-            let _ = self.given_back.1.recv().await;
+    /// Waits until there is a place for a connection.
+    pub async fn wait_for_capacity(&self) {
+        while self.is_full() {
+            let _ = self.released.1.recv().await;
         }
     }
 
     /// How many connections there are, and how many should stay.
-    pub fn connections(&self) -> (usize, usize) {
-        let most = self.connections.get();
-        (
-            self.taken.get(),
-            ((most as f64 * SOFT_PART) as usize).max(1),
-        )
+    pub fn connections(&self) -> ConnectionCount {
+        let target = (self.max_connections.get() as f64 * EVICTION_THRESHOLD) as usize;
+        ConnectionCount {
+            open: self.open_connections.get(),
+            target: target.max(1),
+        }
     }
 
-    pub fn part(self: &Rc<Self>) -> BufferReservation {
-        BufferReservation(self.clone(), 0)
+    /// An empty reservation for the incomplete frame of a connection.
+    pub fn reserve_buffer(self: &Rc<Self>) -> BufferReservation {
+        BufferReservation {
+            limits: self.clone(),
+            bytes: 0,
+        }
     }
 
-    /// What results kept for repeats may take, in bytes.
-    pub fn results(&self) -> usize {
-        self.memory.get() / RESULTS
+    /// What results retained for repeats may take, in bytes.
+    pub fn max_retained_bytes(&self) -> usize {
+        self.memory_bytes.get() / RETAINED_RESULTS_DIVISOR
     }
 
-    /// Hands what `read` brings to `take`, before anything else can be read.
+    /// Hands what `read` brings to `consume`, before anything else can be read.
     pub fn read(
         &self,
         read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
-        take: impl FnOnce(&[u8]),
+        consume: impl FnOnce(&[u8]),
     ) -> io::Result<usize> {
-        let mut bytes = self.bytes.borrow_mut();
-        let count = read(&mut bytes)?;
-        take(&bytes[..count]);
+        let mut buffer = self.read_buffer.borrow_mut();
+        let count = read(&mut buffer)?;
+        consume(&buffer[..count]);
         Ok(count)
     }
+
+    fn notify_released(&self) {
+        let _ = self.released.0.try_send(());
+    }
 }
 
-/// One connection's descriptor, given back at its end.
+/// One connection's descriptor, given back on drop.
 pub struct ConnectionPermit(Rc<ResourceLimits>);
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.0.taken.set(self.0.taken.get() - 1);
-        let _ = self.0.given_back.0.try_send(());
+        let open = &self.0.open_connections;
+        open.set(open.get() - 1);
+        self.0.notify_released();
     }
 }
 
-/// What a connection's frame in part takes, given back at its end.
-pub struct BufferReservation(Rc<ResourceLimits>, usize);
+/// The memory that a connection's incomplete frame takes, given back on drop.
+pub struct BufferReservation {
+    limits: Rc<ResourceLimits>,
+    bytes: usize,
+}
 
 impl BufferReservation {
-    /// Takes `size` in place of what was taken; false where there is no room.
-    pub fn set(&mut self, size: usize) -> bool {
-        let BufferReservation(room, taken) = self;
-        room.parts.set(room.parts.get() - *taken + size);
-        *taken = size;
-        size == 0 || room.parts.get() <= room.memory.get() / PARTS
+    /// Takes `bytes` in place of what was taken; false where that is past the limit.
+    pub fn resize(&mut self, bytes: usize) -> bool {
+        let taken = &self.limits.frame_bytes;
+        taken.set(taken.get() - self.bytes + bytes);
+        self.bytes = bytes;
+        bytes == 0 || taken.get() <= self.limits.memory_bytes.get() / FRAME_BUFFER_DIVISOR
     }
 }
 
 impl Drop for BufferReservation {
     fn drop(&mut self) {
-        self.set(0);
+        self.resize(0);
     }
 }
--- a/crates/server/src/signal.rs
+++ b/crates/server/src/signal.rs
@@ -1,77 +1,79 @@
 //! Signals of the process: SIGTERM and SIGINT begin the shutdown, SIGHUP has the files read again.
 use crate::config::files::ConfigFiles;
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 use crate::event::Event;
 use async_channel::{Receiver, Sender};
 use async_signal::{Signal, Signals};
-use futures_lite::{FutureExt, StreamExt};
+use futures_lite::{future, FutureExt, StreamExt};
 use std::io;
 
-pub fn signals() -> io::Result<Signals> {
+type ReadResult = Result<Box<Config>, ConfigError>;
+
+/// Catches the signals from now on.
+pub fn catch() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Passes signals on: SIGHUP with the files read anew, any other as the notice to leave, of which the desk takes the
-/// first only. Evaluating a script may take seconds: signals are heard meanwhile, and one more SIGHUP has the files
+enum SignalEvent {
+    Signal(io::Result<Signal>),
+    FilesRead(ReadResult),
+}
+
+/// Passes signals on: SIGHUP with the files read again, any other as the shutdown signal, of which the dispatcher takes
+/// the first only. Evaluating a script may take seconds: signals are taken meanwhile, and one more SIGHUP has the files
 /// read once more.
-pub async fn watch(mut signals: Signals, sources: ConfigFiles, desk: Sender<Event>) {
-    let (mut reading, mut again) = (None, false);
+pub async fn watch(mut signals: Signals, files: ConfigFiles, events: Sender<Event>) {
+    let mut pending_read = None;
+    let mut read_again = false;
     loop {
         let signal = async { signals.next().await.map(SignalEvent::Signal) };
         let read = async {
-            match &reading {
-                Some(read) => Some(SignalEvent::Read(reread(read).await)),
-                None => std::future::pending().await,
+            match &pending_read {
+                Some(read) => Some(SignalEvent::FilesRead(read_result(read).await)),
+                None => future::pending().await,
             }
         };
-        let input = match signal.or(read).await {
-            Some(SignalEvent::Signal(Ok(Signal::Hup))) if reading.is_some() => {
-                again = true;
+        let event = match signal.or(read).await {
+            Some(SignalEvent::Signal(Ok(Signal::Hup))) if pending_read.is_some() => {
+                read_again = true;
                 continue;
             }
-            Some(SignalEvent::Signal(Ok(Signal::Hup))) if sources.operator.is_none() => {
-                Event::Reload(sources.read().map(Box::new))
+            // Without a script the files are read in no time.
+            Some(SignalEvent::Signal(Ok(Signal::Hup))) if files.operator.is_none() => {
+                Event::Reload(files.read().map(Box::new))
             }
             Some(SignalEvent::Signal(Ok(Signal::Hup))) => {
-                reading = Some(start_reading(&sources));
+                pending_read = Some(start_read(&files));
                 continue;
             }
             Some(SignalEvent::Signal(Ok(_))) => Event::Shutdown,
             Some(SignalEvent::Signal(Err(error))) => {
-                tracing::warn!(%error, "a signal could not be read");
+                tracing::warn!(%error, "cannot read a signal");
                 continue;
             }
-            Some(SignalEvent::Read(result)) => {
-                reading = std::mem::take(&mut again).then(|| start_reading(&sources));
+            Some(SignalEvent::FilesRead(result)) => {
+                pending_read = std::mem::take(&mut read_again).then(|| start_read(&files));
                 Event::Reload(result)
             }
             None => return,
         };
-        if desk.send(input).await.is_err() {
+        if events.send(event).await.is_err() {
             return;
         }
     }
 }
 
-enum SignalEvent {
-    Signal(io::Result<Signal>),
-    Read(Result<Box<Config>, String>),
-}
-
-type Reading = Receiver<Result<Box<Config>, String>>;
-
 /// Reads the files on a thread of its own, which ends with it.
-fn start_reading(sources: &ConfigFiles) -> Reading {
-    let (sources, (told, read)) = (sources.clone(), async_channel::bounded(1));
+fn start_read(files: &ConfigFiles) -> Receiver<ReadResult> {
+    let files = files.clone();
+    let (sender, result) = async_channel::bounded(1);
     std::thread::spawn(move || {
-        let _ = told.try_send(sources.read().map(Box::new));
+        let _ = sender.try_send(files.read().map(Box::new));
     });
-    read
+    result
 }
 
-async fn reread(reading: &Reading) -> Result<Box<Config>, String> {
-    reading
-        .recv()
-        .await
-        .unwrap_or_else(|_| Err("reading the files anew panicked".to_string()))
+async fn read_result(read: &Receiver<ReadResult>) -> ReadResult {
+    let result = read.recv().await;
+    result.unwrap_or(Err(ConfigError::ReaderPanicked))
 }
