--- a/crates/server/tests/connection_close.rs
+++ b/crates/server/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! Closing a connection while something crosses it. Real connections, with the test in the place of the desk: it says
+//! Closing a connection while something crosses it. Real connections, with the test in the place of the dispatcher: it says
 //! when what was read is taken, and when the connection is to close, so that every order comes each time.
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -20,11 +20,11 @@
 /// How long the sidecar may take nothing.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One connection, its sidecar and its desk; `room` is what may wait for the desk.
+/// One connection, its sidecar and its dispatcher; `capacity` is what may wait for the dispatcher.
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
     sidecar: FakeSidecar,
-    desk: Receiver<Event>,
+    dispatcher: Receiver<Event>,
     outgoing: Sender<Outgoing>,
     /// The connection's handling.
     ended: Task<()>,
@@ -33,7 +33,7 @@
 impl Rig {
     /// Runs `test` beside the handling of one connection, whose sidecar takes `buffer` bytes at once.
     fn run<F: std::future::Future<Output = ()>>(
-        room: usize,
+        capacity: usize,
         buffer: Option<usize>,
         test: impl FnOnce(Rig) -> F,
     ) {
@@ -49,27 +49,27 @@
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
         let names = NameTable {
             handlers: vec!["greet".into()],
-            customers: Vec::new(),
-            longest_ms: 2_000.0,
+            tenants: Vec::new(),
+            max_client_timeout_ms: 2_000.0,
         };
-        let (to_desk, desk) = async_channel::bounded(room);
-        let front = ConnectionContext {
+        let (to_dispatcher, dispatcher) = async_channel::bounded(capacity);
+        let context = ConnectionContext {
             names: Rc::new(names),
-            room: ResourceLimits::new(8, 1 << 20),
-            desk: to_desk,
+            limits: ResourceLimits::new(8, 1 << 20),
+            events: to_dispatcher,
             write_timeout: WRITE_TIMEOUT,
         };
         let executor = Rc::new(LocalExecutor::new());
         let ended =
-            executor.spawn(async move { reader::serve(ConnectionId(0), stream, &front).await });
+            executor.spawn(async move { reader::serve(ConnectionId(0), stream, &context).await });
         async_io::block_on(executor.clone().run(async move {
-            let Ok(Event::Opened(_, outgoing)) = desk.recv().await else {
+            let Ok(Event::Opened(_, outgoing)) = dispatcher.recv().await else {
                 panic!("no connection")
             };
             test(Rig {
                 executor,
                 sidecar,
-                desk,
+                dispatcher,
                 outgoing,
                 ended,
             })
@@ -81,13 +81,13 @@
         self.sidecar.0.write_all(&asked(stream)).unwrap();
     }
 
-    /// The reply to a req, as the desk would hand it over.
+    /// The reply to a request, as the dispatcher would hand it over.
     fn reply(&self, stream: u32, body: &[u8]) {
         let bytes = frame(2, stream, &[vec![1], payload(&[], body)].concat());
         self.outgoing
             .try_send(Outgoing::Response {
                 bytes,
-                settles: true,
+                settles_request: true,
             })
             .unwrap();
     }
@@ -105,9 +105,9 @@
     }
 
     async fn taken(&self) -> u32 {
-        match self.desk.recv().await {
-            Ok(Event::Request(_, req)) => req.stream.0,
-            _ => panic!("expected a req"),
+        match self.dispatcher.recv().await {
+            Ok(Event::Request(_, request)) => request.stream.0,
+            _ => panic!("expected a request"),
         }
     }
 
@@ -128,23 +128,23 @@
     frame(1, stream, &payload(&fields, b""))
 }
 
-/// Guards what crosses a close: a req that was read and is not taken yet, bytes that lie unread while the reader waits
-/// for the desk, half a frame. The connection stays open, and each req is answered on it.
+/// Guards what crosses a close: a request that was read and is not taken yet, bytes that lie unread while the reader waits
+/// for the dispatcher, half a frame. The connection stays open, and each request is answered on it.
 #[test]
-fn what_crosses_a_close_keeps_the_connection() {
+fn keeps_the_connection_when_a_request_crosses_its_close() {
     let (one, two, three) = (asked(1), asked(2), asked(3));
     let (half, rest) = one.split_at(one.len() / 2);
-    // What may wait for the desk, what is read, what comes just before the close, inputs taken then, what comes after.
+    // What may wait for the dispatcher, what is read, what comes just before the close, inputs taken then, what comes after.
     let rows = [
         (8, one.clone(), vec![], 0, vec![], 1),
-        // The first waits at the desk, the second for a place there; no more is read meanwhile.
+        // The first waits at the dispatcher, the second for a place there; no more is read meanwhile.
         (1, [one.clone(), two].concat(), three, 2, vec![], 3),
         (8, half.to_vec(), vec![], 0, rest.to_vec(), 1),
     ];
-    for (room, read, before, taken, after, reqs) in rows {
-        Rig::run(room, None, |mut rig| async move {
+    for (capacity, read, before, taken, after, requests) in rows {
+        Rig::run(capacity, None, |mut rig| async move {
             rig.sidecar.0.write_all(&read).unwrap();
-            while rig.desk.is_empty() && after.is_empty() {
+            while rig.dispatcher.is_empty() && after.is_empty() {
                 future::yield_now().await;
             }
             rig.settle().await;
@@ -153,12 +153,12 @@
             rig.settle().await;
             assert!(rig.is_open());
             rig.sidecar.0.write_all(&after).unwrap();
-            for stream in 1..=reqs {
+            for stream in 1..=requests {
                 assert_eq!(rig.taken().await, stream);
                 rig.reply(stream, &[stream as u8]);
             }
             rig.settle().await;
-            for stream in 1..=reqs {
+            for stream in 1..=requests {
                 assert_eq!(rig.sidecar.receive().unwrap().body, [stream as u8]);
             }
         });
@@ -168,7 +168,7 @@
 /// Guards answers that the sidecar has not taken yet: what it sends after the close is read and handed to nobody, and
 /// does not reset the connection under them.
 #[test]
-fn what_comes_after_a_close_resets_no_answer_and_reaches_nobody() {
+fn discards_what_comes_after_a_close_without_resetting_responses() {
     Rig::run(8, Some(4_096), |mut rig| async move {
         let body = vec![7; 200_000];
         rig.ask(1);
@@ -191,7 +191,7 @@
         drop(rig.sidecar);
         rig.ended.await;
         assert!(
-            rig.desk.try_recv().is_err(),
+            rig.dispatcher.try_recv().is_err(),
             "nothing was read after the half-close and sent on"
         );
     });
@@ -199,7 +199,7 @@
 
 /// Guards the other way round: a connection on which nothing crosses is closed at once, in order.
 #[test]
-fn a_quiet_connection_closes() {
+fn closes_the_connection_when_it_is_quiet() {
     Rig::run(8, None, |mut rig| async move {
         rig.close(0);
         while !rig.outgoing.is_closed() {
@@ -213,7 +213,7 @@
 
 /// Guards slow links: a sidecar that goes on taking what is written to it is not cut off, however long all takes.
 #[test]
-fn a_sidecar_that_takes_little_at_a_time_is_not_cut_off() {
+fn keeps_the_connection_when_the_sidecar_reads_slowly() {
     Rig::run(8, Some(1 << 17), |mut rig| async move {
         rig.ask(1);
         assert_eq!(rig.taken().await, 1);
@@ -238,10 +238,10 @@
     });
 }
 
-/// Guards a sidecar that has as many reqs open as it may: with the first answer that it has it may send the next,
+/// Guards a sidecar that has as many requests open as it may: with the first answer that it has it may send the next,
 /// though the server still writes the others of the batch.
 #[test]
-fn an_answer_makes_room_for_the_next_req() {
+fn accepts_the_next_request_when_a_response_is_being_written() {
     Rig::run(64, Some(4_096), |mut rig| async move {
         (1..=32).for_each(|stream| rig.ask(stream));
         for stream in 1..=32 {
--- a/crates/server/tests/dispatcher.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -1,14 +1,14 @@
-//! The desk at the end of the process, with the test in the place of its connections, so that it says when an answer
+//! The dispatcher at the end of the process, with the test in the place of its connections, so that it says when an answer
 //! that was handed over is written.
 use async_executor::LocalExecutor;
 
 use cottondyke::clock::Clock;
 use cottondyke::config::Config;
-use cottondyke::dispatcher::RequestDispatcher;
+use cottondyke::dispatcher::{DispatcherParts, RequestDispatcher};
 use cottondyke::event::{ConnectionId, Event, Outgoing, TaskChannels};
 use cottondyke::protocol::engine::{EngineCommand, EngineMessage, MessageNumber};
 use cottondyke::protocol::sidecar::{Request, StreamId};
-use cottondyke::protocol::WireId;
+use cottondyke::protocol::{ProtocolError, WireId};
 use cottondyke::resource_limits::ResourceLimits;
 use cottondyke_admission::RunOutcome;
 use cottondyke_types::HandlerId;
@@ -20,14 +20,14 @@
 
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
-    inputs: async_channel::Sender<Event>,
+    events: async_channel::Sender<Event>,
     /// What the engine is told.
     commands: async_channel::Receiver<EngineCommand>,
     engine: async_channel::Sender<EngineCommand>,
 }
 
 impl Rig {
-    /// Runs `test` beside a desk; true where the desk left before the test was through.
+    /// Runs `test` beside a dispatcher; true where the dispatcher left before the test was through.
     fn run<F: std::future::Future<Output = ()>>(test: impl FnOnce(Rig) -> F) -> bool {
         let mut conf: serde_json::Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
@@ -35,37 +35,36 @@
         conf["settings"]["classes"][0]["effect"] = "once".into();
         let config = Rc::new(Config::parse(&conf.to_string()).unwrap());
         let clock = Clock::start();
-        let admission = config.admission(clock.now()).unwrap();
+        let admission = config.admission_controller(clock.now()).unwrap();
         let executor = Rc::new(LocalExecutor::new());
-        let (inputs, desk_inputs) = async_channel::unbounded();
+        let (events, pending) = async_channel::unbounded();
         let (engine, commands) = async_channel::unbounded();
-        let (news, _news) = async_channel::unbounded();
-        let (moves, _moves) = async_channel::unbounded();
-        let (close, _closed) = async_channel::bounded(1);
-        let lines = TaskChannels {
-            news,
-            engine: moves,
-            close,
+        let (report, _updates) = async_channel::unbounded();
+        let (engine_address, _moves) = async_channel::unbounded();
+        let (stop_listening, _stopped) = async_channel::bounded(1);
+        let channels = TaskChannels {
+            report,
+            engine_address,
+            stop_listening,
         };
-        let room = ResourceLimits::new(100, 1 << 20);
-        let desk = RequestDispatcher::new(
+        let dispatcher = RequestDispatcher::new(DispatcherParts {
             config,
             admission,
             clock,
-            executor.clone(),
-            inputs.clone(),
-            room,
-            lines,
-            None,
-        );
+            tasks: executor.clone(),
+            events: events.clone(),
+            limits: ResourceLimits::new(100, 1 << 20),
+            channels,
+            cluster: None,
+        });
         let rig = Rig {
             executor: executor.clone(),
-            inputs,
+            events,
             commands,
             engine,
         };
         let leaves = async {
-            desk.run(desk_inputs).await;
+            dispatcher.run(pending).await;
             true
         };
         let tests = async {
@@ -75,51 +74,51 @@
         async_io::block_on(executor.run(leaves.or(tests)))
     }
 
-    fn tell(&self, input: Event) {
-        self.inputs.try_send(input).unwrap();
+    fn tell(&self, event: Event) {
+        self.events.try_send(event).unwrap();
     }
 
     /// The engine is there, and has answered the question that fences off what was before.
     async fn engine_up(&self) {
         self.tell(Event::EngineUp {
             age_ms: 1.0,
-            outlet: self.engine.clone(),
+            commands: self.engine.clone(),
         });
-        let Ok(EngineCommand::Stat(tag)) = self.commands.recv().await else {
+        let Ok(EngineCommand::QueryLoad(tag)) = self.commands.recv().await else {
             panic!("the fence comes first")
         };
-        self.tell(Event::EngineMessage(EngineMessage::Stats {
+        self.tell(Event::EngineMessage(EngineMessage::Load {
             tag,
             gauges: Vec::new(),
         }));
     }
 
     fn open(&self, conn: u64, most: usize) -> async_channel::Receiver<Outgoing> {
-        let (outlet, outgoing) = async_channel::bounded(most);
-        self.tell(Event::Opened(ConnectionId(conn), outlet));
+        let (sender, outgoing) = async_channel::bounded(most);
+        self.tell(Event::Opened(ConnectionId(conn), sender));
         outgoing
     }
 
     fn ask(&self, conn: u64, stream: u32) {
         let id = WireId::new(&format!("{stream:016x}")).unwrap();
         let at = cottondyke_test_support::fakes::unix_ms();
-        let req = Request {
+        let request = Request {
             stream: StreamId(stream),
             id,
             handler: HandlerId(0),
-            customer: None,
-            at,
-            retry: false,
-            wait: None,
-            hint: None,
-            kb: 1.0,
-            mark: None,
+            tenant: None,
+            arrived_unix_ms: at,
+            is_retry: false,
+            client_wait_ms: None,
+            cost_hint_ms: None,
+            memory_kb: 1.0,
+            idempotency_key: None,
             body: Vec::new(),
         };
-        self.tell(Event::Request(ConnectionId(conn), req));
+        self.tell(Event::Request(ConnectionId(conn), request));
     }
 
-    /// Lets the desk do all that it can do now.
+    /// Lets the dispatcher do all that it can do now.
     async fn settle(&self) {
         for _ in 0..100 {
             future::yield_now().await;
@@ -130,15 +129,15 @@
     /// Those that were told to run.
     fn runs(&self) -> usize {
         std::iter::from_fn(|| self.commands.try_recv().ok())
-            .filter(|command| matches!(command, EngineCommand::Run { .. }))
+            .filter(|command| matches!(command, EngineCommand::StartRun { .. }))
             .count()
     }
 }
 
-/// Guards answers that left the desk's queue and are not written yet: the process ends when they are, or when its time
+/// Guards answers that left the dispatcher's queue and are not written yet: the process ends when they are, or when its time
 /// is over, not as soon as the queue is empty; with its connections closed, not before it has stopped listening.
 #[test]
-fn the_end_comes_with_the_last_connection() {
+fn ends_when_the_last_connection_closes_or_the_time_is_over() {
     for (closes, earliest) in [(false, 0.985), (true, 0.88)] {
         let start = Instant::now();
         let left = Rig::run(|rig| async move {
@@ -157,18 +156,18 @@
     }
 }
 
-/// Guards effects: a req that waits for the desk as its connection is given up can carry no answer. It must not run,
+/// Guards effects: a request that waits for the dispatcher as its connection is given up can carry no answer. It must not run,
 /// since its sidecar, which sees the connection fail, may send it again elsewhere.
 #[test]
-fn a_req_on_a_connection_that_was_given_up_does_not_run() {
+fn runs_no_request_of_a_dropped_connection() {
     let left = Rig::run(|rig| async move {
         rig.engine_up().await;
         let _reads_nothing = rig.open(1, 1);
         let _other = rig.open(2, 100);
-        // The second answer finds the queue full: the connection is dropped, with a req behind.
+        // The second answer finds the queue full: the connection is dropped, with a request behind.
         for stream in 1..=2 {
             rig.tell(Event::HealthCheck {
-                conn: ConnectionId(1),
+                connection: ConnectionId(1),
                 stream: StreamId(stream),
                 deep: false,
             });
@@ -198,7 +197,7 @@
 /// a malformed frame and the notice to leave fall into one turn, in each order: one answer, none where the connection
 /// went before anything could answer.
 #[test]
-fn what_falls_into_one_turn_answers_once_in_each_order() {
+fn answers_once_when_events_of_one_turn_come_in_any_order() {
     for number in 0..720 {
         let order = order(6, number);
         let left = Rig::run(|rig| async move {
@@ -208,21 +207,21 @@
             rig.settle().await;
             assert_eq!(rig.runs(), 1);
             let id = WireId::new(&format!("{:016x}", 1)).unwrap();
-            for event in &order {
-                rig.tell(match event {
+            for choice in &order {
+                rig.tell(match choice {
                     0 => {
                         let (no, end) = (MessageNumber(1), RunOutcome::Completed);
-                        Event::EngineMessage(EngineMessage::Done {
-                            no,
+                        Event::EngineMessage(EngineMessage::RunEnded {
+                            number: no,
                             id,
-                            end,
+                            outcome: end,
                             result: Vec::new(),
                         })
                     }
                     1 => Event::Cancelled(ConnectionId(1), StreamId(1)),
                     2 => Event::Closed(ConnectionId(1)),
                     3 => Event::HalfClosed(ConnectionId(1)),
-                    4 => Event::ProtocolError(ConnectionId(1), "on purpose"),
+                    4 => Event::ProtocolError(ConnectionId(1), ProtocolError::FrameLength),
                     _ => Event::Shutdown,
                 });
             }
@@ -230,7 +229,15 @@
             let at = |event| order.iter().position(|e| *e == event);
             let settled = std::iter::from_fn(|| outgoing.try_recv().ok());
             let settled = settled
-                .filter(|one| matches!(one, Outgoing::Response { settles: true, .. }))
+                .filter(|one| {
+                    matches!(
+                        one,
+                        Outgoing::Response {
+                            settles_request: true,
+                            ..
+                        }
+                    )
+                })
                 .count();
             assert_eq!(settled, usize::from(at(2) > at(0).min(at(1))), "{order:?}");
         });
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -137,7 +137,7 @@
     let customers = r#"[{"name": "club", "quota_per_s": 5}]"#;
     set(&mut conf, "settings.customers", customers);
     let config = cottondyke::config::Config::parse(&conf.to_string()).unwrap();
-    let places = &config.places;
+    let places = &config.names;
     assert_eq!(places.handlers, ["greet", "order"]);
     assert_eq!(places.tenants, ["club"]);
     assert_eq!(
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -62,7 +62,7 @@
             Ok(Some(one)) => read.push(one),
             Ok(None) => return read,
             Err(why) => {
-                read.push(format!("error: {}", why.0));
+                read.push(format!("error: {}", why));
                 return read;
             }
         }
@@ -80,14 +80,14 @@
 fn frames_text(customers: &[&str], bytes: &[u8]) -> String {
     let listed = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
     let mut names = NameTable::default();
-    (names.handlers, names.customers) = (listed(&["a", "b"]), listed(customers));
-    names.longest_ms = 2_000.0;
+    (names.handlers, names.tenants) = (listed(&["a", "b"]), listed(customers));
+    names.max_client_timeout_ms = 2_000.0;
     let mut decoder = sidecar::Decoder::new(Rc::new(names));
     decoder.feed(bytes);
-    let mut read = all(|| Ok(decoder.message()?.map(message_text)));
+    let mut read = all(|| Ok(decoder.next_frame()?.map(message_text)));
     let broken = read.last().is_some_and(|r| r.starts_with("error"));
-    if decoder.midway() > 0 && !broken {
-        read.push(format!("left {}", decoder.midway()));
+    if decoder.pending_bytes() > 0 && !broken {
+        read.push(format!("left {}", decoder.pending_bytes()));
     }
     joined(read)
 }
@@ -96,8 +96,14 @@
     match message {
         Frame::Request(req) => {
             let (stream, id, handler) = (req.stream.0, req.id.as_str(), req.handler.0);
-            let (customer, at, retry) = (req.customer.map(|c| c.0), req.at, req.retry);
-            let (wait, hint, kb, mark) = (req.wait, req.hint, req.kb, req.mark);
+            let (customer, at, retry) =
+                (req.tenant.map(|c| c.0), req.arrived_unix_ms, req.is_retry);
+            let (wait, hint, kb, mark) = (
+                req.client_wait_ms,
+                req.cost_hint_ms,
+                req.memory_kb,
+                req.idempotency_key,
+            );
             let body = req.body.escape_ascii();
             let first = format!("req {stream} {id} {handler} {customer:?} {at} {retry}");
             format!("{first} {wait:?} {hint:?} {kb} {mark:?} '{body}'")
@@ -124,19 +130,22 @@
 fn writes_golden_bytes_when_replying_to_a_sidecar() {
     let done = |stream, body: &[u8], partial: Option<&str>| {
         let (body, partial) = (body.to_vec(), partial.map(Rc::from));
-        Response::Done(StreamId(stream), RunOutput { body, partial })
+        Response::Completed(StreamId(stream), RunOutput { body, partial })
     };
     let shed = |after_ms, last| {
         let stream = StreamId(3);
-        Response::Shed {
+        Response::Rejected {
             stream,
-            after_ms,
-            last,
+            retry_after_ms: after_ms,
+            do_not_retry: last,
         }
     };
     let checked = |good| {
         let stream = StreamId(5);
-        Response::HealthStatus { stream, good }
+        Response::HealthStatus {
+            stream,
+            healthy: good,
+        }
     };
     let replies = [
         (done(0x0102_0304, b"ok\r\n", None), None),
@@ -147,12 +156,12 @@
         (shed(0.0, true), None),
         (shed(1.5, false), None),
         (shed(250.0, true), Some(0.0)),
-        (Response::Errored(StreamId(4)), None),
-        (Response::Errored(StreamId(4)), Some(1.0)),
+        (Response::Failed(StreamId(4)), None),
+        (Response::Failed(StreamId(4)), Some(1.0)),
         (checked(true), None),
         (checked(false), Some(2.5)),
-        (Response::Fault("why not"), None),
-        (Response::NoMore, Some(3.0)),
+        (Response::ConnectionError("why not"), None),
+        (Response::GoAway, Some(3.0)),
         (done(1, b"", Some(&"x".repeat(300))), None),
     ];
     let file = include_str!("golden/sidecar_out.txt");
@@ -165,17 +174,17 @@
     let commands = [
         EngineCommand::Attach(MessageNumber(41)),
         EngineCommand::Attach(MessageNumber(u64::MAX)),
-        EngineCommand::Run {
+        EngineCommand::StartRun {
             id: id(),
             class,
             body,
         },
-        EngineCommand::Halt(id()),
-        EngineCommand::Feed(id(), b"abc".to_vec()),
-        EngineCommand::Feed(id(), vec![]),
-        EngineCommand::Skip(id(), MessageNumber(7)),
-        EngineCommand::Stat(Tag(5)),
-        EngineCommand::Test(Tag(6)),
+        EngineCommand::CancelRun(id()),
+        EngineCommand::CallResult(id(), b"abc".to_vec()),
+        EngineCommand::CallResult(id(), vec![]),
+        EngineCommand::SkipCall(id(), MessageNumber(7)),
+        EngineCommand::QueryLoad(Tag(5)),
+        EngineCommand::SelfTest(Tag(6)),
     ];
     let file = include_str!("golden/engine_out.txt");
     writes(file, &commands, |command, to| command.encode(to));
@@ -185,10 +194,10 @@
     let number = notice.number().map(|no| format!(" (no. {})", no.0));
     let text = match notice {
         EngineMessage::Hello { age_ms } => format!("hello {age_ms}"),
-        EngineMessage::Done {
-            no,
+        EngineMessage::RunEnded {
+            number: no,
             id,
-            end,
+            outcome: end,
             result,
         } => {
             let end = match end {
@@ -200,17 +209,21 @@
             let (id, result) = (id.as_str(), result.escape_ascii());
             format!("done {} {id} {end} '{result}'", no.0)
         }
-        EngineMessage::Need { no, id, body } => {
+        EngineMessage::CallNeeded {
+            number: no,
+            id,
+            body,
+        } => {
             let (id, body) = (id.as_str(), body.escape_ascii());
             format!("need {} {id} '{body}'", no.0)
         }
-        EngineMessage::Stats { tag, gauges } => format!("stats {} {gauges:?}", tag.0),
-        EngineMessage::Tested { tag, good } => format!("tested {} {good}", tag.0),
-        EngineMessage::Refused { command, id } => {
+        EngineMessage::Load { tag, gauges } => format!("stats {} {gauges:?}", tag.0),
+        EngineMessage::SelfTest { tag, passed: good } => format!("tested {} {good}", tag.0),
+        EngineMessage::CommandRefused { command, id } => {
             let id = id.as_ref().map(WireId::as_str);
             format!("refused {command} {id:?}")
         }
-        EngineMessage::Remark(_) => "remark".to_string(),
+        EngineMessage::Note(_) => "remark".to_string(),
         EngineMessage::Unknown(line) => format!("unknown '{line}'"),
     };
     text + &number.unwrap_or_default()
@@ -221,7 +234,7 @@
     reads(include_str!("golden/engine_in.txt"), |bytes| {
         let mut decoder = engine::Decoder::default();
         decoder.feed(bytes);
-        joined(all(|| Ok(decoder.notice()?.map(notice_text))))
+        joined(all(|| Ok(decoder.next_message()?.map(notice_text))))
     });
 }
 
@@ -229,8 +242,8 @@
 fn writes_golden_bytes_when_calling_a_service() {
     let mut to = b"before".to_vec();
     let headers = [("X-One", "1"), ("Y", "two")];
-    http::request("POST", "/a?b", "[::1]:80", &headers, b"\0\xff\r\n", &mut to);
-    http::request("PUT", "/", "h", &[], b"", &mut to);
+    http::encode_request("POST", "/a?b", "[::1]:80", &headers, b"\0\xff\r\n", &mut to);
+    http::encode_request("PUT", "/", "h", &[], b"", &mut to);
     let expected = b"beforePOST /a?b HTTP/1.1\r\nHost: [::1]:80\r\nX-One: 1\r\nY: two\r\n\
         Content-Length: 4\r\n\r\n\0\xff\r\nPUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(to, expected);
@@ -241,9 +254,9 @@
     reads(include_str!("golden/http_in.txt"), |bytes| {
         let mut decoder = http::Decoder::default();
         decoder.feed(bytes);
-        match decoder.reply() {
+        match decoder.next_response() {
             Ok(Some(reply)) => {
-                let begun = if reply.not_begun {
+                let begun = if reply.not_executed {
                     "not-begun"
                 } else {
                     "begun"
@@ -254,7 +267,7 @@
                 format!("{status} {begun} {close} '{body}'{more}")
             }
             Ok(None) => "nothing".to_string(),
-            Err(why) => format!("error: {}", why.0),
+            Err(why) => format!("error: {}", why),
         }
     });
 }
@@ -271,7 +284,7 @@
         let mut decoder = peers::Decoder::default();
         decoder.feed(bytes);
         let text = |word: Vec<u8>| word.escape_ascii().to_string();
-        joined(all(|| Ok(decoder.word()?.map(text))))
+        joined(all(|| Ok(decoder.next_message()?.map(text))))
     };
     for (word, bytes) in cases {
         assert_eq!(peers::encode(word), bytes);
@@ -310,10 +323,10 @@
     pending.feed(b"one\r\ntwo\n\r\nrest\r");
     for (line, length, left) in [(&b"one"[..], 5, 11), (b"two", 4, 7), (b"", 2, 5)] {
         assert_eq!(pending.line(), Some((line, length)));
-        pending.take(length);
+        pending.consume(length);
         assert_eq!(pending.len(), left);
     }
     assert_eq!((pending.line(), pending.rest()), (None, &b"rest\r"[..]));
-    pending.take(99);
+    pending.consume(99);
     assert!(pending.is_empty());
 }
--- a/crates/server/tests/protocol.rs
+++ b/crates/server/tests/protocol.rs
@@ -1,21 +1,13 @@
-//! The parsers, fed every split and fuzzed bytes; and the small parts that need no socket.
+//! The protocols' decoders, fed every split and fuzzed bytes; and their encoders.
 
-use cottondyke::connection::table::ConnectionTable;
-
-use cottondyke::config::Config;
-use cottondyke::dedup::{DedupTable, Outcome};
-use cottondyke::event::{ConnectionId, Outgoing};
-use cottondyke::execution::command_queue::EngineCommandQueue;
-use cottondyke::health_check::HealthChecker;
-use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, Tag};
+use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage};
 use cottondyke::protocol::http;
 use cottondyke::protocol::sidecar::RunOutput;
 use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
-use cottondyke::protocol::WireId;
-use cottondyke::shutdown::{stage, ShutdownPhase};
+use cottondyke::protocol::{RequestError, WireId};
 use cottondyke_admission::RunOutcome;
 use cottondyke_test_support::fakes::{frame, payload};
-use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
+use cottondyke_types::{HandlerId, TenantId};
 use quickcheck::{quickcheck, TestResult};
 use std::fmt::Debug;
 use std::rc::Rc;
@@ -24,8 +16,8 @@
     let handlers = ["browse", "checkout"].map(String::from).to_vec();
     Rc::new(NameTable {
         handlers,
-        customers: vec!["acme".to_string()],
-        longest_ms: 2_000.0,
+        tenants: vec!["acme".to_string()],
+        max_client_timeout_ms: 2_000.0,
     })
 }
 
@@ -75,19 +67,19 @@
     sidecar::Decoder,
     sidecar::Decoder::new(names()),
     Frame,
-    message
+    next_frame
 );
 parser!(
     engine::Decoder,
     engine::Decoder::default(),
     EngineMessage,
-    notice
+    next_message
 );
 parser!(
     http::Decoder,
     http::Decoder::default(),
     http::Response,
-    reply
+    next_response
 );
 
 /// The same comes of the bytes whole, in two pieces at every place, and one by one.
@@ -117,7 +109,7 @@
 ];
 
 #[test]
-fn frames_come_through_any_split() {
+fn decodes_the_same_frames_when_split_anywhere() {
     let mut bytes = frame(1, 1, &payload(&FIELDS, b"\x00\r\n\xff"));
     bytes.extend(frame(4, 7, &payload(&[("deep", "1")], b"")));
     bytes.extend(frame(1, 2, &payload(&FIELDS[1..], b"")));
@@ -126,11 +118,16 @@
         panic!("{out:?}")
     };
     assert_eq!(
-        (req.handler, req.customer, req.retry),
+        (req.handler, req.tenant, req.is_retry),
         (HandlerId(1), Some(TenantId(0)), true)
     );
     assert_eq!(
-        (req.at, req.hint, req.kb, req.body.as_slice()),
+        (
+            req.arrived_unix_ms,
+            req.cost_hint_ms,
+            req.memory_kb,
+            req.body.as_slice()
+        ),
         (1764576000123, Some(12.5), 24.5, &b"\x00\r\n\xff"[..])
     );
     assert_eq!(
@@ -142,15 +139,17 @@
     );
     assert_eq!(
         out[2],
-        Ok(Frame::InvalidRequest(StreamId(2), "class missing"))
+        Ok(Frame::InvalidRequest(
+            StreamId(2),
+            RequestError::Missing("class")
+        ))
     );
 }
 
-/// Guards against waiting for a frame that cannot come: its length is judged from the first four bytes.
 /// Guards links between instances: words come through any split; a length or a tag that no word has ends the link
 /// before anything is kept for it.
 #[test]
-fn words_come_through_any_split() {
+fn decodes_the_same_peer_messages_when_split_anywhere() {
     use cottondyke::protocol::peers::{encode, Decoder};
     let words = [vec![], vec![7; 1], vec![9; 3_000]];
     let bytes: Vec<u8> = words.iter().flat_map(|word| encode(word)).collect();
@@ -159,7 +158,7 @@
         let mut heard = Vec::new();
         for piece in bytes.chunks(cut) {
             decoder.feed(piece);
-            while let Some(word) = decoder.word().unwrap() {
+            while let Some(word) = decoder.next_message().unwrap() {
                 heard.push(word);
             }
         }
@@ -173,12 +172,13 @@
     ] {
         let mut decoder = Decoder::default();
         decoder.feed(bad);
-        assert!(decoder.word().is_err(), "{bad:?}");
+        assert!(decoder.next_message().is_err(), "{bad:?}");
     }
 }
 
+/// Guards against waiting for a frame that cannot come: its length is judged from the first four bytes.
 #[test]
-fn a_length_out_of_bounds_is_told_before_the_frame_comes() {
+fn refuses_a_length_out_of_bounds_before_the_frame_comes() {
     for (length, fits) in [
         (4u32, false),
         (5, true),
@@ -193,7 +193,7 @@
 
 /// Guards streams against a second use, in whatever order their numbers come, and the notes on them against growth.
 #[test]
-fn each_stream_is_used_once() {
+fn refuses_a_stream_that_is_used_twice() {
     let used = |numbers: &[u32]| {
         let frames: Vec<_> = numbers
             .iter()
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn notices_come_through_any_split() {
+fn decodes_the_same_engine_messages_when_split_anywhere() {
     let bytes = b"HELLO starting 12.5\r\nNOTE 1 odd DONE 3\r\nNEED 2 9b1f03aa5c7e2d41 4\r\n\r\n\r\n\r\n\
         DONE 3 9b1f03aa5c7e2d41 broken_off 8 0\r\n\r\nSTATS 7 0.5 1 3\r\nTESTED 8 fault\r\nNO RUN zz\r\nNEWS 1\r\n";
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
@@ -222,29 +222,29 @@
     assert_eq!(out[0], EngineMessage::Hello { age_ms: 12.5 });
     assert_eq!(
         out[2],
-        EngineMessage::Need {
-            no: engine::MessageNumber(2),
+        EngineMessage::CallNeeded {
+            number: engine::MessageNumber(2),
             id,
             body: b"\r\n\r\n".to_vec()
         }
     );
-    let done = EngineMessage::Done {
-        no: engine::MessageNumber(3),
+    let done = EngineMessage::RunEnded {
+        number: engine::MessageNumber(3),
         id,
-        end: RunOutcome::Cancelled,
+        outcome: RunOutcome::Cancelled,
         result: Vec::new(),
     };
     assert_eq!(out[3], done);
     assert_eq!(
         out[5],
-        EngineMessage::Tested {
+        EngineMessage::SelfTest {
             tag: engine::Tag(8),
-            good: false
+            passed: false
         }
     );
     assert_eq!(
         out[6],
-        EngineMessage::Refused {
+        EngineMessage::CommandRefused {
             command: "RUN".to_string(),
             id: None
         }
@@ -264,18 +264,18 @@
 }
 
 #[test]
-fn commands_stand_as_the_engine_reads_them() {
+fn encodes_commands_as_the_engine_reads_them() {
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
     let mut bytes = Vec::new();
-    let run = EngineCommand::Run {
+    let run = EngineCommand::StartRun {
         id,
         class: "browse".into(),
         body: b"\r\n".as_slice().into(),
     };
     [
         run,
-        EngineCommand::Skip(id, engine::MessageNumber(4)),
-        EngineCommand::Halt(id),
+        EngineCommand::SkipCall(id, engine::MessageNumber(4)),
+        EngineCommand::CancelRun(id),
     ]
     .iter()
     .for_each(|c| c.encode(&mut bytes));
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn http_replies_come_through_any_split() {
+fn decodes_the_same_http_responses_when_split_anywhere() {
     let ok = |bytes: &str| splits::<http::Decoder>(bytes.as_bytes()).remove(0).unwrap();
     let plain =
         ok("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-LENGTH: 4\r\n\r\n\r\n\r\n");
@@ -295,7 +295,7 @@
     );
     let away = ok("HTTP/1.1 503 No\r\nOp-Not-Begun: 1\r\nContent-Length: 9\r\n\r\n");
     assert!(
-        away.not_begun && away.status == 503,
+        away.not_executed && away.status == 503,
         "only the body of a 200 is waited for"
     );
     let chunks = ok("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nab\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n");
@@ -319,7 +319,7 @@
 }
 
 /// Bytes near to real messages: one with some places changed.
-fn spoiled(good: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
+fn corrupted(good: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = good.to_vec();
     for (at, byte) in changes {
         let at = at % bytes.len();
@@ -335,230 +335,32 @@
 
 quickcheck! {
     /// Nothing panics on any bytes, and a split changes nothing.
-    fn any_bytes_are_safe(bytes: Vec<u8>, cut: usize) -> bool {
+    fn decodes_the_same_when_any_bytes_are_split(bytes: Vec<u8>, cut: usize) -> bool {
         ![steady::<sidecar::Decoder>(&bytes, cut), steady::<engine::Decoder>(&bytes, cut),
             steady::<http::Decoder>(&bytes, cut)].iter().any(TestResult::is_failure)
     }
 
-    fn spoiled_frames_are_safe(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
-        steady::<sidecar::Decoder>(&spoiled(&frame(1, 1, &payload(&FIELDS, b"body")).repeat(2), &changes), cut)
+    fn decodes_the_same_when_corrupt_frames_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
+        steady::<sidecar::Decoder>(&corrupted(&frame(1, 1, &payload(&FIELDS, b"body")).repeat(2), &changes), cut)
     }
 
-    fn spoiled_notices_are_safe(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
+    fn decodes_the_same_when_corrupt_engine_messages_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
         let good = b"NEED 2 9b1f03aa5c7e2d41 4\r\nbody\r\nDONE 3 9b1f03aa5c7e2d41 fine 8 2\r\nok\r\n";
-        steady::<engine::Decoder>(&spoiled(good, &changes), cut)
+        steady::<engine::Decoder>(&corrupted(good, &changes), cut)
     }
 
-    fn spoiled_replies_are_safe(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
+    fn decodes_the_same_when_corrupt_http_responses_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
         let good = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        steady::<http::Decoder>(&spoiled(good, &changes), cut)
+        steady::<http::Decoder>(&corrupted(good, &changes), cut)
     }
 
     /// What the server says can be read back by the sidecar's rules, whatever the body.
-    fn answers_are_whole_frames(stream: u32, body: Vec<u8>, say: Option<u16>) -> bool {
+    fn encodes_complete_frames_whatever_the_body(stream: u32, body: Vec<u8>, say: Option<u16>) -> bool {
         let mut bytes = Vec::new();
-        Response::Done(StreamId(stream), RunOutput::whole(body.clone())).encode(say.map(f64::from), &mut bytes);
+        Response::Completed(StreamId(stream), RunOutput::complete(body.clone())).encode(say.map(f64::from), &mut bytes);
         let fields = say.map(|s| ("say", s.to_string()));
         let fields: Vec<_> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
         bytes == frame(2, stream, &[vec![1], payload(&fields, &body)].concat())
     }
 
-    /// The table of repeats knows an entry until its end and not after, and keeps no more than it was told.
-    fn keys_end_when_they_should(spans: Vec<u8>) -> bool {
-        let mut keys = DedupTable::default();
-        let key = |n: usize| (HandlerId(0), None, n.to_string().into_boxed_str());
-        for (n, span) in spans.iter().enumerate() {
-            keys.keep(RequestId(n as u32), key(n), Some(Time(i64::from(*span))), Time(0));
-        }
-        (0..=255).all(|now| spans.iter().enumerate().all(|(n, span)| {
-            keys.repeats(Time(now), Time(now), &key(n)).is_some() == (i64::from(*span) > now)
-        }))
-    }
-
-    /// A try that came within the window finds its entry however late it is read, within the tail; one that came
-    /// after it does not.
-    fn keys_go_by_the_time_of_coming(span: u8, tail: u8, read: u16, lay: u16) -> bool {
-        let (span, tail, read) = (i64::from(span), i64::from(tail), i64::from(read % 600));
-        let arrived = read - i64::from(lay % 600).min(read);
-        let mut keys = DedupTable::default();
-        let key = (HandlerId(0), None, "mark".into());
-        keys.keep(RequestId(1), key.clone(), Some(Time(span)), Time(tail));
-        let found = keys.repeats(Time(read), Time(arrived), &key).is_some();
-        found == (arrived < span && read < span + tail)
-    }
-}
-
-/// Guards memory: results kept for repeats are bounded, and the oldest go first.
-#[test]
-fn kept_results_are_bounded() {
-    let mut keys = DedupTable::default();
-    let result = Rc::new(RunOutput::whole(vec![0; 1 << 20]));
-    for n in 0..40 {
-        keys.keep(
-            RequestId(n),
-            (HandlerId(0), None, n.to_string().into()),
-            Some(Time(1_000)),
-            Time(0),
-        );
-        keys.ended(
-            Time(0),
-            RequestId(n),
-            Some(result.clone()),
-            Time(0),
-            16 << 20,
-        );
-    }
-    let held = |n| matches!(keys.outcome(RequestId(n)), Some(Outcome::Done(Some(_))));
-    assert_eq!(
-        (0..40).filter(|n| held(*n)).collect::<Vec<_>>(),
-        (24..40).collect::<Vec<_>>()
-    );
-}
-
-/// Guards calls against a budget of descriptors that is all taken by sidecars: what is kept back holds as many as the
-/// cores may have in hand, and never more than half.
-#[test]
-fn descriptors_are_kept_back_for_the_calls_of_all_cores() {
-    for (sockets, cores, connections) in [
-        (1_000, 6, 904),
-        (1_000, 64, 712),
-        (400, 200, 200),
-        (128, 2, 32),
-    ] {
-        let mut conf: serde_json::Value =
-            serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
-        conf["limits"]["sockets"] = sockets.into();
-        conf["settings"]["family_info"]["n_cores"] = cores.into();
-        assert_eq!(
-            Config::parse(&conf.to_string()).unwrap().connections,
-            connections,
-            "{sockets} {cores}"
-        );
-    }
-}
-
-/// Guards sidecars against connections that send nothing: of those that must go they are first, the young ones not.
-#[test]
-fn silent_connections_go_first() {
-    let mut connections = ConnectionTable::default();
-    let conns: Vec<_> = (0..5).map(|_| async_channel::bounded(4)).collect();
-    for (n, at) in [(0, 0), (1, 10), (2, 20), (3, 5_000), (4, 5_000)] {
-        connections.opened(Time(at), ConnectionId(n), conns[n as usize].0.clone());
-    }
-    connections.took(Time(10), ConnectionId(0));
-    connections.send(Time(10), ConnectionId(0), &Response::Errored(StreamId(1)));
-    // What each connection was handed since the last look: replies, and whether it is to close.
-    let handed = || -> Vec<(usize, bool)> {
-        let of = |outgoing: &async_channel::Receiver<Outgoing>| {
-            let all: Vec<_> = std::iter::from_fn(|| outgoing.try_recv().ok()).collect();
-            let closes = all
-                .iter()
-                .filter(|p| matches!(p, Outgoing::Close { .. }))
-                .count();
-            (all.len() - closes, closes > 0)
-        };
-        conns.iter().map(|(_, outgoing)| of(outgoing)).collect()
-    };
-    connections.make_room(Time(5_500), 5, 3);
-    assert_eq!(
-        handed(),
-        [(1, false), (1, true), (1, true), (0, false), (0, false)]
-    );
-    // Closing ones count as going already; the idle one is told, and closed after what may cross.
-    connections.make_room(Time(5_500), 5, 3);
-    assert_eq!(handed(), [(0, false); 5]);
-    (1..=2).for_each(|n| connections.closed(ConnectionId(n)));
-    connections.make_room(Time(5_600), 3, 2);
-    assert_eq!((connections.count(), handed()[0]), (3, (1, false)));
-    connections.make_room(Time(7_000), 3, 2);
-    assert_eq!(
-        handed(),
-        [(0, true), (0, false), (0, false), (0, false), (0, false)]
-    );
-}
-
-#[test]
-fn leaving_goes_through_its_stages_in_time() {
-    let at = |ms: i64| stage(Some(Time(0)), Time(32_000), Time(ms * 10));
-    assert_eq!(
-        [at(0), at(2_700), at(2_900), at(3_100), at(3_180)],
-        [
-            ShutdownPhase::Leaving,
-            ShutdownPhase::Leaving,
-            ShutdownPhase::Closed,
-            ShutdownPhase::Ended,
-            ShutdownPhase::Over
-        ]
-    );
-    assert_eq!(
-        stage(None, Time(32_000), Time(1 << 40)),
-        ShutdownPhase::Serving
-    );
-}
-
-/// Guards checks against an engine that hangs: a test that does not end is answered as bad in bounded time.
-#[test]
-fn a_check_that_needs_the_engine_ends() {
-    let mut health = HealthChecker::default();
-    assert_eq!(
-        [health.answer(true, false), health.answer(false, true)],
-        [Some(false), Some(true)]
-    );
-    assert_eq!(health.answer(true, true), None, "only the engine can tell");
-    health.testing(Time(0), Tag(1), ConnectionId(1), StreamId(2));
-    assert!(health.overdue(Time(4_999)).is_empty());
-    assert_eq!(
-        health.overdue(Time(5_000)),
-        [(ConnectionId(1), StreamId(2))]
-    );
-    assert_eq!(health.tested(Tag(1)), None, "one answer");
-    (0..64).for_each(|n| health.testing(Time(0), Tag(n), ConnectionId(1), StreamId(2)));
-    assert_eq!(
-        health.answer(true, true),
-        Some(false),
-        "tests that are out are bounded"
-    );
-    assert!(health.set(true) && !health.set(true));
-    assert_eq!(
-        health.answer(true, true),
-        Some(true),
-        "then checks hear what was set"
-    );
-}
-
-/// Guards commands given while there is no link, and the wait for a fence that is never answered.
-#[test]
-fn commands_wait_for_the_link_and_its_fence() {
-    let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
-    let (skip, halt) = (
-        EngineCommand::Skip(id, engine::MessageNumber(1)),
-        EngineCommand::Halt(id),
-    );
-    let mut engine = EngineCommandQueue::default();
-    assert_eq!(engine.ask_gauges(), None);
-    [&skip, &halt, &halt]
-        .into_iter()
-        .for_each(|c| engine.send(c.clone()));
-    for fenced in [true, false] {
-        let (outlet, commands) = async_channel::unbounded();
-        engine.up(Time(0), outlet);
-        let fence = commands.try_recv();
-        let Ok(EngineCommand::Stat(tag)) = fence else {
-            panic!("{fence:?}")
-        };
-        assert!(commands.is_empty(), "nothing passes the fence");
-        assert!(if fenced {
-            engine.passed(tag)
-        } else {
-            !engine.overdue(Time(9_999)) && engine.overdue(Time(10_000))
-        });
-        engine.resume(Vec::new());
-        assert_eq!(
-            [commands.try_recv(), commands.try_recv()],
-            [Ok(skip.clone()), Ok(halt.clone())]
-        );
-        assert!(commands.is_empty(), "a halt that waits is not repeated");
-        // The link breaks before they are written: they wait again.
-        engine.down(vec![skip.clone(), halt.clone()]);
-    }
 }
--- a/crates/server/tests/serve/aggregations.rs
+++ b/crates/server/tests/serve/aggregations.rs
@@ -69,7 +69,7 @@
 
 /// Guards the head of answers: whole ones are never flagged, partial ones always, and kept ones tell their age.
 #[test]
-fn a_partial_answer_is_flagged_and_a_whole_one_is_not() {
+fn flags_a_response_when_it_is_partial() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.ask(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
@@ -104,7 +104,7 @@
 
 /// Guards customers: what one asked for is never handed to what another asks.
 #[test]
-fn kept_answers_belong_to_their_request() {
+fn serves_cached_responses_for_the_same_request_only() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.ask(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
@@ -120,7 +120,7 @@
 
 /// Guards against an answer that comes after its budget: it is dropped, and reaches no later req.
 #[test]
-fn an_answer_after_its_budget_reaches_nobody() {
+fn discards_a_response_that_comes_after_its_budget() {
     let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [leave_out()])");
     let mut sidecar = shop.ask(1);
     let (mut prices, _) = called(&shop.prices);
@@ -147,7 +147,7 @@
 
 /// Guards pages against spoilt replies of every kind: none is taken for an answer.
 #[test]
-fn spoilt_replies_are_no_answers() {
+fn refuses_corrupt_responses_of_dependencies() {
     for odd in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"a\":",
@@ -183,7 +183,7 @@
 /// Guards effects: for a handler that must not run twice, a call that may have run is never made again, and goes on
 /// a connection of its own; where it is known not to have run, it is.
 #[test]
-fn a_call_that_may_have_run_is_never_repeated() {
+fn never_repeats_a_dependency_call_that_may_have_been_executed() {
     for effect in ["uniqued", "non-replayable"] {
         let shop = Shop::start(effect, "part(\"catalogue\", required = True)");
         let mut sidecar = shop.ask(1);
@@ -210,7 +210,7 @@
 
 /// Guards required parts: without one the answer is errored at once, whatever else is still out.
 #[test]
-fn without_a_required_part_the_answer_is_errored() {
+fn fails_when_a_required_part_is_missing() {
     let shop = Shop::start("non-replayable", PARTS);
     let mut sidecar = shop.ask(1);
     let _prices = called(&shop.prices);
@@ -222,7 +222,7 @@
 
 /// Guards leaving: pages half composed are answered with what there is, and the program ends in its time.
 #[test]
-fn leaving_answers_pages_that_are_half_composed() {
+fn answers_incomplete_aggregations_when_shutting_down() {
     let mut shop = Shop::start(
         "replayable",
         "part(\"catalogue\", fallbacks = [leave_out()]), part(\"prices\", fallbacks = [leave_out()])",
@@ -254,20 +254,21 @@
 /// Guards reqs in progress and the file in force: a req ends under the file that it began with, also where that
 /// takes its dependency away; a bad file changes nothing.
 #[test]
-fn a_file_read_anew_takes_effect_for_what_starts_then() {
+fn applies_a_reloaded_file_to_what_starts_then() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.ask(1);
     let (mut catalogue, _) = called(&shop.catalogue);
     let (mut prices, _) = called(&shop.prices);
-    shop.rig.reload("page(", "the old one stays in force");
+    shop.rig
+        .reload("page(", "configuration is invalid; keeping the old one");
     let other = script(&shop.catalogue, &shop.prices, "uniqued", PARTS);
-    shop.rig.reload(&other, "cannot be obeyed");
+    shop.rig.reload(&other, "configuration cannot be applied");
     let fewer = format!(
         "{HEAD}handler(\"browse\", effect = \"replayable\", response_target = \"3s\", client_timeout = \"6s\")\n{}{}",
         dependency("catalogue", &shop.catalogue, "1s", ""),
         "page(\"browse\", parts = [part(\"catalogue\", required = True)])\n"
     );
-    shop.rig.reload(&fewer, "was read anew");
+    shop.rig.reload(&fewer, "configuration reloaded");
     prices.reply("200 OK", "", b"1").unwrap();
     catalogue.reply("200 OK", "", b"old").unwrap();
     let heard = sidecar.receive().unwrap();
@@ -286,7 +287,7 @@
 
 /// Guards leaving: a script that takes seconds to read anew holds no notice to leave up.
 #[test]
-fn the_notice_to_leave_is_heard_while_a_script_is_read() {
+fn shuts_down_while_a_script_is_evaluated() {
     let mut shop = Shop::start("replayable", PARTS);
     let slow = "def busy():\n    for i in range(50000):\n        sorted(range(20000))\nbusy()\n";
     std::fs::write(shop.rig.path(), slow).unwrap();
@@ -302,7 +303,7 @@
 
 /// Guards start-up: a bad script is one line on standard error, and an exit code that says so.
 #[test]
-fn a_bad_script_is_told_in_one_line() {
+fn prints_one_line_when_the_script_is_invalid() {
     let eats = "x = [\"a\" * 100000000 for i in range(1000)]\n";
     let page = "page(\"browse\", parts = [part(\"stock\")])\n";
     let handler =
--- a/crates/server/tests/serve/connections.rs
+++ b/crates/server/tests/serve/connections.rs
@@ -6,7 +6,7 @@
 
 /// Guards the server's other connections: what cannot be decoded is told and closed, after the open reqs.
 #[test]
-fn a_malformed_frame_closes_its_connection_once_open_reqs_are_answered() {
+fn closes_a_connection_after_a_malformed_frame_once_requests_are_answered() {
     let rig = Rig::start();
     let (mut link, _other) = rig.ready();
     let bad = [
@@ -41,7 +41,7 @@
 
 /// Guards the desk against a connection that is gone: its run is settled, with nobody to tell.
 #[test]
-fn a_reset_connection_harms_only_itself() {
+fn serves_others_when_a_connection_is_reset() {
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
     let mut gone = rig.sidecar();
@@ -59,7 +59,7 @@
 
 /// Guards against a sidecar that asks and never reads: it is cut off, the others are served.
 #[test]
-fn a_sidecar_that_reads_nothing_is_cut_off() {
+fn drops_the_connection_of_a_sidecar_that_reads_nothing() {
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
     let mut rude = rig.sidecar();
@@ -70,13 +70,13 @@
         .flat_map(|_| frame(4, 0, &payload(&[], b"")))
         .collect();
     while rude.0.write_all(&checks).is_ok() {}
-    rig.logged("a sidecar reads nothing");
+    rig.logged("sidecar reads too slowly");
     serves(&mut link, &mut other, 1, READ, &[]);
 }
 
 /// Guards memory: a length is no reason to take room, and frames in part have one bound for all.
 #[test]
-fn announced_frames_take_no_room() {
+fn takes_no_memory_for_frames_that_are_only_announced() {
     let rig = Rig::start();
     let (_link, mut other) = rig.ready();
     let half: Vec<u8> = [0, 4, 0, 0].into_iter().chain([1; 200_000]).collect();
@@ -87,14 +87,14 @@
             .count()
             > 100
     );
-    rig.logged("bad input");
+    rig.logged("invalid input");
     assert_eq!(check(&mut other), 1);
 }
 
 /// Guards sidecars against connections that hold on: near the budget of descriptors the longest idle is told and
 /// closed, what has a req open stays, and accepting does not stop.
 #[test]
-fn the_longest_idle_connection_makes_room() {
+fn evicts_the_longest_idle_connection_when_full() {
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(100));
     let (mut link, mut idle) = rig.ready();
     let mut busy = rig.sidecar();
@@ -113,7 +113,7 @@
 
 /// Guards descriptors against a connection that sends nothing, or stops within a frame: it is told and closed.
 #[test]
-fn a_connection_without_a_whole_frame_ends() {
+fn closes_a_connection_without_a_complete_frame_in_time() {
     let rig = Rig::start();
     let (_link, mut good) = rig.ready();
     let (mut silent, mut half) = (rig.sidecar(), rig.sidecar());
@@ -129,7 +129,7 @@
 
 /// Guards the word why: what a peer sends at full speed after it is read and thrown away, not reset.
 #[test]
-fn an_endless_message_hears_why_it_ends() {
+fn tells_why_when_a_message_does_not_end() {
     let rig = Rig::start();
     let (_link, _other) = rig.ready();
     let mut rude = rig.sidecar();
@@ -143,7 +143,7 @@
 
 /// Guards capacity: the run of a req whose connection was reset is stopped.
 #[test]
-fn what_nobody_hears_any_more_is_stopped() {
+fn cancels_runs_when_their_connection_is_lost() {
     let rig = Rig::start();
     let (mut link, mut gone) = rig.ready();
     ask(&mut gone, 1, READ, &[], b"");
@@ -157,7 +157,7 @@
 
 /// Guards serving and reporting against a control plane that closes, answers oddly or says nothing.
 #[test]
-fn reports_go_on_whatever_the_control_plane_does() {
+fn goes_on_reporting_whatever_the_control_plane_does() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let report = |reply: &str| {
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -5,7 +5,7 @@
 
 /// Guards checks and due times against an engine that has not come up: both are answered all the same.
 #[test]
-fn before_the_engine_is_there_checks_hear_bad_and_reqs_wait_for_it() {
+fn queues_requests_and_reports_unhealthy_until_the_engine_is_up() {
     let rig = Rig::start();
     let mut sidecar = rig.sidecar();
     assert_ne!(check(&mut sidecar), 1);
@@ -40,7 +40,7 @@
 
 /// Guards against lost and repeated notices when the link breaks within a body.
 #[test]
-fn a_link_that_breaks_is_taken_up_after_the_last_whole_notice() {
+fn resumes_after_the_last_complete_message_when_the_link_breaks() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, READ, &[], b"a");
@@ -66,7 +66,7 @@
 
 /// Guards effects: after a break only replayable runs are commanded again, the others are left to end.
 #[test]
-fn a_run_that_may_have_been_lost_is_repeated_only_where_that_is_harmless() {
+fn repeats_a_possibly_lost_run_only_when_it_is_idempotent() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for (n, class) in [(1, READ), (2, BUY), (3, PAY)] {
@@ -92,7 +92,7 @@
 /// Guards runs against a command that was written whole and lost with the link: what lets them go on is said again,
 /// and a refusal of what was said twice ends nothing.
 #[test]
-fn what_was_told_to_a_waiting_run_is_told_again() {
+fn repeats_a_call_result_that_may_have_been_lost() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
@@ -126,7 +126,7 @@
 
 /// Guards the pool against a run that is neither heard of nor ended: long after its client gave up it holds no place.
 #[test]
-fn a_run_that_never_ends_is_given_up() {
+fn abandons_a_run_that_never_ends() {
     let rig = Rig::with(|conf| {
         for class in conf["settings"]["classes"].as_array_mut().unwrap() {
             class["deadline_ms"] = 200.0.into();
@@ -138,14 +138,14 @@
     ask(&mut sidecar, 1, PAY, &[], b"");
     started(&mut link);
     assert_eq!(sidecar.receive().unwrap().code, 9);
-    rig.logged("a run that never ended is given up");
+    rig.logged("abandoning a run that never ended");
     ask(&mut sidecar, 2, PAY, &[], b"");
     assert_eq!(started(&mut link), id(2), "its place is free");
 }
 
 /// Guards against a req whose run the engine refuses: it is answered, and the server goes on.
 #[test]
-fn a_refused_command_settles_its_req() {
+fn settles_the_request_when_its_command_is_refused() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
@@ -155,12 +155,12 @@
     link.send_line("SOMETHING new").unwrap();
     link.send_line(&format!("NO HALT {run}")).unwrap();
     serves(&mut link, &mut sidecar, 2, READ, &[]);
-    rig.logged("an unknown notice");
+    rig.logged("unknown engine message");
 }
 
 /// Guards due answers against an engine that takes commands and says nothing more.
 #[test]
-fn a_silent_engine_stops_no_timer_and_no_check() {
+fn keeps_timers_and_checks_going_when_the_engine_is_silent() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BRIEF, &[], b"");
@@ -172,7 +172,7 @@
 
 /// Guards the link against bytes that are no notice: it is closed and taken up again.
 #[test]
-fn a_link_that_talks_nonsense_is_replaced() {
+fn replaces_a_link_that_sends_unreadable_messages() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BUY, &[], b"");
@@ -187,7 +187,7 @@
 /// Guards runs against a HALT that crosses their end: whichever comes first, the end or the word that it was one too
 /// many, the req has its one answer and the next is served.
 #[test]
-fn a_halt_that_crosses_the_end_of_its_run_changes_nothing() {
+fn ignores_a_cancel_that_crosses_the_end_of_its_run() {
     for refused_first in [false, true] {
         let rig = Rig::start();
         let (mut link, mut sidecar) = rig.ready();
--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -40,7 +40,7 @@
 /// Guards effects: the dedup window goes by when a try reached the machine. Two tries that lay unread past a short
 /// window, and are read together, run once.
 #[test]
-fn two_tries_that_lay_unread_past_the_window_run_once() {
+fn runs_once_when_two_attempts_are_read_after_the_window() {
     let rig = Rig::with(short_window);
     let (mut link, mut sidecar) = rig.ready();
     let now = unix_ms();
@@ -69,7 +69,7 @@
 /// Guards effects: a try that reached the machine within the window, and is read after it, repeats the one that ran,
 /// whether that still goes on or is over. One that came after the window is another req.
 #[test]
-fn a_try_within_the_window_that_is_read_after_it_does_not_run() {
+fn does_not_run_an_attempt_within_the_window_that_is_read_after_it() {
     for over in [false, true] {
         let rig = Rig::with(short_window);
         let (mut link, mut sidecar) = rig.ready();
@@ -104,7 +104,7 @@
 
 /// Guards customers against one another: the same mark of another customer is another req.
 #[test]
-fn a_mark_belongs_to_its_customer() {
+fn separates_idempotency_keys_of_tenants() {
     let rig = Rig::with(|conf| {
         let customer = |name: &str| json!({ "name": name, "quota_per_s": 10.0 });
         conf["settings"]["customers"] = json!([customer("acme"), customer("bolt")]);
@@ -124,7 +124,7 @@
 /// Guards results against a client that copies a mark it has seen: its connection, of which the engine knows no req,
 /// is given no result, open or kept; the sidecar's own repeats are.
 #[test]
-fn a_copied_mark_is_given_no_result() {
+fn gives_no_result_for_a_copied_key() {
     let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
     ask(&mut sidecar, 2, BUY, MARK, b"");
     assert_eq!(started(&mut link), id(2));
@@ -148,7 +148,7 @@
 /// Guards marks against a client that uses them first: what the engine does not know leaves nothing behind, whether a
 /// genuine try joined it or comes later.
 #[test]
-fn a_mark_that_a_stranger_used_first_is_free() {
+fn frees_a_key_that_an_unproven_client_used_first() {
     for joins in [true, false] {
         let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
         ask(&mut stranger, 2, BUY, MARK, b"");
@@ -170,7 +170,7 @@
 /// Guards a sidecar's req against a copy of it, whichever is read first: the copy is errored, the answer is the
 /// sidecar's.
 #[test]
-fn a_copy_takes_nothing() {
+fn gives_a_copied_request_nothing() {
     let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
     for (number, copy_first) in [(2, true), (3, false)] {
         let (first, second) = if copy_first {
@@ -189,7 +189,7 @@
 /// Guards connections against a sidecar that gives a req up and says so: the req is answered at once, its run is
 /// stopped, and what follows on the connection is served.
 #[test]
-fn a_cancelled_req_ends_and_its_connection_goes_on() {
+fn keeps_the_connection_when_a_request_is_cancelled() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, READ, &[], b"");
@@ -210,7 +210,7 @@
 
 /// Guards the due time where callers tell how long they wait: it goes before the client timeout.
 #[test]
-fn a_req_falls_due_when_its_caller_says() {
+fn answers_by_the_deadline_that_the_caller_tells() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BRIEF, &[], b"");
@@ -231,7 +231,7 @@
 
 /// Guards value: a repeat that joined a try which fell due before the engine was there runs itself, since nothing ran.
 #[test]
-fn a_repeat_of_a_try_that_never_ran_runs_itself() {
+fn runs_a_repeat_when_the_first_attempt_never_ran() {
     let rig = Rig::start();
     let mut sidecar = rig.sidecar();
     let now = unix_ms();
@@ -250,7 +250,7 @@
 
 /// Guards a start against a SIGHUP that comes while the files are read: it ends nothing, and the files are read anew.
 #[test]
-fn a_hangup_while_the_files_are_read_ends_nothing() {
+fn survives_sighup_while_the_files_are_read() {
     let (conf, _peers) = with_peers();
     let path = written("");
     std::fs::remove_file(&path).unwrap();
@@ -274,12 +274,12 @@
     process.serves();
     // The signal was kept: the files are read anew.
     open().write_all(conf.to_string().as_bytes()).unwrap();
-    process.logged("the configuration was read anew");
+    process.logged("configuration reloaded");
 }
 
 /// Guards the time from the notice to the end: a short one that comes just after the start is kept.
 #[test]
-fn a_short_notice_is_kept() {
+fn ends_in_time_when_the_shutdown_timeout_is_short() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(200));
     let start = Instant::now();
     rig.signal("-TERM");
@@ -293,7 +293,7 @@
 /// Guards sidecars that rest on a connection until the server ends it: they see its end in order, and a req that
 /// comes after the server's half-close runs nowhere.
 #[test]
-fn a_resting_connection_ends_in_order() {
+fn closes_an_idle_connection_in_order() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
     let (mut link, mut resting) = rig.ready();
     serves(&mut link, &mut resting, 1, PAY, &[]);
--- a/crates/server/tests/serve/records_calls.rs
+++ b/crates/server/tests/serve/records_calls.rs
@@ -15,7 +15,7 @@
 
 /// Guards effects: a call that may have run is not made again for a req that must not run twice.
 #[test]
-fn a_call_that_may_have_run_is_not_repeated() {
+fn does_not_repeat_a_call_that_may_have_been_executed() {
     for odd in [
         "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 504 x\r\n\r\n",
@@ -36,7 +36,7 @@
 
 /// Guards against giving up where nothing has happened: a call that never ran is made again.
 #[test]
-fn a_call_that_never_ran_is_repeated() {
+fn repeats_a_call_that_was_not_executed() {
     for status in ["503 Busy", "409 Conflict"] {
         let rig = Rig::start();
         let (mut link, _sidecar) = waiting(&rig, PAY);
@@ -63,7 +63,7 @@
 
 /// Guards against a call without an end: at its own time limit the connection is closed, which gives it up.
 #[test]
-fn a_call_without_a_reply_is_given_up_by_closing() {
+fn closes_the_connection_when_a_call_gets_no_response() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, READ);
     let mut service = FakeService::accept(&rig.records).unwrap();
@@ -83,7 +83,7 @@
 
 /// Guards against a call that outlives its req: when the run ends at it, the call is given up.
 #[test]
-fn a_call_ends_with_its_run() {
+fn cancels_a_call_when_its_run_ends() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, PAY);
     let mut service = FakeService::accept(&rig.records).unwrap();
@@ -96,7 +96,7 @@
 
 /// Guards replies against one another: what follows a good one, at once or later, is read by no other call.
 #[test]
-fn what_follows_a_reply_reaches_no_later_call() {
+fn ignores_what_follows_a_response() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = waiting(&rig, PAY);
     let good = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}");
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -7,7 +7,7 @@
 /// Guards a server whose peers move while it serves: it lives, nothing open is lost, each peer is met at its new
 /// address, and the new engine is told which notices were read.
 #[test]
-fn peers_move_while_reqs_are_open() {
+fn follows_new_addresses_while_requests_are_in_flight() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for n in [1, 2] {
@@ -58,18 +58,18 @@
 
 /// Guards what is in force against a file that is missing, half written or wrong, and against signals in a row.
 #[test]
-fn a_bad_configuration_changes_nothing() {
+fn keeps_the_old_configuration_when_the_new_one_is_invalid() {
     let mut rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let whole = rig.conf.to_string();
     for bad in ["", &whole[..whole.len() / 2], "{}"] {
-        rig.reload(bad, "the old one stays in force");
+        rig.reload(bad, "configuration is invalid; keeping the old one");
     }
     serves(&mut link, &mut sidecar, 1, READ, &[]);
     (0..5).for_each(|_| rig.signal("-HUP"));
-    rig.reload(&whole, "the configuration was read anew");
+    rig.reload(&whole, "configuration reloaded");
     rig.signal("-TERM");
-    rig.logged("told to leave");
+    rig.logged("shutting down");
     rig.signal("-HUP");
     assert_eq!(rig.ended().0.code(), Some(0), "the same during a drain");
 }
@@ -77,7 +77,7 @@
 /// Guards an engine that moves away and back, while the link to the new address is still being made: it is met where it
 /// is, and told which notices were read.
 #[test]
-fn an_engine_that_moves_away_and_back_is_met_where_it_is() {
+fn follows_an_engine_that_moves_away_and_back() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
@@ -85,10 +85,10 @@
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = rig.conf.clone();
     conf["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
-    rig.reload(&conf.to_string(), "the engine has a new address");
+    rig.reload(&conf.to_string(), "engine address changed");
     let mut half_made = FakeEngine::accept(&elsewhere).unwrap();
     assert_eq!(half_made.command().unwrap().0[0], "ATTACH");
-    rig.reload(&rig.conf.to_string(), "the engine has a new address");
+    rig.reload(&rig.conf.to_string(), "engine address changed");
     let mut link = rig.link(0);
     ends(&mut link, &mut sidecar, 1);
     assert!(half_made.command().is_err(), "nothing more is said there");
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -5,7 +5,7 @@
 
 /// Guards bodies and results against any change on their way, line ends and NULs included.
 #[test]
-fn bodies_replies_and_results_of_any_bytes_go_through_unchanged() {
+fn passes_bodies_responses_and_results_of_any_bytes() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let all: Vec<u8> = (0..2_048u32)
@@ -55,7 +55,7 @@
 
 /// Guards the frames against any split, and answers against the order of reqs.
 #[test]
-fn thirty_two_open_reqs_in_small_pieces_are_answered_in_any_order() {
+fn answers_32_requests_in_any_order_when_read_in_small_pieces() {
     let rig = Rig::with(|conf| {
         let rules = &mut conf["settings"]["obligations"];
         rules["overload_factor"] = 40.0.into();
@@ -93,7 +93,7 @@
 
 /// Guards a connection against reqs that can be read and not run: each gets its own answer.
 #[test]
-fn a_bad_field_costs_only_its_own_req() {
+fn fails_only_the_request_with_an_invalid_field() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let at = unix_ms().to_string();
@@ -185,7 +185,7 @@
 
 /// Guards against two answers: a run that ends after its req fell due is not sent.
 #[test]
-fn a_req_that_falls_due_is_errored_once() {
+fn fails_a_request_once_when_its_deadline_passes() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, BRIEF, &[], b"");
@@ -216,7 +216,7 @@
 
 /// Guards load and pace against stamps that are wrong: they are no sign that reqs lie unread here.
 #[test]
-fn a_wrong_stamp_does_not_teach_that_reqs_lie_unread() {
+fn learns_no_queueing_delay_from_a_wrong_stamp() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let mut rude = rig.sidecar();
@@ -245,7 +245,7 @@
 
 /// Guards due times against clocks that differ by hours, either way.
 #[test]
-fn a_req_stamped_by_a_differing_clock_is_served() {
+fn serves_a_request_stamped_by_a_differing_clock() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for (n, at) in [
@@ -276,7 +276,7 @@
 
 /// Guards uniqued reqs against a second run: repeats share the first one's result, open or kept.
 #[test]
-fn a_uniqued_req_runs_once_for_all_its_tries() {
+fn runs_a_keyed_request_once_for_all_its_attempts() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let once = [("once", "basket 7")];
@@ -307,7 +307,7 @@
 
 /// Guards joined reqs: where the first one's run failed, they hear that too.
 #[test]
-fn repeats_of_a_failed_req_are_errored() {
+fn fails_repeats_of_a_failed_request() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for n in 1..=2 {
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -47,7 +47,7 @@
 /// losing up to three reports: nine in ten are ready, with the engine attached, a check answered well and a report
 /// arrived, within 10 s.
 #[test]
-fn nine_in_ten_restarted_processes_are_ready_in_time() {
+fn is_ready_in_time_after_nine_in_ten_restarts() {
     let mut rigs: Vec<_> = (0..PROCESSES).map(|_| Rig::start()).collect();
     rigs.iter_mut().for_each(Rig::again);
     let start = Instant::now();
@@ -74,7 +74,7 @@
 /// to the engine is taken up again, calls are made, reqs on open connections answered and reports go out again, and
 /// it never holds more descriptors than it may.
 #[test]
-fn idle_clients_that_fill_the_descriptors_stop_nothing() {
+fn serves_while_idle_clients_fill_the_descriptors() {
     const SOCKETS: usize = 128;
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(SOCKETS));
     let (mut link, mut sidecar) = rig.ready();
@@ -85,7 +85,7 @@
     for one in resting.iter_mut().step_by(2) {
         let _ = one.send(4, 0, &[], b"");
     }
-    rig.logged("no room for further connections");
+    rig.logged("connection limit reached");
     assert!(rig.descriptors() <= SOCKETS);
     drop(link);
     let mut link = rig.link(0);
@@ -98,7 +98,7 @@
     // Fewer places than are taken, in the midst of it.
     let mut conf = rig.conf.clone();
     conf["limits"]["sockets"] = json!(110);
-    rig.reload(&conf.to_string(), "the configuration was read anew");
+    rig.reload(&conf.to_string(), "configuration reloaded");
     link.send_line_with_body(&format!("DONE 2 {run} fine 1"), b"done")
         .unwrap();
     let heard = std::iter::repeat_with(|| sidecar.receive().unwrap())
--- a/crates/server/tests/serve/shutdown.rs
+++ b/crates/server/tests/serve/shutdown.rs
@@ -5,7 +5,7 @@
 
 /// Guards drains: all that was read is answered, what is new is refused or answered, and the end comes in time.
 #[test]
-fn all_that_was_read_is_answered_before_the_end() {
+fn answers_all_that_was_read_before_the_end() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(1_500));
     let (mut link, mut sidecar) = rig.ready();
     ask(&mut sidecar, 1, PAY, &[], b"");
@@ -15,7 +15,7 @@
     let told = sidecar.receive().unwrap();
     assert_eq!((told.kind, told.stream), (6, 0));
     rig.signal("-TERM");
-    rig.logged("told to leave again");
+    rig.logged("repeated shutdown signal");
     let mut late = rig.sidecar();
     assert_ne!(check(&mut late), 1, "checks hear that it leaves");
     ask(&mut late, 3, READ, &[], b"");
@@ -35,7 +35,7 @@
 
 /// Guards against staying on without need: once nothing is connected the server ends before its time.
 #[test]
-fn an_idle_server_ends_within_its_time() {
+fn ends_in_time_when_idle() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
     drop(rig.ready());
     rig.signal("-TERM");
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -7,7 +7,7 @@
 
 /// Guards newcomers and operators: one line that names what is wrong, and an exit code that says so.
 #[test]
-fn a_bad_configuration_is_told_in_one_line() {
+fn prints_one_line_when_the_configuration_is_invalid() {
     let cases: [(&str, Spoil); 15] = [
         // The first shape's count of callers beside callers heard on connections: the two are mixed.
         ("family_info.upstreams", |c| {
@@ -100,7 +100,7 @@
 
 /// Guards against two servers on one address: the second says so and ends.
 #[test]
-fn an_address_in_use_is_told() {
+fn prints_one_line_when_the_address_is_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = settings();
     conf["listen"] = json!(taken.local_addr().unwrap().to_string());
