--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -50,7 +50,7 @@
         if *version != PROTOCOL_VERSION || bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
-        let (message, rest) = postcard::take_from_bytes(body).ok()?;
-        rest.is_empty().then_some(message)
+        let (message, trailing) = postcard::take_from_bytes(body).ok()?;
+        trailing.is_empty().then_some(message)
     }
 }
--- a/crates/cluster/src/node/replica.rs
+++ b/crates/cluster/src/node/replica.rs
@@ -110,7 +110,7 @@
         let Some(host) = &mut self.replica_host else {
             return;
         };
-        if let Some(operation) = host.begin(members) {
+        if let Some(operation) = host.reset_to_initial_state(members) {
             self.outputs.push(Output::Store(operation));
             self.notify(ClusterEvent::Bootstrapped {
                 replicas: members.len(),
--- a/crates/cluster/src/node/replica_host.rs
+++ b/crates/cluster/src/node/replica_host.rs
@@ -133,7 +133,7 @@
 
     /// Begins anew with the initial state of these members. Returns the write that must be durable before the replica
     /// starts, or `None` if the replica cannot begin.
-    pub(super) fn begin(
+    pub(super) fn reset_to_initial_state(
         &mut self,
         members: &BTreeMap<ReplicaId, String>,
     ) -> Option<StorageOperation> {
