--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -42,7 +42,7 @@
     SuspicionRefuted,
     /// Another process, whose identity this is, runs under this node's name.
     DuplicateName(Member),
-    /// The replica's storage failed, or what it held cannot be used: the replica takes no further part.
+    /// The replica's storage failed, or its contents cannot be used: the replica takes no further part.
     ReplicaFailed,
 }
 
--- a/crates/cluster/src/node/leases.rs
+++ b/crates/cluster/src/node/leases.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// As the leader: proposes what is due, starts a read index if requests wait for one, and tells holders whose
-    /// quota changed.
+    /// As the leader: proposes what is due, starts a read index if requests wait for one, and notifies holders
+    /// whose quota changed.
     pub(super) fn run_lease_manager(&mut self, now: Time) {
         if !self.lease_manager.is_leader() {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// As the leader: tells holders whose quota differs from what they were last told.
+    /// As the leader: notifies holders whose quota differs from what they were last sent.
     fn notify_holders(&mut self) {
         let Some(host) = &self.replica_host else {
             return;
--- a/crates/cluster/src/node/replica.rs
+++ b/crates/cluster/src/node/replica.rs
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Begins with the initial state. The write goes first: nothing may be said of this state before it is durable.
+    /// Begins with the initial state. The write goes first: nothing may be sent that rests on this
+    /// state before it is durable.
     fn bootstrap_replica(&mut self, members: &BTreeMap<ReplicaId, String>) {
         let Some(host) = &mut self.replica_host else {
             return;
--- a/crates/cluster/src/node/replica_host.rs
+++ b/crates/cluster/src/node/replica_host.rs
@@ -30,8 +30,8 @@
     ticks: u64,
     /// The tick at which the read index under way was started.
     read_index_tick: Option<u64>,
-    /// Whether the state that the replica began with is durable. Until then the replica stands still: what it said
-    /// could be forgotten by a crash.
+    /// Whether the state that the replica began with is durable. Until then the replica does nothing: a crash could
+    /// undo what its messages rest on.
     is_started: bool,
     is_failure_reported: bool,
     seed: u64,
@@ -145,7 +145,7 @@
         Some(operation)
     }
 
-    /// Whether the replica failed and this is asked for the first time since.
+    /// Whether the replica failed; true only the first time.
     pub(super) fn take_failure(&mut self) -> bool {
         let is_new = self.replica.has_failed() && !self.is_failure_reported;
         self.is_failure_reported |= is_new;
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -89,7 +89,8 @@
         self.unanswered_since.map(|since| since + timeout)
     }
 
-    /// The receiver of a lease request is not the leader. Ignored if it comes from a replica that is no longer asked.
+    /// The receiver of a lease request is not the leader. Ignored if it comes from a replica that is no longer the
+    /// request target.
     fn handle_not_leader(&mut self, now: Time, from: SocketAddr, leader: Option<String>) {
         let target_addr = self.config.replicas.values().nth(self.request_target);
         if target_addr != Some(&from) {
@@ -99,8 +100,8 @@
         self.redirect_lease_requests(now, leader_index);
     }
 
-    /// Sends the next lease request to this replica soon; if it is not known which one, to the next in order, as
-    /// if that had been asked now.
+    /// Sends the next lease request to this replica soon; if it is not known which one, to the next in order,
+    /// whose time to respond starts now.
     pub(super) fn redirect_lease_requests(&mut self, now: Time, replica_index: Option<usize>) {
         if let Some(index) = replica_index {
             self.request_target = index;
