--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -1,6 +1,6 @@
 //! The state machine that the replicas agree on: the quota table.
 
-use cottondyke_consensus::StateMachine;
+use cottondyke_consensus::{RestoreError, StateMachine};
 use cottondyke_quota::{Command, QuotaTable};
 
 /// The replicated [`QuotaTable`], changed by `postcard`-encoded [`Command`]s.
@@ -20,9 +20,8 @@
         postcard::to_allocvec(&self.0).unwrap_or_default()
     }
 
-    fn restore(&mut self, bytes: &[u8]) -> bool {
-        postcard::from_bytes(bytes)
-            .map(|table| self.0 = table)
-            .is_ok()
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
+        self.0 = postcard::from_bytes(bytes).map_err(|_| RestoreError)?;
+        Ok(())
     }
 }
--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -104,7 +104,7 @@
     let literal = "0101026462c801904e020161ac0205010001620703030103";
     assert_eq!(hex(&agreed.snapshot()), literal);
     let mut restored = QuotaStateMachine::default();
-    assert!(restored.restore(&bytes(literal)));
+    assert!(restored.restore(&bytes(literal)).is_ok());
     same(&restored.0, literal);
     let table: &QuotaTable = &restored.0;
     assert!(table.open && table.budgets.len() == 1);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -9,7 +9,7 @@
 //! caught up. [`Bootstrap`] forms the first group.
 //!
 //! ```
-//! use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, StateMachine};
+//! use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, RestoreError, StateMachine};
 //! use std::collections::BTreeMap;
 //!
 //! /// The sum of the bytes of all commands.
@@ -22,8 +22,10 @@
 //!     fn snapshot(&self) -> Vec<u8> {
 //!         self.0.to_be_bytes().to_vec()
 //!     }
-//!     fn restore(&mut self, bytes: &[u8]) -> bool {
-//!         bytes.try_into().map(|bytes| self.0 = u64::from_be_bytes(bytes)).is_ok()
+//!     fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
+//!         let bytes = bytes.try_into().map_err(|_| RestoreError)?;
+//!         self.0 = u64::from_be_bytes(bytes);
+//!         Ok(())
 //!     }
 //! }
 //!
@@ -63,7 +65,7 @@
 
 pub use bootstrap::{Bootstrap, BootstrapProbe};
 pub use replica::{Effect, OpenError, ProposalRejected, Replica, ELECTION_TICKS};
-pub use state_machine::StateMachine;
+pub use state_machine::{RestoreError, StateMachine};
 pub use storage::{EncodedEntry, EncodedSnapshot, PersistedState, StorageOperation};
 
 use serde::{Deserialize, Serialize};
--- a/crates/consensus/src/replica/open.rs
+++ b/crates/consensus/src/replica/open.rs
@@ -4,7 +4,7 @@
 use super::{
     ElectionTimeout, PendingOperations, PendingReads, RaftLog, RawNode, Replica, ELECTION_TICKS,
 };
-use crate::state_machine::StateMachine;
+use crate::state_machine::{RestoreError, StateMachine};
 use crate::storage::{PersistedState, StorageOperation};
 use crate::ReplicaId;
 use raft::eraftpb::{ConfState, HardState};
@@ -35,7 +35,7 @@
     Snapshot(#[source] postcard::Error),
     /// The state machine does not take the state in the snapshot.
     #[error("the keeper's table cannot be read: expected one that this version wrote")]
-    State,
+    State(#[source] RestoreError),
     /// Raft does not take the log.
     #[error("the keeper cannot start: {0}")]
     Raft(#[source] raft::Error),
@@ -115,9 +115,7 @@
     }
     let contents: SnapshotContents =
         postcard::from_bytes(&log.snapshot.data).map_err(OpenError::Snapshot)?;
-    if !state.restore(&contents.state) {
-        return Err(OpenError::State);
-    }
+    state.restore(&contents.state).map_err(OpenError::State)?;
     Ok(contents.member_names)
 }
 
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -2,7 +2,7 @@
 use super::encoding::{encode, send_effect};
 use super::snapshot::encode_snapshot;
 use super::{Effect, Replica};
-use crate::state_machine::StateMachine;
+use crate::state_machine::{RestoreError, StateMachine};
 use crate::storage::{EncodedEntry, StorageOperation};
 use raft::eraftpb::{Entry, EntryType, Message};
 use raft::{Ready, StateRole};
@@ -41,7 +41,7 @@
 
     fn handle_ready(&mut self, effects: &mut Vec<Effect>) {
         let mut ready = self.raw_node.ready();
-        let Some(operation) = self.record_in_log(&ready) else {
+        let Ok(operation) = self.record_in_log(&ready) else {
             self.failed = true;
             return;
         };
@@ -63,18 +63,15 @@
         self.compact_log(effects);
     }
 
-    /// Records what is to be stored in the log in memory, and returns it as one operation. `None` where it holds a
-    /// snapshot that cannot be decoded.
-    fn record_in_log(&mut self, ready: &Ready) -> Option<StorageOperation> {
+    /// Records what is to be stored in the log in memory, and returns it as one operation.
+    fn record_in_log(&mut self, ready: &Ready) -> Result<StorageOperation, RestoreError> {
         let mut operation = StorageOperation {
             number: self.pending_operations.next_number(),
             ..StorageOperation::default()
         };
         let snapshot = ready.snapshot();
         if snapshot.get_metadata().index > 0 {
-            if !self.install_snapshot(snapshot) {
-                return None;
-            }
+            self.install_snapshot(snapshot)?;
             operation.snapshot = Some(encode_snapshot(snapshot));
             self.installing_snapshot = Some(operation.number);
         }
@@ -84,7 +81,7 @@
             self.raw_node.mut_store().hard_state = hard_state.clone();
         }
         self.raw_node.mut_store().append(ready.entries());
-        Some(operation)
+        Ok(operation)
     }
 
     /// Has the operation stored, and its messages sent after that. Where there is nothing to store, the messages may be
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots: their contents, those that the leader sends, and the compaction of the log.
 use super::encoding::encode;
 use super::{Effect, Replica};
-use crate::state_machine::StateMachine;
+use crate::state_machine::{RestoreError, StateMachine};
 use crate::storage::{EncodedSnapshot, StorageOperation};
 use crate::ReplicaId;
 use raft::eraftpb::{ConfState, Snapshot};
@@ -65,11 +65,10 @@
         self.raw_node.report_snapshot(to.0, SnapshotStatus::Finish);
     }
 
-    /// Takes a snapshot that the leader sent. False where it cannot be decoded.
-    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
-        let Ok(contents) = postcard::from_bytes::<SnapshotContents>(&snapshot.data) else {
-            return false;
-        };
+    /// Takes a snapshot that the leader sent.
+    pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), RestoreError> {
+        let contents: SnapshotContents =
+            postcard::from_bytes(&snapshot.data).map_err(|_| RestoreError)?;
         self.member_names = contents.member_names;
         self.applied_index = snapshot.get_metadata().index;
         self.raw_node.mut_store().install_snapshot(snapshot.clone());
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,4 +1,10 @@
 //! What the replicas agree on.
+use thiserror::Error;
+
+/// The state in a snapshot cannot be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the state in the snapshot cannot be decoded")]
+pub struct RestoreError;
 
 /// A deterministic state: two that are given the same commands in the same order are equal. It is changed by
 /// [`apply`](StateMachine::apply) and [`restore`](StateMachine::restore) alone.
@@ -7,6 +13,9 @@
     fn apply(&mut self, command: &[u8]);
     /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state by a snapshot. False where it cannot be decoded: the replica then fails.
-    fn restore(&mut self, bytes: &[u8]) -> bool;
+    /// Replaces the state by that of a snapshot.
+    ///
+    /// # Errors
+    /// Where it cannot be decoded. The replica fails then.
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError>;
 }
--- a/crates/consensus/tests/golden_storage.rs
+++ b/crates/consensus/tests/golden_storage.rs
@@ -1,8 +1,8 @@
 //! The file of a replica as the versions in use wrote it: opened, read completely, written to and opened again.
 use cottondyke_consensus::sqlite::SqliteStorage;
 use cottondyke_consensus::{
-    Effect, EncodedEntry, EncodedSnapshot, PersistedState, Replica, ReplicaId, StateMachine,
-    StorageOperation,
+    Effect, EncodedEntry, EncodedSnapshot, PersistedState, Replica, ReplicaId, RestoreError,
+    StateMachine, StorageOperation,
 };
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, HardState, Snapshot};
@@ -23,9 +23,9 @@
         self.0.clone()
     }
 
-    fn restore(&mut self, bytes: &[u8]) -> bool {
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
         self.0 = bytes.to_vec();
-        true
+        Ok(())
     }
 }
 
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -1,9 +1,13 @@
 //! Replicas that exchange messages in memory, each with a storage that is written at once.
 use cottondyke_consensus::{
-    Effect, EncodedSnapshot, OpenError, PersistedState, Replica, ReplicaId, StateMachine,
+    Effect, EncodedSnapshot, OpenError, PersistedState, Replica, ReplicaId, RestoreError,
+    StateMachine,
 };
 use std::collections::{BTreeMap, VecDeque};
 
+/// A state that cannot be restored.
+const UNREADABLE_STATE: &[u8] = b"unreadable";
+
 /// The bytes of all commands in their order.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct CommandLog(Vec<u8>);
@@ -17,9 +21,12 @@
         self.0.clone()
     }
 
-    fn restore(&mut self, bytes: &[u8]) -> bool {
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), RestoreError> {
+        if bytes == UNREADABLE_STATE {
+            return Err(RestoreError);
+        }
         self.0 = bytes.to_vec();
-        true
+        Ok(())
     }
 }
 
@@ -215,4 +222,11 @@
     let line = error.to_string();
     let prefix = "the keeper's snapshot cannot be read: ";
     assert!(line.starts_with(prefix), "{line}");
+
+    let unreadable = CommandLog(UNREADABLE_STATE.to_vec());
+    persisted.apply(Replica::bootstrap_operation(&members, &unreadable));
+    let error = open_error(&persisted);
+    assert!(matches!(error, OpenError::State(_)));
+    let line = "the keeper's table cannot be read: expected one that this version wrote";
+    assert_eq!(error.to_string(), line);
 }
