--- a/crates/chaos/src/world.rs
+++ b/crates/chaos/src/world.rs
@@ -837,7 +837,7 @@
 pub fn sizes(usage: &Options) -> std::io::Result<Outcome> {
     usage.off(&[])?;
     let mut outcome = Outcome::default();
-    let periods = cottondyke_membership::DEAD_WITHIN as f64 * PROBE as f64 / S as f64;
+    let periods = cottondyke_membership::MAX_DETECTION_PERIODS as f64 * PROBE as f64 / S as f64;
     for members in [10, 100, 1_000]
         .into_iter()
         .filter(|members| *members <= usage.members)
--- a/crates/cluster/src/node/membership.rs
+++ b/crates/cluster/src/node/membership.rs
@@ -8,7 +8,7 @@
 impl ClusterNode {
     /// A datagram arrived; one that cannot be read is ignored.
     pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) -> Vec<Output> {
-        let (effects, _is_readable) = self.membership.handle_datagram(now, bytes);
+        let effects = self.membership.handle_datagram(now, bytes).effects;
         self.apply_membership_effects(effects);
         self.take_outputs()
     }
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::error::NodeError;
 use crate::event::{ClusterEvent, Output};
 use cottondyke_consensus::{PersistedState, ReplicaId};
-use cottondyke_membership::{Member, Membership};
+use cottondyke_membership::{Member, Membership, MembershipConfig};
 use cottondyke_quota::{
     BudgetSpec, Holder, LeaseHolder, LeaseManager, QuarantinedQuota, QuotaTable, Usage,
 };
@@ -309,9 +309,11 @@
     };
     Membership::new(
         identity,
-        config.replicas.clone().into_iter().collect(),
-        config.probe_interval,
-        config.suspicion_enabled,
-        config.seed,
+        MembershipConfig {
+            seeds: config.replicas.clone().into_iter().collect(),
+            probe_period: config.probe_interval,
+            suspicion_enabled: config.suspicion_enabled,
+            random_seed: config.seed,
+        },
     )
 }
--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -3,7 +3,9 @@
 
 use cottondyke_cluster::{Message, QuotaStateMachine};
 use cottondyke_consensus::{BootstrapProbe, ReplicaId, StateMachine};
-use cottondyke_membership::{Effect, Member, MemberState, MemberStatus, Membership};
+use cottondyke_membership::{
+    Effect, Member, MemberState, MemberStatus, Membership, MembershipConfig,
+};
 use cottondyke_quota::{
     Command, Demand, Epoch, GrantedQuota, Holder, LeaseRequest, LeaseResponse, Nonce, Quota,
     QuotaTable,
@@ -11,6 +13,7 @@
 use cottondyke_types::Time;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -231,6 +234,15 @@
     }
 }
 
+fn membership_config(seeds: Vec<(String, SocketAddr)>) -> MembershipConfig {
+    MembershipConfig {
+        seeds,
+        probe_period: Time(5000),
+        suspicion_enabled: true,
+        random_seed: 1,
+    }
+}
+
 #[test]
 fn encodes_the_same_identity_and_announces_by_the_same_datagram() {
     same(&member("a", 1), "0161017a000a000001d836ac020200");
@@ -240,7 +252,7 @@
     };
     same(&leaving, "0161017a000a000001d836ac020201");
     let seeds = vec![("b".to_string(), ([10, 0, 0, 2], 7000).into())];
-    let mut peers = Membership::new(member("a", 1), seeds, Time(5000), true, 1);
+    let mut peers = Membership::new(member("a", 1), membership_config(seeds));
     let announce = "0161017a000a000001d836ac02020000016200000a000002d83600000006";
     let effects = peers.handle_timer(Time(0));
     assert!(effects.len() == 1);
@@ -250,9 +262,9 @@
     assert_eq!(*to, ([10, 0, 0, 2], 7000).into());
     assert_eq!(hex(sent), announce);
     // Who hears it takes the speaker into its list.
-    let mut hears = Membership::new(member("b", 2), Vec::new(), Time(5000), true, 1);
-    let (effects, read) = hears.handle_datagram(Time(0), &bytes(announce));
-    assert!(read && effects.contains(&Effect::MemberUp(member("a", 1))));
+    let mut hears = Membership::new(member("b", 2), membership_config(Vec::new()));
+    let outcome = hears.handle_datagram(Time(0), &bytes(announce));
+    assert!(outcome.result.is_ok() && outcome.effects.contains(&Effect::MemberUp(member("a", 1))));
     let listed = MemberStatus {
         name: "a".into(),
         zone: "z".into(),
--- /dev/null
+++ b/crates/membership/src/effect.rs
@@ -0,0 +1,83 @@
+//! What a membership wants done and reports, and how it is collected from `foca`.
+use crate::member::Member;
+use foca::{Notification, Runtime, Timer};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// What the caller is to do or to know, in the order in which effects are returned.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Effect {
+    /// Send a datagram. It may be lost.
+    Send {
+        /// The address of the receiver.
+        to: SocketAddr,
+        /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
+        bytes: Vec<u8>,
+    },
+    /// A member came into the list.
+    MemberUp(Member),
+    /// A member went out of the list.
+    MemberDown(Member),
+    /// Others declared this member dead, and it returned under the next version.
+    SuspicionRefuted,
+    /// Another process has the name of this member, and a later incarnation.
+    DuplicateName(Member),
+}
+
+/// A timer that `foca` asked for.
+pub(crate) struct RequestedTimer {
+    pub(crate) timer: Timer<Member>,
+    pub(crate) after: Duration,
+}
+
+/// The runtime for one input to `foca`: collects what it asks for.
+pub(crate) struct EffectCollector {
+    own_name: String,
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) timers: Vec<RequestedTimer>,
+    /// Whether others know this identity now, where that changed.
+    pub(crate) active: Option<bool>,
+}
+
+impl EffectCollector {
+    pub(crate) fn new(own_name: String) -> Self {
+        EffectCollector {
+            own_name,
+            effects: Vec::new(),
+            timers: Vec::new(),
+            active: None,
+        }
+    }
+}
+
+impl Runtime<Member> for &mut EffectCollector {
+    fn notify(&mut self, notification: Notification<'_, Member>) {
+        match notification {
+            Notification::MemberUp(member) => self.effects.push(Effect::MemberUp(member.clone())),
+            Notification::MemberDown(member) => {
+                self.effects.push(Effect::MemberDown(member.clone()))
+            }
+            Notification::Active => self.active = Some(true),
+            Notification::Idle | Notification::Defunct => self.active = Some(false),
+            Notification::Rejoin(_) => {
+                self.active = Some(false);
+                self.effects.push(Effect::SuspicionRefuted);
+            }
+            Notification::Rename(_, member) if member.name == self.own_name => {
+                self.effects.push(Effect::DuplicateName(member.clone()));
+            }
+            _ => {}
+        }
+    }
+
+    fn send_to(&mut self, to: Member, data: &[u8]) {
+        self.effects.push(Effect::Send {
+            to: to.addr,
+            bytes: data.to_vec(),
+        });
+    }
+
+    fn submit_after(&mut self, timer: Timer<Member>, after: Duration) {
+        self.timers.push(RequestedTimer { timer, after });
+    }
+}
