--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -49,8 +49,8 @@
     let raise = |holder: &Holder, to, was| Command::RaiseQuota {
         budget: budget.clone(),
         holder: holder.clone(),
-        to,
-        was,
+        amount: to,
+        expected_epoch: was,
     };
     [
         Command::Open,
@@ -64,14 +64,14 @@
         Command::LowerQuota {
             budget: budget.clone(),
             holder: a.clone(),
-            to: 5,
-            was: Epoch(1),
+            amount: 5,
+            expected_epoch: Epoch(1),
         },
         Command::FenceHolder {
             budget: budget.clone(),
             holder: b.clone(),
-            keep: 3,
-            was: Epoch(2),
+            quarantined: 3,
+            expected_epoch: Epoch(2),
         },
     ]
 }
@@ -92,8 +92,8 @@
     let again = Command::RaiseQuota {
         budget: "db".into(),
         holder: holder("a", 300),
-        to: 12,
-        was: Some(Epoch(400)),
+        amount: 12,
+        expected_epoch: Some(Epoch(400)),
     };
     same(&again, "020264620161ac020c019003");
 }
@@ -127,8 +127,8 @@
     let next = Command::RaiseQuota {
         budget: "db".into(),
         holder: holder("c", 1),
-        to: 1,
-        was: None,
+        amount: 1,
+        expected_epoch: None,
     };
     restored.apply(&postcard::to_allocvec(&next).unwrap());
     assert!(restored.0.budgets["db"].quotas[&holder("c", 1)].epoch == Epoch(4));
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,5 +1,6 @@
 //! A member's own part: what it may use of each budget now, and what it asks for. It trusts a share until its lease
 //! is over by its own clock, counted from before it asked, and not one moment longer.
+use crate::config::DISTANT_PAST;
 use crate::{Demand, Epoch, Holder, LeaseConfig, LeaseRequest, LeaseResponse, Nonce, MAX_BUDGETS};
 use cottondyke_types::Time;
 use std::collections::{BTreeMap, VecDeque};
@@ -37,7 +38,7 @@
 
 impl Default for Mine {
     fn default() -> Self {
-        let (usage, never) = (Usage::default(), Time(i64::MIN / 4));
+        let (usage, never) = (Usage::default(), DISTANT_PAST);
         Mine {
             epoch: Epoch::default(),
             cap: 0,
@@ -76,7 +77,7 @@
             nonce: Nonce(0),
             asked: VecDeque::new(),
             last: None,
-            answered: (Nonce(0), Time(i64::MIN / 4)),
+            answered: (Nonce(0), DISTANT_PAST),
             leaving: false,
             hurried: false,
         }
@@ -120,7 +121,7 @@
         if self.terms.safeguards.lease {
             self.mine
                 .get(budget)
-                .map_or(Time(i64::MIN / 4), |mine| mine.until)
+                .map_or(DISTANT_PAST, |mine| mine.until)
         } else {
             Time::MAX
         }
@@ -132,7 +133,7 @@
             .keys()
             .map(|budget| self.valid_until(budget))
             .max()
-            .unwrap_or(Time(i64::MIN / 4))
+            .unwrap_or(DISTANT_PAST)
     }
 
     pub fn epoch(&self, budget: &str) -> Epoch {
@@ -170,7 +171,7 @@
     /// When the next asking is due; it may be earlier where use changes.
     pub fn next_timer(&self) -> Time {
         let Some(last) = self.last else {
-            return Time(i64::MIN / 4);
+            return DISTANT_PAST;
         };
         let part = match self.asked.is_empty() {
             _ if self.hurried => SOON,
--- a/crates/quota/src/lease_manager.rs
+++ b/crates/quota/src/lease_manager.rs
@@ -4,6 +4,7 @@
 //! Why a share that was freed cannot be in use any more: a holder's lease counts from before its asking. A leader
 //! answers an asking only once a majority confirmed, after it came, that it still leads; so a later leader began
 //! after that, and it waits a whole lease from there before it takes a share whose holder it has not heard itself.
+use crate::config::DISTANT_PAST;
 use crate::{
     allocate, Budget, BudgetSpec, Claim, Command, Demand, Epoch, GrantedQuota, Holder, LeaseConfig,
     LeaseRequest, LeaseResponse, Nonce, Quota, QuotaTable, MAX_CLOCK_DRIFT,
@@ -84,7 +85,7 @@
             fenced: BTreeMap::new(),
             targets: BTreeMap::new(),
             busy: None,
-            divided: Time(i64::MIN / 4),
+            divided: DISTANT_PAST,
             stirred: true,
         }
     }
@@ -436,13 +437,13 @@
             if let Command::FenceHolder {
                 budget,
                 holder,
-                keep,
-                was,
+                quarantined,
+                expected_epoch,
             } = command
             {
                 self.condemned
-                    .insert((budget.clone(), holder.clone()), *was);
-                if *keep > 0 {
+                    .insert((budget.clone(), holder.clone()), *expected_epoch);
+                if *quarantined > 0 {
                     self.fenced.insert((budget.clone(), holder.clone()), now);
                 }
             }
@@ -472,8 +473,8 @@
                 out.push(Command::FenceHolder {
                     budget,
                     holder,
-                    keep,
-                    was: share.epoch,
+                    quarantined: keep,
+                    expected_epoch: share.epoch,
                 });
             } else if let Some(want) = heard.map(|heard| &heard.want).filter(|_| !share.fenced) {
                 let fits = want.epoch == share.epoch || !self.terms.safeguards.fence;
@@ -482,8 +483,8 @@
                     out.push(Command::LowerQuota {
                         budget,
                         holder,
-                        to: want.retained,
-                        was: share.epoch,
+                        amount: want.retained,
+                        expected_epoch: share.epoch,
                     });
                 }
             }
@@ -537,7 +538,7 @@
                 .filter(|s| !s.fenced)
                 .map_or(0, |s| s.amount)
         };
-        let over = whole.taken() > whole.units;
+        let over = whole.allocated() > whole.units;
         let hungry = live
             .iter()
             .zip(&parts)
@@ -592,8 +593,8 @@
                 out.push(Command::RaiseQuota {
                     budget: budget.to_string(),
                     holder: holder.clone(),
-                    to,
-                    was,
+                    amount: to,
+                    expected_epoch: was,
                 });
             }
         }
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -1,113 +1,148 @@
-//! What is agreed of budgets: wholes, and who holds how much under which epoch. It changes by commands alone, in
-//! their order, and is the same wherever the same commands were applied.
-use crate::{MAX_BUDGETS, MAX_HOLDERS};
+//! The replicated state: budgets, and who holds how much of them under which epoch. It changes by committed commands
+//! only, in their order, and is the same on every replica that applied the same commands.
+//!
+//! The order of the fields is the snapshot's format (postcard) and must not change.
+
+use crate::{Command, CommandRejected, Epoch, Holder, MAX_BUDGETS, MAX_HOLDERS};
 use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Fences: each change of what a share allows upwards, and each taking away, has a number of its own.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Epoch(pub u64);
-
-/// One life of a member: its name, and a number that differs from life to life. Two processes of one name are two
-/// holders.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
-    pub name: String,
-    pub incarnation: u64,
-}
-
+/// What one holder may use of one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
+    /// Units.
     pub amount: u32,
+    /// The number of the last raise or fencing.
     pub epoch: Epoch,
-    /// Its lease ran out; what is left of it is kept back for a call that may have slipped.
+    /// The lease expired. What remains of the quota is quarantined for a call that a suspended process may still send.
     pub fenced: bool,
 }
 
+/// A number of units that all members share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
+    /// Units that all members together may use.
     pub units: u32,
-    /// The longest, in tenths of a millisecond, that a unit is in use after its holder's lease: a call's time limit
-    /// and how long it may go on at the dependency, or the window of a rate.
+    /// The longest, in tenths of a millisecond, that a unit stays in use after its holder's lease expired: a call's time
+    /// limit plus how long the dependency may go on with it, or the window of a rate.
     pub post_cancel_grace: i64,
+    /// The quotas in force, quarantined ones included.
     pub quotas: BTreeMap<Holder, Quota>,
 }
 
 impl Budget {
-    /// Units that are someone's, or kept back.
-    pub fn taken(&self) -> u32 {
-        self.quotas.values().map(|share| share.amount).sum()
+    /// Units that are granted or quarantined.
+    pub fn allocated(&self) -> u32 {
+        self.quotas.values().map(|quota| quota.amount).sum()
     }
 
+    /// Units that nobody holds; none while the budget is over-allocated.
     pub fn free(&self) -> u32 {
-        self.units.saturating_sub(self.taken())
+        self.units.saturating_sub(self.allocated())
     }
 
+    /// The field of the same name as a duration.
     pub fn post_cancel_grace(&self) -> Time {
         Time(self.post_cancel_grace)
     }
-}
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Command {
-    /// Nothing that was promised before this table began is in force any longer.
-    Open,
-    /// A whole is this much from now on. Made smaller, nothing is raised until shares are given back.
-    SetBudget {
-        budget: String,
-        units: u32,
-        post_cancel_grace: i64,
-    },
-    /// A holder gets more: refused where that would pass the whole, or another change came first.
-    RaiseQuota {
-        budget: String,
-        holder: Holder,
-        to: u32,
-        was: Option<Epoch>,
-    },
-    /// A holder said that it holds no more than this.
-    LowerQuota {
-        budget: String,
-        holder: Holder,
-        to: u32,
-        was: Epoch,
-    },
-    /// A lease ran out, with all that can linger: `keep` units of it stay back.
-    FenceHolder {
-        budget: String,
-        holder: Holder,
-        keep: u32,
-        was: Epoch,
-    },
-}
+    /// The quota of a holder, where its epoch is the expected one.
+    fn quota_at(
+        &mut self,
+        holder: &Holder,
+        expected: Epoch,
+    ) -> Result<&mut Quota, CommandRejected> {
+        let found = self.quotas.get(holder).map(|quota| quota.epoch);
+        self.quotas
+            .get_mut(holder)
+            .filter(|quota| quota.epoch == expected)
+            .ok_or(CommandRejected::StaleEpoch {
+                expected: Some(expected),
+                found,
+            })
+    }
 
-/// Why a command changed nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CommandRejected {
-    UnknownBudget,
-    NotOpen,
-    /// It was made from another state than the one it met.
-    StaleEpoch,
-    BudgetExceeded,
-    /// The table has no more room.
-    TableFull,
+    fn raise(
+        &mut self,
+        holder: &Holder,
+        amount: u32,
+        expected: Option<Epoch>,
+        epoch: Epoch,
+    ) -> Result<(), CommandRejected> {
+        let current = self.quotas.get(holder).copied();
+        let found = current.map(|quota| quota.epoch);
+        if found != expected {
+            return Err(CommandRejected::StaleEpoch { expected, found });
+        }
+        if current.is_none() && self.quotas.len() >= MAX_HOLDERS {
+            return Err(CommandRejected::TableFull { limit: MAX_HOLDERS });
+        }
+        let current_amount = current.map_or(0, |quota| quota.amount);
+        let needed = amount.saturating_sub(current_amount);
+        let free = self.free();
+        if needed > free {
+            return Err(CommandRejected::BudgetExceeded { needed, free });
+        }
+        let raised = Quota {
+            amount: amount.max(current_amount),
+            epoch,
+            fenced: false,
+        };
+        self.quotas.insert(holder.clone(), raised);
+        Ok(())
+    }
+
+    fn lower(
+        &mut self,
+        holder: &Holder,
+        amount: u32,
+        expected: Epoch,
+    ) -> Result<(), CommandRejected> {
+        let quota = self.quota_at(holder, expected)?;
+        quota.amount = quota.amount.min(amount);
+        Ok(())
+    }
+
+    fn fence(
+        &mut self,
+        holder: &Holder,
+        quarantined: u32,
+        expected: Epoch,
+        epoch: Epoch,
+    ) -> Result<(), CommandRejected> {
+        let quota = self.quota_at(holder, expected)?;
+        let amount = quota.amount.min(quarantined);
+        if amount == 0 {
+            self.quotas.remove(holder);
+        } else {
+            *quota = Quota {
+                amount,
+                epoch,
+                fenced: true,
+            };
+        }
+        Ok(())
+    }
 }
 
+/// The replicated state machine: all budgets with their quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaTable {
-    /// Until then nothing is granted: an earlier registry, lost with all its disks, may have leases in force.
+    /// Until this is set no quota is granted: an earlier cluster, lost with all its disks, may have leases in force.
     pub open: bool,
+    /// The budgets by their names.
     pub budgets: BTreeMap<String, Budget>,
     last_epoch: Epoch,
 }
 
 impl QuotaTable {
-    fn next(&mut self) -> Epoch {
-        self.last_epoch.0 += 1;
-        self.last_epoch
-    }
-
+    /// Applies a committed command.
+    ///
+    /// # Errors
+    ///
+    /// Where the command does not fit the state that it meets. It then changes nothing, but a rejected raise of an open
+    /// table and a rejected fencing use up an epoch, which every replica must count alike.
     pub fn apply(&mut self, command: &Command) -> Result<(), CommandRejected> {
         match command {
             Command::Open => {
@@ -117,106 +152,73 @@
             Command::SetBudget {
                 budget,
                 units,
-                post_cancel_grace: linger,
-            } => {
-                if !self.budgets.contains_key(budget) && self.budgets.len() >= MAX_BUDGETS {
-                    return Err(CommandRejected::TableFull);
-                }
-                let whole = self.budgets.entry(budget.clone()).or_default();
-                // Calls in hand may have been sent under the longer one.
-                let in_use = !whole.quotas.is_empty();
-                (whole.units, whole.post_cancel_grace) = (
-                    *units,
-                    if in_use {
-                        (*linger).max(whole.post_cancel_grace)
-                    } else {
-                        (*linger).max(0)
-                    },
-                );
-                Ok(())
-            }
+                post_cancel_grace,
+            } => self.set_budget(budget, *units, *post_cancel_grace),
             Command::RaiseQuota {
                 budget,
                 holder,
-                to,
-                was,
+                amount,
+                expected_epoch,
             } => {
                 if !self.open {
                     return Err(CommandRejected::NotOpen);
                 }
-                let epoch = self.next();
-                let whole = self
-                    .budgets
-                    .get_mut(budget)
-                    .ok_or(CommandRejected::UnknownBudget)?;
-                let now = whole.quotas.get(holder).copied();
-                if now.map(|share| share.epoch) != *was {
-                    return Err(CommandRejected::StaleEpoch);
-                }
-                if now.is_none() && whole.quotas.len() >= MAX_HOLDERS {
-                    return Err(CommandRejected::TableFull);
-                }
-                let more = to.saturating_sub(now.map_or(0, |share| share.amount));
-                if more > whole.free() {
-                    return Err(CommandRejected::BudgetExceeded);
-                }
-                let amount = (*to).max(now.map_or(0, |share| share.amount));
-                whole.quotas.insert(
-                    holder.clone(),
-                    Quota {
-                        amount,
-                        epoch,
-                        fenced: false,
-                    },
-                );
-                Ok(())
+                let epoch = self.next_epoch();
+                self.budget_mut(budget)?
+                    .raise(holder, *amount, *expected_epoch, epoch)
             }
             Command::LowerQuota {
                 budget,
                 holder,
-                to,
-                was,
-            } => {
-                let whole = self
-                    .budgets
-                    .get_mut(budget)
-                    .ok_or(CommandRejected::UnknownBudget)?;
-                let share = whole
-                    .quotas
-                    .get_mut(holder)
-                    .filter(|share| share.epoch == *was);
-                let share = share.ok_or(CommandRejected::StaleEpoch)?;
-                share.amount = share.amount.min(*to);
-                Ok(())
-            }
+                amount,
+                expected_epoch,
+            } => self
+                .budget_mut(budget)?
+                .lower(holder, *amount, *expected_epoch),
             Command::FenceHolder {
                 budget,
                 holder,
-                keep,
-                was,
+                quarantined,
+                expected_epoch,
             } => {
-                let epoch = self.next();
-                let whole = self
-                    .budgets
-                    .get_mut(budget)
-                    .ok_or(CommandRejected::UnknownBudget)?;
-                let share = whole
-                    .quotas
-                    .get_mut(holder)
-                    .filter(|share| share.epoch == *was);
-                let share = share.ok_or(CommandRejected::StaleEpoch)?;
-                let amount = share.amount.min(*keep);
-                if amount == 0 {
-                    whole.quotas.remove(holder);
-                } else {
-                    *share = Quota {
-                        amount,
-                        epoch,
-                        fenced: true,
-                    };
-                }
-                Ok(())
+                let epoch = self.next_epoch();
+                self.budget_mut(budget)?
+                    .fence(holder, *quarantined, *expected_epoch, epoch)
             }
         }
     }
+
+    fn next_epoch(&mut self) -> Epoch {
+        self.last_epoch.0 += 1;
+        self.last_epoch
+    }
+
+    fn budget_mut(&mut self, name: &str) -> Result<&mut Budget, CommandRejected> {
+        self.budgets
+            .get_mut(name)
+            .ok_or_else(|| CommandRejected::UnknownBudget {
+                budget: name.to_string(),
+            })
+    }
+
+    fn set_budget(
+        &mut self,
+        name: &str,
+        units: u32,
+        post_cancel_grace: i64,
+    ) -> Result<(), CommandRejected> {
+        if !self.budgets.contains_key(name) && self.budgets.len() >= MAX_BUDGETS {
+            return Err(CommandRejected::TableFull { limit: MAX_BUDGETS });
+        }
+        let budget = self.budgets.entry(name.to_string()).or_default();
+        // Calls in flight may have been sent under the longer grace: while there are quotas it only grows.
+        let shortest = if budget.quotas.is_empty() {
+            0
+        } else {
+            budget.post_cancel_grace
+        };
+        budget.units = units;
+        budget.post_cancel_grace = post_cancel_grace.max(shortest);
+        Ok(())
+    }
 }
--- a/crates/quota/tests/lease_manager.rs
+++ b/crates/quota/tests/lease_manager.rs
@@ -85,8 +85,8 @@
         .apply(&Command::RaiseQuota {
             budget: "calls".into(),
             holder,
-            to: 8,
-            was: Some(was),
+            amount: 8,
+            expected_epoch: Some(was),
         })
         .unwrap();
     assert!(table.apply(&fence[0]).is_err());
@@ -116,7 +116,7 @@
     granter.handle_applied(&table);
     let fence = granter.plan_commands(Time(40_000), &table, &wholes);
     assert!(
-        matches!(fence[..], [Command::FenceHolder { keep: 1, .. }]),
+        matches!(fence[..], [Command::FenceHolder { quarantined: 1, .. }]),
         "{fence:?}"
     );
     granter.handle_applied(&table);
@@ -128,7 +128,7 @@
     assert_eq!(granter.plan_commands(Time(90_001), &table, &wholes), []);
     let last = granter.plan_commands(Time(90_002), &table, &wholes);
     assert!(
-        matches!(last[..], [Command::FenceHolder { keep: 0, .. }]),
+        matches!(last[..], [Command::FenceHolder { quarantined: 0, .. }]),
         "{last:?}"
     );
 }
@@ -170,8 +170,8 @@
         .apply(&Command::RaiseQuota {
             budget: "calls".into(),
             holder: holder.clone(),
-            to: 8,
-            was: None,
+            amount: 8,
+            expected_epoch: None,
         })
         .unwrap();
     assert_eq!(exchange(&mut granter, &table, Time(1)), 8);
@@ -180,8 +180,8 @@
         .apply(&Command::FenceHolder {
             budget: "calls".into(),
             holder: holder.clone(),
-            keep: 0,
-            was,
+            quarantined: 0,
+            expected_epoch: was,
         })
         .unwrap();
     let other = Holder {
@@ -192,8 +192,8 @@
         .apply(&Command::RaiseQuota {
             budget: "calls".into(),
             holder: other,
-            to: 8,
-            was: None,
+            amount: 8,
+            expected_epoch: None,
         })
         .unwrap();
     granter.handle_applied(&table);
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -217,8 +217,8 @@
             Command::RaiseQuota {
                 budget: BUDGET.into(),
                 holder: world.members[0].shares.holder().clone(),
-                to: WHOLE,
-                was: None,
+                amount: WHOLE,
+                expected_epoch: None,
             },
         ];
         first
