--- a/crates/quota/src/allocate.rs
+++ b/crates/quota/src/allocate.rs
@@ -1,122 +1,104 @@
-//! Who should have how much of a whole: weighted water filling over what each needs, with a floor for each.
+//! Max-min fair allocation: weighted water filling over what each member needs, with a minimum for each.
+//!
+//! The algorithm is progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2): the shares of all that
+//! still lack units rise together, in proportion to their weights, until the next one is satisfied.
 
-/// What one member puts forward.
+/// What one member claims of a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
+    /// Units that it could use.
     pub need: u32,
-    /// What a unit is worth there; anything that is no number over 0 counts as 1.
+    /// Value of one unit to it, relative to the others; anything that is no finite number above 0 counts as 1.
     pub weight: f64,
 }
 
-/// The part of an even share that each member keeps whatever it needs, so that one whose need jumps has something
-/// at once.
-const FLOOR: f64 = 0.25;
+impl Claim {
+    fn effective_weight(&self) -> f64 {
+        if self.weight.is_finite() && self.weight > 0.0 {
+            self.weight
+        } else {
+            1.0
+        }
+    }
+}
+
+/// Fraction of an equal share that each member gets whatever it needs, so that one whose need jumps has something to
+/// use at once.
+const MIN_FRACTION_OF_EQUAL_SHARE: f64 = 0.25;
+
+/// An allocation that is this little below a whole number of units is that number: the difference is the rounding error
+/// of the sums.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Parts of `whole` in the order of the claims; their sum is the whole where there is any claim. First each gets
-/// its floor, then what is left rises in all that need more, by their weights, then evenly what nobody needs.
-pub fn allocate(whole: u32, claims: &[Claim]) -> Vec<u32> {
+/// Divides `units` among the claims, in their order. The allocations add up to `units` wherever there is a claim.
+///
+/// First each claim gets its minimum. What is left goes to those that need more, by their weights, and what nobody
+/// needs is spread evenly.
+///
+/// ```
+/// use cottondyke_quota::{allocate, Claim};
+///
+/// let busy = Claim { need: 100, weight: 3.0 };
+/// let less_valuable = Claim { need: 100, weight: 1.0 };
+/// let idle = Claim { need: 0, weight: 1.0 };
+/// assert_eq!(allocate(24, &[busy, less_valuable, idle]), [16, 6, 2]);
+/// ```
+pub fn allocate(units: u32, claims: &[Claim]) -> Vec<u32> {
     let count = claims.len();
     if count == 0 {
         return Vec::new();
     }
-    let weight = |c: &Claim| {
-        if c.weight.is_finite() && c.weight > 0.0 {
-            c.weight
-        } else {
-            1.0
-        }
-    };
-    let floor = (f64::from(whole) / count as f64 * FLOOR).floor();
-    let mut parts = vec![floor; count];
-    let mut left = f64::from(whole) - floor * count as f64;
-    let lacks = |parts: &[f64], k: usize| (f64::from(claims[k].need) - parts[k]).max(0.0);
-    // Each round satisfies one at least, or spends all that is left.
-    for _ in 0..=count {
-        let hungry: Vec<usize> = (0..count).filter(|k| lacks(&parts, *k) > 0.0).collect();
-        let sum: f64 = hungry.iter().map(|k| weight(&claims[*k])).sum();
-        if hungry.is_empty() || left <= 0.0 {
+    let minimum = (f64::from(units) / count as f64 * MIN_FRACTION_OF_EQUAL_SHARE).floor();
+    let mut shares = vec![minimum; count];
+    let left = f64::from(units) - minimum * count as f64;
+    let left = fill_by_weight(claims, &mut shares, left);
+    let surplus = left.max(0.0) / count as f64;
+    for share in &mut shares {
+        *share += surplus;
+    }
+    round_to_units(units, &shares)
+}
+
+/// Raises the shares of those that need more until all are satisfied or nothing is left; returns what is left.
+fn fill_by_weight(claims: &[Claim], shares: &mut [f64], mut left: f64) -> f64 {
+    let lacking =
+        |shares: &[f64], index: usize| (f64::from(claims[index].need) - shares[index]).max(0.0);
+    // Each round satisfies at least one claim or spends all that is left.
+    for _ in 0..=claims.len() {
+        let unsatisfied: Vec<usize> = (0..claims.len())
+            .filter(|index| lacking(shares, *index) > 0.0)
+            .collect();
+        if unsatisfied.is_empty() || left <= 0.0 {
             break;
         }
-        let level = hungry
+        let total_weight: f64 = unsatisfied
             .iter()
-            .map(|k| lacks(&parts, *k) / weight(&claims[*k]))
-            .fold(left / sum, f64::min);
-        for k in hungry {
-            parts[k] += level * weight(&claims[k]);
+            .map(|index| claims[*index].effective_weight())
+            .sum();
+        let rise_per_weight = unsatisfied
+            .iter()
+            .map(|index| lacking(shares, *index) / claims[*index].effective_weight())
+            .fold(left / total_weight, f64::min);
+        for index in unsatisfied {
+            shares[index] += rise_per_weight * claims[index].effective_weight();
         }
-        left -= level * sum;
+        left -= rise_per_weight * total_weight;
     }
-    parts
-        .iter_mut()
-        .for_each(|part| *part += left.max(0.0) / count as f64);
-    rounded(whole, &parts)
+    left
 }
 
-/// Whole units, by the largest remainders; the earlier of two that are alike.
-fn rounded(whole: u32, parts: &[f64]) -> Vec<u32> {
-    // What differs from a whole number by the error of the sums above is that number.
-    let mut units: Vec<u32> = parts
+/// Whole units by the largest remainder method; of two equal remainders the earlier one comes first.
+fn round_to_units(total: u32, shares: &[f64]) -> Vec<u32> {
+    let mut units: Vec<u32> = shares
         .iter()
-        .map(|part| (part + 1e-6).floor() as u32)
+        .map(|share| (share + ROUNDING_TOLERANCE).floor() as u32)
         .collect();
-    let mut over = whole.saturating_sub(units.iter().sum());
-    let mut order: Vec<usize> = (0..parts.len()).collect();
-    order.sort_by(|a, b| {
-        (parts[*b] - f64::from(units[*b])).total_cmp(&(parts[*a] - f64::from(units[*a])))
-    });
-    for k in order {
-        if over == 0 {
-            break;
-        }
-        units[k] += 1;
-        over -= 1;
+    let remaining = total.saturating_sub(units.iter().sum());
+    let remainder = |index: usize| shares[index] - f64::from(units[index]);
+    let mut by_remainder: Vec<usize> = (0..shares.len()).collect();
+    by_remainder.sort_by(|a, b| remainder(*b).total_cmp(&remainder(*a)));
+    for index in by_remainder.into_iter().take(remaining as usize) {
+        units[index] += 1;
     }
     units
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn of(whole: u32, claims: &[(u32, f64)]) -> Vec<u32> {
-        allocate(
-            whole,
-            &claims
-                .iter()
-                .map(|(need, weight)| Claim {
-                    need: *need,
-                    weight: *weight,
-                })
-                .collect::<Vec<_>>(),
-        )
-    }
-
-    #[test]
-    fn needs_are_met_by_weight_and_the_rest_is_spread() {
-        assert_eq!(of(24, &[(0, 1.0), (0, 1.0), (0, 1.0)]), [8, 8, 8]);
-        assert_eq!(of(24, &[(100, 1.0), (0, 1.0), (0, 1.0)]), [20, 2, 2]);
-        assert_eq!(of(24, &[(100, 3.0), (100, 1.0), (0, 1.0)]), [16, 6, 2]);
-        // Fewer units than members: those with a need come first.
-        let few = of(3, &[(0, 1.0), (5, 1.0), (0, 1.0), (5, 1.0), (5, 1.0)]);
-        assert_eq!(few, [0, 1, 0, 1, 1]);
-        assert_eq!(of(0, &[(5, 1.0)]), [0]);
-        assert_eq!(of(5, &[(1, f64::NAN), (1, -1.0)]).iter().sum::<u32>(), 5);
-    }
-
-    /// Guards the ceiling: whatever the claims, the parts are the whole and no more.
-    #[test]
-    fn parts_are_the_whole_for_any_claims() {
-        let mut random = fastrand::Rng::with_seed(1);
-        for _ in 0..20_000 {
-            let whole = random.u32(0..200);
-            let claims: Vec<Claim> = (0..random.usize(1..40))
-                .map(|_| Claim {
-                    need: random.u32(0..80),
-                    weight: random.f64() * 10.0 - 1.0,
-                })
-                .collect();
-            let parts = allocate(whole, &claims);
-            assert_eq!(parts.iter().sum::<u32>(), whole, "{whole} by {claims:?}");
-        }
-    }
-}
