--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,373 +1,306 @@
-//! A member's own part: what it may use of each budget now, and what it asks for. It trusts a share until its lease
-//! is over by its own clock, counted from before it asked, and not one moment longer.
+//! A member's side of the protocol: what it may use of each budget now, and when it requests a new lease. It uses a
+//! quota until the lease expires by its own clock, counted from before the request was sent, and not a moment longer.
+
 use crate::config::DISTANT_PAST;
 use crate::{Demand, Epoch, Holder, LeaseConfig, LeaseRequest, LeaseResponse, Nonce, MAX_BUDGETS};
 use cottondyke_types::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Parts of a lease after which it asks again, and after which it asks once more where no answer came.
-const RENEW: f64 = 0.25;
-const AGAIN: f64 = 0.1;
-/// A changed need or a share given back is told no sooner than this part of a lease after the last asking.
-const SOON: f64 = 0.01;
-/// Askings that may be unanswered; the oldest are forgotten.
-const MAX_ASKED: usize = 64;
+/// Fraction of a lease after which it is renewed.
+const RENEWAL_INTERVAL: f64 = 0.25;
+/// Fraction of a lease after which an unanswered request is followed by another one.
+const RETRY_INTERVAL: f64 = 0.1;
+/// Fraction of a lease that lies at least between two requests, also where a need changed or units were released.
+const MIN_REQUEST_INTERVAL: f64 = 0.01;
+/// Requests whose answers are awaited; answers to older ones are ignored.
+const MAX_UNANSWERED_REQUESTS: usize = 64;
 
-/// What a member sees of its own use of one budget.
+/// What a member observes of its own use of one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Units in use, those that linger among them.
+    /// Units in use, including those that a cancelled call may still occupy.
     pub in_use: u32,
+    /// Units that it could use, including those in use.
     pub needed: u32,
+    /// Value of one unit to this member, relative to the others.
     pub weight: f64,
 }
 
+/// What the last request stated of one budget.
+#[derive(Clone, Copy, Debug, Default)]
+struct StatedDemand {
+    needed: u32,
+    retained: u32,
+    epoch: Epoch,
+}
+
+/// The member's quota of one budget.
 #[derive(Clone, Debug)]
-struct Mine {
+struct HeldQuota {
     epoch: Epoch,
-    cap: u32,
-    /// The end of its lease. Only words that name it lengthen that: one about another budget, come in place of an
-    /// answer that was lost, must not revive what this one was before.
-    until: Time,
+    amount: u32,
+    /// Only responses that name this budget extend it: a notification about another budget that overtakes a lost answer
+    /// must not revive the quota from before the lease expired.
+    lease_expiry: Time,
     usage: Usage,
-    /// The most that was allowed since use was last told: so much may have been begun meanwhile.
-    allowed: u32,
-    /// What was last asked, to see what has changed.
-    said: (u32, u32, Epoch),
+    /// The largest amount allowed since usage was last recorded: so many units may have come into use meanwhile.
+    max_amount_since_usage: u32,
+    last_stated: StatedDemand,
 }
 
-impl Default for Mine {
+impl Default for HeldQuota {
     fn default() -> Self {
-        let (usage, never) = (Usage::default(), DISTANT_PAST);
-        Mine {
+        HeldQuota {
             epoch: Epoch::default(),
-            cap: 0,
-            until: never,
-            usage,
-            allowed: 0,
-            said: Default::default(),
+            amount: 0,
+            lease_expiry: DISTANT_PAST,
+            usage: Usage::default(),
+            max_amount_since_usage: 0,
+            last_stated: StatedDemand::default(),
         }
     }
 }
 
+impl HeldQuota {
+    fn demand(&self, budget: &str, draining: bool) -> Demand {
+        Demand {
+            budget: budget.to_string(),
+            needed: if draining {
+                0
+            } else {
+                self.usage.needed.max(self.usage.in_use)
+            },
+            weight: self.usage.weight,
+            retained: self
+                .amount
+                .max(self.usage.in_use)
+                .max(self.max_amount_since_usage),
+            epoch: self.epoch,
+        }
+    }
+
+    /// Whether the leader should know of this demand before the next renewal.
+    fn differs_from_last_stated(&self, demand: &Demand) -> bool {
+        let last = &self.last_stated;
+        // What was released under an earlier epoch does not count under a new one, and is stated again.
+        demand.epoch != last.epoch
+            || demand.retained < last.retained
+            || demand.needed > last.needed.max(self.amount)
+            || (demand.needed == 0) != (last.needed == 0)
+    }
+}
+
+/// A request, and when it was made.
+#[derive(Clone, Copy, Debug)]
+struct SentRequest {
+    nonce: Nonce,
+    sent_at: Time,
+}
+
+/// A member's leases on its quotas.
+///
+/// The caller sends what [`next_request`](Self::next_request) returns to the leader and passes the responses to
+/// [`handle_response`](Self::handle_response). [`next_timer`](Self::next_timer) says when to ask for a request again.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
-    me: Holder,
-    former: Option<u64>,
-    terms: LeaseConfig,
-    mine: BTreeMap<String, Mine>,
-    nonce: Nonce,
-    /// When each asking that is not answered yet was made.
-    asked: VecDeque<(Nonce, Time)>,
-    last: Option<Time>,
-    /// The last asking that was answered, and when it was made.
-    answered: (Nonce, Time),
-    leaving: bool,
-    hurried: bool,
+    holder: Holder,
+    previous_incarnation: Option<u64>,
+    config: LeaseConfig,
+    quotas: BTreeMap<String, HeldQuota>,
+    last_nonce: Nonce,
+    unanswered: VecDeque<SentRequest>,
+    last_sent_at: Option<Time>,
+    last_answered: SentRequest,
+    draining: bool,
+    renewal_hastened: bool,
 }
 
 impl LeaseHolder {
-    /// `former`: an earlier life of this name that is known to be over.
-    pub fn new(me: Holder, former: Option<u64>, terms: LeaseConfig) -> Self {
+    /// A member without any budget. `previous_incarnation` is an earlier incarnation of the same name whose process is
+    /// known to have ended.
+    pub fn new(holder: Holder, previous_incarnation: Option<u64>, config: LeaseConfig) -> Self {
         LeaseHolder {
-            me,
-            former,
-            terms,
-            mine: BTreeMap::new(),
-            nonce: Nonce(0),
-            asked: VecDeque::new(),
-            last: None,
-            answered: (Nonce(0), DISTANT_PAST),
-            leaving: false,
-            hurried: false,
+            holder,
+            previous_incarnation,
+            config,
+            quotas: BTreeMap::new(),
+            last_nonce: Nonce(0),
+            unanswered: VecDeque::new(),
+            last_sent_at: None,
+            last_answered: SentRequest {
+                nonce: Nonce(0),
+                sent_at: DISTANT_PAST,
+            },
+            draining: false,
+            renewal_hastened: false,
         }
     }
 
+    /// Under which identity this member holds its quotas.
     pub fn holder(&self) -> &Holder {
-        &self.me
+        &self.holder
     }
 
-    /// The budgets that are used here; others are given up.
+    /// Sets which budgets are used here; the quotas of others are dropped. Names beyond [`MAX_BUDGETS`] are ignored.
     pub fn set_budgets(&mut self, budgets: impl Iterator<Item = String>) {
         let names: Vec<String> = budgets.take(MAX_BUDGETS).collect();
-        self.mine.retain(|name, _| names.contains(name));
+        self.quotas.retain(|name, _| names.contains(name));
         for name in names {
-            self.mine.entry(name).or_default();
+            self.quotas.entry(name).or_default();
         }
     }
 
-    /// What is in use at this moment.
+    /// Records what is in use and needed at this moment.
     pub fn record_usage(&mut self, budget: &str, usage: Usage) {
-        if let Some(mine) = self.mine.get_mut(budget) {
-            (mine.usage, mine.allowed) = (usage, mine.cap);
+        if let Some(quota) = self.quotas.get_mut(budget) {
+            quota.usage = usage;
+            quota.max_amount_since_usage = quota.amount;
         }
     }
 
-    /// It needs nothing more, and gives back what falls free.
+    /// From now on this member needs nothing, and gives units back as they come out of use.
     pub fn release_all(&mut self) {
-        self.leaving = true;
+        self.draining = true;
     }
 
-    /// Units that may be in use now, lingering ones among them.
+    /// Units of a budget that may be in use now, including those that a cancelled call may still occupy.
     pub fn available(&self, now: Time, budget: &str) -> u32 {
-        self.mine
+        self.quotas
             .get(budget)
             .filter(|_| now < self.valid_until(budget))
-            .map_or(0, |mine| mine.cap)
+            .map_or(0, |quota| quota.amount)
     }
 
-    /// When what `ceiling` says ends by itself.
+    /// Until when [`available`](Self::available) stands unless a response changes it: the lease's expiry.
     pub fn valid_until(&self, budget: &str) -> Time {
-        if self.terms.safeguards.lease {
-            self.mine
+        if self.config.safeguards.lease {
+            self.quotas
                 .get(budget)
-                .map_or(DISTANT_PAST, |mine| mine.until)
+                .map_or(DISTANT_PAST, |quota| quota.lease_expiry)
         } else {
             Time::MAX
         }
     }
 
-    /// When the last of its leases ends.
+    /// When the last of its leases expires.
     pub fn lease_end(&self) -> Time {
-        self.mine
+        self.quotas
             .keys()
             .map(|budget| self.valid_until(budget))
             .max()
             .unwrap_or(DISTANT_PAST)
     }
 
+    /// The epoch of its quota of a budget; the lowest one where it has none.
     pub fn epoch(&self, budget: &str) -> Epoch {
-        self.mine
+        self.quotas
             .get(budget)
-            .map_or(Epoch::default(), |mine| mine.epoch)
-    }
-
-    /// All that it was ever granted is back.
-    pub fn empty(&self) -> bool {
-        self.mine
-            .values()
-            .all(|mine| mine.cap == 0 && mine.usage.in_use == 0)
-    }
-
-    fn want(&self, name: &str, mine: &Mine) -> Demand {
-        Demand {
-            budget: name.to_string(),
-            needed: if self.leaving {
-                0
-            } else {
-                mine.usage.needed.max(mine.usage.in_use)
-            },
-            weight: mine.usage.weight,
-            retained: mine.cap.max(mine.usage.in_use).max(mine.allowed),
-            epoch: mine.epoch,
-        }
+            .map_or(Epoch::default(), |quota| quota.epoch)
     }
 
-    /// The next asking is due soon: the last went to one who could not answer it.
+    /// Hastens the next request, since the last one went to a replica that could not answer it.
     pub fn renew_soon(&mut self) {
-        self.hurried = true;
+        self.renewal_hastened = true;
     }
 
-    /// When the next asking is due; it may be earlier where use changes.
+    /// When the next request is due at the latest. A change in usage can make it due earlier.
     pub fn next_timer(&self) -> Time {
-        let Some(last) = self.last else {
+        let Some(last_sent_at) = self.last_sent_at else {
             return DISTANT_PAST;
         };
-        let part = match self.asked.is_empty() {
-            _ if self.hurried => SOON,
-            true => RENEW,
-            false => AGAIN,
+        let interval = if self.renewal_hastened {
+            MIN_REQUEST_INTERVAL
+        } else if self.unanswered.is_empty() {
+            RENEWAL_INTERVAL
+        } else {
+            RETRY_INTERVAL
         };
-        last + self.terms.lease_duration.scaled(part)
+        last_sent_at + self.config.lease_duration.scaled(interval)
     }
 
-    /// An asking, where one is due: the time that its lease counts from is now, before it is sent.
+    /// A request, where one is due. Its lease counts from `now`, before it is sent.
     pub fn next_request(&mut self, now: Time) -> Option<LeaseRequest> {
-        if self.mine.is_empty() {
+        if self.quotas.is_empty() {
             return None;
         }
-        let wants: Vec<Demand> = self
-            .mine
+        let demands: Vec<Demand> = self
+            .quotas
             .iter()
-            .map(|(name, mine)| self.want(name, mine))
+            .map(|(name, quota)| quota.demand(name, self.draining))
             .collect();
-        let changed = self.mine.values().zip(&wants).any(|(mine, want)| {
-            let (need, holds, epoch) = mine.said;
-            // Under a new epoch nothing that was given back before counts.
-            want.epoch != epoch
-                || want.retained < holds
-                || want.needed > need.max(mine.cap)
-                || (want.needed == 0) != (need == 0)
+        let changed = self
+            .quotas
+            .values()
+            .zip(&demands)
+            .any(|(quota, demand)| quota.differs_from_last_stated(demand));
+        let interval_passed = self.last_sent_at.is_none_or(|last_sent_at| {
+            now >= last_sent_at + self.config.lease_duration.scaled(MIN_REQUEST_INTERVAL)
         });
-        let soon = self
-            .last
-            .is_none_or(|last| now >= last + self.terms.lease_duration.scaled(SOON));
-        if now < self.next_timer() && !(changed && soon) {
+        if now < self.next_timer() && !(changed && interval_passed) {
             return None;
         }
-        for (mine, want) in self.mine.values_mut().zip(&wants) {
-            mine.said = (want.needed, want.retained, want.epoch);
-        }
-        self.nonce.0 += 1;
-        self.last = Some(now);
-        self.hurried = false;
-        self.asked.push_back((self.nonce, now));
-        if self.asked.len() > MAX_ASKED {
-            self.asked.pop_front();
-        }
+        self.record_sent(now, &demands);
         Some(LeaseRequest {
-            holder: self.me.clone(),
-            nonce: self.nonce,
-            previous_incarnation: self.former,
-            demands: wants,
+            holder: self.holder.clone(),
+            nonce: self.last_nonce,
+            previous_incarnation: self.previous_incarnation,
+            demands,
         })
     }
 
-    /// What the leader told. A late, repeated or foreign word changes nothing for the worse: an answer counts once and
-    /// from its own asking, and under the epoch that is known a share only falls.
-    pub fn handle_response(&mut self, reply: &LeaseResponse) {
-        if reply.holder != self.me {
-            return;
+    fn record_sent(&mut self, now: Time, demands: &[Demand]) {
+        for (quota, demand) in self.quotas.values_mut().zip(demands) {
+            quota.last_stated = StatedDemand {
+                needed: demand.needed,
+                retained: demand.retained,
+                epoch: demand.epoch,
+            };
+        }
+        self.last_nonce.0 += 1;
+        self.last_sent_at = Some(now);
+        self.renewal_hastened = false;
+        self.unanswered.push_back(SentRequest {
+            nonce: self.last_nonce,
+            sent_at: now,
+        });
+        if self.unanswered.len() > MAX_UNANSWERED_REQUESTS {
+            self.unanswered.pop_front();
         }
-        if reply.nonce < self.answered.0 {
+    }
+
+    /// Takes in a response of the leader. Late, repeated and foreign ones do no harm: an answer counts once and from
+    /// when its own request was made, and under one epoch an amount only falls.
+    pub fn handle_response(&mut self, response: &LeaseResponse) {
+        if response.holder != self.holder || response.nonce < self.last_answered.nonce {
             return;
         }
-        if reply.nonce > self.answered.0 {
-            let Some(asked) = self.asked.iter().find(|(n, _)| *n == reply.nonce).copied() else {
+        if response.nonce > self.last_answered.nonce {
+            let answered = self
+                .unanswered
+                .iter()
+                .find(|request| request.nonce == response.nonce);
+            let Some(answered) = answered.copied() else {
                 return;
             };
-            self.answered = asked;
-            self.asked.retain(|(n, _)| *n > reply.nonce);
+            self.last_answered = answered;
+            self.unanswered
+                .retain(|request| request.nonce > response.nonce);
         }
-        let until = self.answered.1 + self.terms.lease_duration;
-        for told in &reply.granted {
-            let Some(mine) = self.mine.get_mut(&told.budget) else {
+        let lease_expiry = self.last_answered.sent_at + self.config.lease_duration;
+        for granted in &response.granted {
+            let Some(quota) = self.quotas.get_mut(&granted.budget) else {
                 continue;
             };
-            if told.epoch > mine.epoch {
-                (mine.epoch, mine.cap) = (told.epoch, told.amount);
-                mine.allowed = mine.allowed.max(mine.cap);
-            } else if told.epoch == mine.epoch {
-                mine.cap = mine.cap.min(told.amount);
+            if granted.epoch > quota.epoch {
+                quota.epoch = granted.epoch;
+                quota.amount = granted.amount;
+                quota.max_amount_since_usage = quota.max_amount_since_usage.max(quota.amount);
+            } else if granted.epoch == quota.epoch {
+                quota.amount = quota.amount.min(granted.amount);
             } else {
                 continue;
             }
-            mine.until = mine.until.max(until);
+            quota.lease_expiry = quota.lease_expiry.max(lease_expiry);
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{GrantedQuota, Safeguards};
-
-    fn shares() -> LeaseHolder {
-        let me = Holder {
-            name: "a".into(),
-            incarnation: 1,
-        };
-        let terms = LeaseConfig {
-            lease_duration: Time(30_000),
-            max_process_pause: Time(0),
-            safeguards: Safeguards::default(),
-        };
-        let mut shares = LeaseHolder::new(me, None, terms);
-        shares.set_budgets(["calls".to_string()].into_iter());
-        shares
-    }
-
-    fn told(shares: &mut LeaseHolder, nonce: Nonce, epoch: u64, amount: u32) {
-        let told = vec![GrantedQuota {
-            budget: "calls".into(),
-            epoch: Epoch(epoch),
-            amount,
-        }];
-        shares.handle_response(&LeaseResponse {
-            holder: shares.holder().clone(),
-            nonce,
-            granted: told,
-        });
-    }
-
-    /// Guards the ceiling: calls begun after use was last told, and before the share shrank, are not given back.
-    #[test]
-    fn what_may_have_begun_since_use_was_told_is_not_given_back() {
-        let mut shares = shares();
-        let first = shares.next_request(Time(0)).unwrap().nonce;
-        told(&mut shares, first, 1, 8);
-        shares.record_usage(
-            "calls",
-            Usage {
-                in_use: 2,
-                needed: 8,
-                weight: 1.0,
-            },
-        );
-        // Six more begin here, and before they are told of the share shrinks.
-        told(&mut shares, first, 1, 2);
-        assert_eq!(shares.available(Time(1), "calls"), 2);
-        assert_eq!(
-            shares.next_request(Time(29_000)).unwrap().demands[0].retained,
-            8
-        );
-        shares.record_usage(
-            "calls",
-            Usage {
-                in_use: 5,
-                needed: 8,
-                weight: 1.0,
-            },
-        );
-        assert_eq!(
-            shares.next_request(Time(59_000)).unwrap().demands[0].retained,
-            5
-        );
-    }
-
-    /// Guards the ceiling: a lease counts from its asking, an old answer is worth nothing, an epoch only falls.
-    #[test]
-    fn answers_count_once_and_from_their_asking() {
-        let mut shares = shares();
-        let first = shares.next_request(Time(0)).unwrap().nonce;
-        let second = shares.next_request(Time(10_000)).unwrap().nonce;
-        told(&mut shares, second, 2, 4);
-        told(&mut shares, first, 1, 9);
-        told(&mut shares, second, 2, 9);
-        assert_eq!(shares.available(Time(39_999), "calls"), 4);
-        assert_eq!(shares.available(Time(40_000), "calls"), 0);
-        // No asking bears this number.
-        told(&mut shares, Nonce(99), 3, 9);
-        assert_eq!(shares.available(Time(39_999), "calls"), 4);
-    }
-
-    /// Guards the ceiling: a holder comes back, the answer to its asking is lost, and a word about another budget comes
-    /// with the asking's number.
-    #[test]
-    fn a_word_about_one_budget_does_not_lengthen_the_lease_of_another() {
-        let mut shares = shares();
-        shares.set_budgets(["beside", "calls"].map(String::from).into_iter());
-        let first = shares.next_request(Time(0)).unwrap().nonce;
-        told(&mut shares, first, 1, 8);
-        let second = shares.next_request(Time(60_000)).unwrap().nonce;
-        let beside = GrantedQuota {
-            budget: "beside".into(),
-            epoch: Epoch(2),
-            amount: 3,
-        };
-        shares.handle_response(&LeaseResponse {
-            holder: shares.holder().clone(),
-            nonce: second,
-            granted: vec![beside],
-        });
-        assert_eq!(
-            (
-                shares.available(Time(60_001), "beside"),
-                shares.available(Time(60_001), "calls")
-            ),
-            (3, 0)
-        );
-        told(&mut shares, second, 4, 5);
-        assert_eq!(shares.available(Time(60_001), "calls"), 5);
-    }
-}
