--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,97 +1,131 @@
-//! From the wire's values to the decider's.
-use cottondyke_admission::*;
-use cottondyke_settings::{maybe_number, number, present, text, whole, WireNames, Wrong};
+//! From the wire's values to the controller's.
+
+use crate::error::AdapterError;
+use cottondyke_admission::{
+    Arrival, CallOutcome, CallerId, HandlerId, LoadSample, RequestId, RunOutcome, TenantId, Time,
+};
+use cottondyke_settings::{maybe_number, number, present, text, unsigned, WireNames};
 use serde_json::Value;
 
-/// Whole tenths, rounded down: no due time is lengthened.
-fn tenths(ms: f64) -> Time {
-    Time((ms * 10.0).floor().clamp(-1e15, 1e15) as i64)
+/// Tenths of a millisecond in one millisecond.
+const TENTHS_PER_MS: f64 = 10.0;
+/// The longest time that is read, in tenths of a millisecond.
+const MAX_TIME: f64 = 1e15;
+/// The flag of an arrival whose cost hint counts.
+const HAS_COST_HINT: u64 = 1;
+/// The flag of an arrival that is a retry.
+const IS_RETRY: u64 = 2;
+
+/// Rounded down, so that no deadline is lengthened.
+fn rounded_down(milliseconds: f64) -> Time {
+    let tenths = (milliseconds * TENTHS_PER_MS).floor();
+    Time(tenths.clamp(-MAX_TIME, MAX_TIME) as i64)
 }
 
-pub fn span(of: &Value, key: &str) -> Result<Time, Wrong> {
-    Ok(tenths(number(of, key)?))
+pub(crate) fn duration(event: &Value, key: &str) -> Result<Time, AdapterError> {
+    Ok(rounded_down(number(event, key)?))
 }
 
-pub fn clock(batch: &Value) -> Result<Time, Wrong> {
-    Ok(Time(
-        (number(batch, "sim_time_ms")? * 10.0)
-            .ceil()
-            .clamp(-1e15, 1e15) as i64,
-    ))
+pub(crate) fn batch_time(batch: &Value) -> Result<Time, AdapterError> {
+    let tenths = (number(batch, "sim_time_ms")? * TENTHS_PER_MS).ceil();
+    Ok(Time(tenths.clamp(-MAX_TIME, MAX_TIME) as i64))
 }
 
-pub fn req(event: &Value) -> Result<RequestId, Wrong> {
-    Ok(RequestId(id(whole(event, "msg_id")?, "msg_id")?))
+pub(crate) fn request_id(event: &Value) -> Result<RequestId, AdapterError> {
+    id(event, "msg_id")
 }
 
-fn id(number: u64, key: &str) -> Result<u32, Wrong> {
-    u32::try_from(number).map_err(|_| format!("{key} is past 32 bits"))
+fn id(event: &Value, key: &'static str) -> Result<RequestId, AdapterError> {
+    let number = u32::try_from(unsigned(event, key)?);
+    let number = number.map_err(|_| AdapterError::IdTooLarge { key })?;
+    Ok(RequestId(number))
 }
 
-pub fn arrival(event: &Value, handlers: usize) -> Result<Arrival, Wrong> {
-    let flags = present(event, "flags").and_then(Value::as_u64).unwrap_or(0);
-    let hint = maybe_number(event, "cost_ms")?.filter(|ms| flags & 1 != 0 && *ms > 0.0);
-    let repeats = present(event, "same_as")
-        .map(|_| whole(event, "same_as"))
-        .transpose()?
-        .filter(|n| *n != 0);
-    let handler = whole(event, "category")? as usize;
-    if handler >= handlers {
-        return Err(format!("category {handler} is past the list of classes"));
-    }
-    // Lying time is rounded up and the wait down, so that both ends of a due time come early.
-    let lay = maybe_number(event, "lay_ms")?.unwrap_or(0.0);
-    let lay = Time((lay * 10.0).ceil().clamp(0.0, 1e15) as i64);
+pub(crate) fn arrival(event: &Value, handlers: usize) -> Result<Arrival, AdapterError> {
+    let flags = present(event, "flags").and_then(Value::as_u64);
+    let flags = flags.unwrap_or(0);
+    let hint = maybe_number(event, "cost_ms")?;
+    let hint = hint.filter(|ms| flags & HAS_COST_HINT != 0 && *ms > 0.0);
+    let duplicate_of = duplicate_of(event)?;
+    let handler = handler(event, handlers)?;
+    let queueing_delay = queueing_delay(event)?;
     Ok(Arrival {
-        id: req(event)?,
-        handler: HandlerId(handler),
+        id: request_id(event)?,
+        handler,
         tenant: present(event, "client_group")
             .and_then(Value::as_u64)
             .map(|n| TenantId(n as usize)),
         caller: present(event, "by").and_then(Value::as_u64).map(CallerId),
-        cost_hint: hint.map(tenths),
-        is_retry: flags & 2 != 0,
-        duplicate_of: repeats
-            .map(|n| id(n, "same_as"))
-            .transpose()?
-            .map(RequestId),
+        cost_hint: hint.map(rounded_down),
+        is_retry: flags & IS_RETRY != 0,
+        duplicate_of: duplicate_of.map(checked_duplicate).transpose()?,
         memory_kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
-        queueing_delay: lay,
-        observed_delay: lay,
+        queueing_delay,
+        observed_delay: queueing_delay,
         client_wait: maybe_number(event, "grace_ms")?
             .filter(|ms| *ms > 0.0)
-            .map(tenths),
+            .map(rounded_down),
     })
 }
 
-pub fn run_end(event: &Value) -> Result<RunOutcome, Wrong> {
+/// The number of the request that this one repeats; 0 stands for none.
+fn duplicate_of(event: &Value) -> Result<Option<u64>, AdapterError> {
+    let key = "same_as";
+    let number = present(event, key).map(|_| unsigned(event, key));
+    Ok(number.transpose()?.filter(|n| *n != 0))
+}
+
+fn checked_duplicate(number: u64) -> Result<RequestId, AdapterError> {
+    let number = u32::try_from(number);
+    let number = number.map_err(|_| AdapterError::IdTooLarge { key: "same_as" })?;
+    Ok(RequestId(number))
+}
+
+fn handler(event: &Value, handlers: usize) -> Result<HandlerId, AdapterError> {
+    let category = unsigned(event, "category")? as usize;
+    if category >= handlers {
+        return Err(AdapterError::UnknownHandler { category });
+    }
+    Ok(HandlerId(category))
+}
+
+/// Rounded up, while the client's wait is rounded down, so that both ends of a deadline come early.
+fn queueing_delay(event: &Value) -> Result<Time, AdapterError> {
+    let milliseconds = maybe_number(event, "lay_ms")?.unwrap_or(0.0);
+    let tenths = (milliseconds * TENTHS_PER_MS).ceil();
+    Ok(Time(tenths.clamp(0.0, MAX_TIME) as i64))
+}
+
+pub(crate) fn run_outcome(event: &Value) -> Result<RunOutcome, AdapterError> {
     match text(event, "ending")? {
         "delivered" => Ok(RunOutcome::Completed),
         "app_error" => Ok(RunOutcome::Failed),
         "revoked" => Ok(RunOutcome::Cancelled),
         "unused" => Ok(RunOutcome::NotStarted),
-        other => Err(format!("unknown ending {other} of a run")),
+        other => Err(AdapterError::UnknownRunEnding {
+            ending: other.to_string(),
+        }),
     }
 }
 
-pub fn call_end(event: &Value) -> Result<CallOutcome, Wrong> {
+pub(crate) fn call_outcome(event: &Value) -> Result<CallOutcome, AdapterError> {
     match text(event, "ending")? {
         "delivered" => Ok(CallOutcome::Completed),
         "shed" | "dial_failed" | "unused" => Ok(CallOutcome::NotExecuted),
         "app_error" => Ok(CallOutcome::Failed),
         "expired" | "dropped" | "revoked" => Ok(CallOutcome::Indeterminate),
-        other => Err(format!("unknown ending {other} of a call")),
+        other => Err(AdapterError::UnknownCallEnding {
+            ending: other.to_string(),
+        }),
     }
 }
 
-pub fn gauges(event: &Value, names: &WireNames) -> Result<LoadSample, Wrong> {
-    let row = event
-        .get("usage")
-        .and_then(Value::as_array)
-        .ok_or("usage is missing or not a row")?;
-    let at = |place: Option<usize>| row.get(place?).and_then(Value::as_f64);
+pub(crate) fn load_sample(event: &Value, names: &WireNames) -> Result<LoadSample, AdapterError> {
+    let row = event.get("usage").and_then(Value::as_array);
+    let row = row.ok_or(AdapterError::MissingUsage)?;
+    let gauge = |column: Option<usize>| row.get(column?).and_then(Value::as_f64);
     Ok(LoadSample {
-        cpu_utilization: at(names.cpu_utilization_column),
-        runnable_tasks: at(names.runnable_tasks_column),
+        cpu_utilization: gauge(names.cpu_utilization_column),
+        runnable_tasks: gauge(names.runnable_tasks_column),
     })
 }
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,52 +1,68 @@
-//! From the decider's results to the wire's actions, in the results' documented order.
-use cottondyke_admission::*;
+//! From the controller's actions to the wire's commands, in the documented order of the actions.
+
+use cottondyke_admission::{Actions, RequestId, Time};
 use serde_json::{json, Value};
 
-/// The wire takes no shorter one.
-const SHORTEST_IDLE_MS: f64 = 10.0;
+/// The shortest idle timeout that the wire takes.
+const MIN_IDLE_TIMEOUT_MS: f64 = 10.0;
 
-fn ms(time: Time) -> f64 {
+fn milliseconds(time: Time) -> f64 {
     time.0 as f64 / 10.0
 }
 
-pub fn results(who: &str, actions: Actions, to: &mut Vec<Value>) {
-    let on = |word: &str, id: RequestId| json!({ "cmd": word, "who": who, "msg_id": id.0 });
-    to.extend(actions.cancel.iter().map(|id| on("Preempt", *id)));
-    to.extend(actions.fail.iter().map(|id| on("ReportFailure", *id)));
+/// Appends the commands for an instance.
+pub(crate) fn encode_actions(instance: &str, actions: &Actions, commands: &mut Vec<Value>) {
+    let command =
+        |name: &str, id: RequestId| json!({ "cmd": name, "who": instance, "msg_id": id.0 });
+    let with_time = |name: &str, (id, time): &(RequestId, Time), key: &str| {
+        let mut command = command(name, *id);
+        command[key] = json!(milliseconds(*time));
+        command
+    };
+    commands.extend(actions.cancel.iter().map(|id| command("Preempt", *id)));
+    commands.extend(actions.fail.iter().map(|id| command("ReportFailure", *id)));
     for rejection in &actions.reject {
-        let mut action = on("Deny", rejection.id);
+        let mut deny = command("Deny", rejection.id);
         if rejection.retry_after.0 > 0 {
-            action["pause_ms"] = json!(ms(rejection.retry_after));
+            deny["pause_ms"] = json!(milliseconds(rejection.retry_after));
         }
         if rejection.do_not_retry {
-            action["terminal"] = json!(true);
+            deny["terminal"] = json!(true);
         }
-        to.push(action);
-    }
-    for (id, time) in &actions.retain_key {
-        let mut action = on("Keep", *id);
-        action["hold_for_ms"] = json!(ms(*time));
-        to.push(action);
-    }
-    to.extend(actions.release_key.iter().map(|id| on("ReleaseKey", *id)));
-    to.extend(actions.start.iter().map(|id| on("Dispatch", *id)));
-    to.extend(actions.coalesce.iter().map(|id| on("Join", *id)));
-    for (id, time) in &actions.call {
-        let mut action = on("ReachOut", *id);
-        action["cap_ms"] = json!(ms(*time));
-        to.push(action);
+        commands.push(deny);
     }
-    to.extend(actions.skip_call.iter().map(|id| on("Degrade", *id)));
-    if let Some(good) = actions.health {
-        to.push(json!({ "cmd": "Health", "who": who, "stored": true, "want": good }));
+    let keep = |key: &(RequestId, Time)| with_time("Keep", key, "hold_for_ms");
+    commands.extend(actions.retain_key.iter().map(keep));
+    commands.extend(
+        actions
+            .release_key
+            .iter()
+            .map(|id| command("ReleaseKey", *id)),
+    );
+    commands.extend(actions.start.iter().map(|id| command("Dispatch", *id)));
+    commands.extend(actions.coalesce.iter().map(|id| command("Join", *id)));
+    let reach_out = |call: &(RequestId, Time)| with_time("ReachOut", call, "cap_ms");
+    commands.extend(actions.call.iter().map(reach_out));
+    commands.extend(actions.skip_call.iter().map(|id| command("Degrade", *id)));
+    encode_server_actions(instance, actions, commands);
+}
+
+/// What concerns the server and no request.
+fn encode_server_actions(instance: &str, actions: &Actions, commands: &mut Vec<Value>) {
+    if let Some(healthy) = actions.health {
+        commands.push(json!({ "cmd": "Health", "who": instance, "stored": true, "want": healthy }));
     }
     if let Some(level) = actions.advice {
-        to.push(json!({ "cmd": "HintOut", "who": who, "level": level }));
+        commands.push(json!({ "cmd": "HintOut", "who": instance, "level": level }));
     }
     if let Some(time) = actions.idle_timeout {
-        to.push(json!({ "cmd": "TrimAfter", "who": who, "hold_for_ms": ms(time).max(SHORTEST_IDLE_MS) }));
+        let timeout = milliseconds(time).max(MIN_IDLE_TIMEOUT_MS);
+        commands.push(json!({ "cmd": "TrimAfter", "who": instance, "hold_for_ms": timeout }));
     }
     if let Some(time) = actions.next_tick {
-        to.push(json!({ "cmd": "WakeMe", "who": who, "delay_ms": ms(time), "key_back": "look" }));
+        let delay = milliseconds(time);
+        commands.push(
+            json!({ "cmd": "WakeMe", "who": instance, "delay_ms": delay, "key_back": "look" }),
+        );
     }
 }
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -197,7 +197,7 @@
 }
 
 fn shutdown_timeout(document: &Value) -> Result<Duration, ConfigError> {
-    let ms = settings::whole(document, "stop_ms").map_err(ConfigError::value)?;
+    let ms = settings::unsigned(document, "stop_ms").map_err(ConfigError::value)?;
     Ok(Duration::from_millis(ms))
 }
 
@@ -205,7 +205,7 @@
 fn limits(document: &Value) -> Result<(u64, u64), ConfigError> {
     let limits = object(document, "limits")?;
     let whole = |key| {
-        settings::whole(limits, key).map_err(|error| ConfigError::value(error).within("limits"))
+        settings::unsigned(limits, key).map_err(|error| ConfigError::value(error).within("limits"))
     };
     let sockets = whole("sockets")?;
     let memory_mb = whole("memory_mb")?;
