--- /dev/null
+++ b/crates/admission/tests/decide/concurrency.rs
@@ -0,0 +1,99 @@
+//! How many requests run.
+use crate::server_model::*;
+use crate::workloads::*;
+use cottondyke_admission::*;
+
+#[test]
+fn runs_fewer_requests_while_arrivals_wait_unread() {
+    // A slowed server went on to run requests that it read when nobody waited any more.
+    for (delay, running) in [(0, CORES), (6500, 1)] {
+        let mut server = ServerModel::new(DEFAULT_SETUP);
+        arrive(&mut server, 4, Time(delay));
+        assert_eq!(server.count(State::Running), running, "delay {delay}");
+    }
+}
+
+#[test]
+fn raises_the_limit_when_runs_wait_for_the_disk_and_not_when_the_gauge_is_late() {
+    // The gauge looks back, so a rush on idle cores raised the limit to runs that slow each other.
+    for (count, grows) in [(6, false), (40, true)] {
+        let mut server = ServerModel::new(DEFAULT_SETUP);
+        arrive(&mut server, 6, Time(0));
+        tick_repeatedly(&mut server, count, RESPONSE_TARGET.scaled(0.06), 0.5);
+        assert_eq!(
+            server.count(State::Running) > CORES,
+            grows,
+            "after {count} samples"
+        );
+    }
+}
+
+#[test]
+fn runs_cancellable_requests_past_the_ceiling_while_others_wait_for_the_disk() {
+    // No more ran than may be on the cores at once: with long waits for the disk fast cores stood half idle.
+    let ceiling = (CORES as f64 * OVERLOAD_FACTOR * 0.85) as usize;
+    for (handler, runnable_tasks, passes) in [
+        (0, Some(1.0), true),
+        (0, None, false),
+        (2, Some(1.0), false),
+    ] {
+        let mut server = ServerModel::new(DEFAULT_SETUP);
+        server.runnable_tasks = runnable_tasks;
+        for _ in 0..10 {
+            for _ in 0..3 {
+                server.arrive(handler, Time(0), CLIENT_TIMEOUT, None);
+            }
+            tick_repeatedly(&mut server, 1, RESPONSE_TARGET.scaled(0.06), 0.1);
+        }
+        let running = server.count(State::Running);
+        assert_eq!(
+            running > ceiling,
+            passes,
+            "{running} of handler {handler}, runnable {runnable_tasks:?}"
+        );
+        assert!(
+            running >= ceiling,
+            "{running} of handler {handler}, runnable {runnable_tasks:?}"
+        );
+        // All come back to the cores: at the next sample those past the ceiling are cancelled.
+        server.runnable_tasks = runnable_tasks.map(|_| running as f64);
+        tick_repeatedly(&mut server, 1, RESPONSE_TARGET.scaled(0.06), 1.0);
+        assert_eq!(
+            server.count(State::Running),
+            ceiling,
+            "handler {handler}, runnable {runnable_tasks:?}"
+        );
+    }
+}
+
+#[test]
+fn admits_arrivals_while_runs_wait_for_the_disk() {
+    // A run whose cores stood idle was taken for work: two waits for the disk got all arrivals rejected.
+    let mut server = ServerModel::new(DEFAULT_SETUP);
+    for _ in 0..8 {
+        run_all(&mut server, &[0, 0], 12, Time(500), 0.1);
+    }
+    assert!(server.rejections.is_empty(), "{:?}", server.rejections);
+    arrive(&mut server, 2, Time(0));
+    tick_repeatedly(&mut server, 4, Time(500), 0.1);
+    arrive(&mut server, 1, Time(0));
+    assert!(
+        server.rejections.is_empty(),
+        "an arrival beside two runs at the disk was rejected: {:?}",
+        server.rejections
+    );
+    // They passed for use of the cores: one handler, its runs once slow, was rejected for good.
+    let mut server = ServerModel::new(DEFAULT_SETUP);
+    for _ in 0..8 {
+        run_all(&mut server, &[0; 4], 17, Time(500), 0.2);
+    }
+    server.rejections.clear();
+    for _ in 0..8 {
+        run_all(&mut server, &[0, 0, 2], 30, Time(500), 0.2);
+    }
+    assert!(
+        server.rejections.is_empty(),
+        "rejected beside two runs at the disk: {:?}",
+        server.rejections
+    );
+}
--- a/crates/admission/tests/decide/golden.rs
+++ b/crates/admission/tests/decide/golden.rs
@@ -1,6 +1,6 @@
 //! Digests of all results over long fixed runs: they change with any change of what is decided.
-use crate::rules::{set, step};
-use crate::world::*;
+use crate::invariants::{setup, step};
+use crate::server_model::*;
 use cottondyke_admission::*;
 
 const STEPS: u64 = 2000;
@@ -82,18 +82,18 @@
 
 /// `choice` as in the rules' random runs. Every other run has told callers and a gauge on the cores.
 fn run(choice: u16, seed: u64) -> Digest {
-    let (mut world, mut draws) = (World::new(set(choice)), Draws(seed));
+    let (mut world, mut draws) = (ServerModel::new(setup(choice)), Draws(seed));
     for place in 0..STEPS {
         let (kind, a, b) = (draws.next() as u8, draws.next(), draws.next());
         if seed.is_multiple_of(2) {
             world.caller = Some(CallerId(u64::from(draws.next() % 400)));
-            world.seen = Some((world.count(State::OnCore) as f64).min(3.0));
+            world.runnable_tasks = Some((world.count(State::Running) as f64).min(3.0));
         }
         // An end that the rules' steps lack: nothing started, and the server answered by itself.
-        let void = place % 50 == 7 && !world.frozen;
-        if let Some(id) = world.ids(State::OnCore).first().filter(|_| void) {
-            world.reqs.get_mut(id).unwrap().answered = true;
-            world.end(*id, RunOutcome::NotStarted);
+        let void = place % 50 == 7 && !world.cores_frozen;
+        if let Some(id) = world.in_state(State::Running).first().filter(|_| void) {
+            world.requests.get_mut(id).unwrap().answered = true;
+            world.end_run(*id, RunOutcome::NotStarted);
         }
         match kind % 16 {
             _ if place == STEPS - LAST => step(&mut world, (12, 0, 0)),
@@ -101,10 +101,10 @@
             _ => step(&mut world, (kind, a, b)),
         }
     }
-    assert!(world.left.is_some());
+    assert!(world.draining.is_some());
     let (sum, counts) = (0xcbf2_9ce4_8422_2325, [0; 13]);
     let mut digest = Digest { sum, counts };
-    world.results.iter().for_each(|results| digest.add(results));
+    world.actions.iter().for_each(|results| digest.add(results));
     digest
 }
 
--- a/crates/admission/tests/decide/main.rs
+++ b/crates/admission/tests/decide/main.rs
@@ -1,11 +1,12 @@
-#![expect(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    reason = "tables of cases and long scenarios"
-)]
+//! Tests of the decisions, on a model of a server that carries them out.
 
+mod admission;
+mod advice;
+mod calls;
+mod concurrency;
+mod config;
 mod golden;
-mod plain;
-mod rules;
-mod world;
+mod invariants;
+mod server_model;
+mod termination;
+mod workloads;
--- /dev/null
+++ b/crates/admission/tests/decide/workloads.rs
@@ -0,0 +1,92 @@
+//! Workloads that several tests share.
+use crate::server_model::*;
+use cottondyke_admission::*;
+
+/// A call from its start to its end.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CallSpan {
+    pub(crate) began_at: Time,
+    pub(crate) ended_at: Time,
+}
+
+/// So many requests for the idempotent handler arrive, each after waiting `queueing_delay` to be read.
+pub(crate) fn arrive(server: &mut ServerModel, count: usize, queueing_delay: Time) {
+    for _ in 0..count {
+        server.arrive(0, queueing_delay, CLIENT_TIMEOUT, None);
+    }
+}
+
+/// So many ticks, each `interval` after the one before.
+pub(crate) fn tick_repeatedly(
+    server: &mut ServerModel,
+    count: usize,
+    interval: Time,
+    cpu_utilization: f64,
+) {
+    for _ in 0..count {
+        server.now += interval;
+        server.tick(cpu_utilization);
+    }
+}
+
+/// Runs of these handlers that take so many ticks, with so little of the cores.
+pub(crate) fn run_all(
+    server: &mut ServerModel,
+    handlers: &[usize],
+    ticks: usize,
+    interval: Time,
+    cpu_utilization: f64,
+) {
+    let arrive = |h: &usize| server.arrive(*h, Time(0), CLIENT_TIMEOUT, None);
+    let ids: Vec<RequestId> = handlers.iter().map(arrive).collect();
+    tick_repeatedly(server, ticks, interval, cpu_utilization);
+    for id in ids {
+        server.end_run(id, RunOutcome::Completed);
+    }
+}
+
+/// Requests of so many callers in turn; of none that says who it is where `callers` is 0.
+pub(crate) fn run_in_turn(server: &mut ServerModel, callers: u64, count: u64, run_time: Time) {
+    for turn in 0..count {
+        server.caller = (callers > 0).then(|| CallerId(turn % callers));
+        run_all(server, &[0], 1, run_time, 0.5);
+    }
+}
+
+/// Calls one after the other for `duration`, each as long as `call_time` or as it may be.
+pub(crate) fn calls_in_a_row(
+    server: &mut ServerModel,
+    call_time: Time,
+    duration: Time,
+) -> Vec<CallSpan> {
+    let end = server.now + duration;
+    let mut spans = Vec::new();
+    while server.now < end {
+        if server.count(State::AwaitingCall) == 0 {
+            arrive(server, 1, Time(0));
+            server.all_want_calls();
+        }
+        let began_at = server.now;
+        let Some(id) = server.in_state(State::Calling).first().copied() else {
+            server.advance(call_time.min(Time(100)));
+            continue;
+        };
+        let timeout = *server.call_timeouts.last().unwrap();
+        server.advance(call_time.min(timeout));
+        let is_in_time = call_time < timeout;
+        server.end_call(
+            id,
+            if is_in_time {
+                CallOutcome::Completed
+            } else {
+                CallOutcome::Indeterminate
+            },
+        );
+        for id in server.in_state(State::Running) {
+            server.end_run(id, RunOutcome::Completed);
+        }
+        let ended_at = server.now;
+        spans.push(CallSpan { began_at, ended_at });
+    }
+    spans
+}
