--- a/crates/admission/src/caller_table.rs
+++ b/crates/admission/src/caller_table.rs
@@ -40,8 +40,8 @@
     /// Notes that a caller was seen. A new one is not tracked past `max_tracked`. The gap before a caller's first
     /// request is taken to be the mean gap of all expected callers.
     pub(crate) fn count_request(&mut self, now: Time, caller: CallerId, max_tracked: f64) {
-        let has_room = self.last_seen.len() as f64 + 1.0 <= max_tracked;
-        if !has_room && !self.last_seen.contains_key(&caller) {
+        let has_capacity = self.last_seen.len() as f64 + 1.0 <= max_tracked;
+        if !has_capacity && !self.last_seen.contains_key(&caller) {
             return;
         }
         let requests = self.gaps.counts(now).iter().sum::<f64>() + 1.0;
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -12,7 +12,7 @@
     /// The run is discarded.
     Drop,
     /// The run is suspended; its request counts as failed.
-    Pause,
+    Suspend,
 }
 
 /// How callers read the load advice.
--- a/crates/admission/src/inputs.rs
+++ b/crates/admission/src/inputs.rs
@@ -3,12 +3,11 @@
 use crate::actions::Actions;
 use crate::arrival::{Arrival, CallOutcome, LoadSample, RunOutcome};
 use crate::controller::AdmissionController;
-use crate::handler::Handler;
 use crate::policy::concurrency_limit::SAMPLE_INTERVAL;
 use crate::policy::cost_estimator::base_cost;
 use crate::policy::load::ANSWER_FRACTION;
 use crate::request::{Drain, Phase, RequestRecord};
-use cottondyke_types::{Idempotency, RequestId, Time};
+use cottondyke_types::{RequestId, Time};
 
 impl AdmissionController {
     /// A request was read. One for an unknown handler is ignored.
@@ -27,27 +26,11 @@
         self.priorities.count_offered(now, &request);
         self.termination.losses.add_arrival(now);
         self.advisor.count_arrival(now, &arrival);
-        self.retain_key(now, &request, &handler, &mut actions);
+        self.retain_key(now, &request, &mut actions);
         self.requests.insert(request);
         self.settle(now, actions)
     }
 
-    fn retain_key(
-        &mut self,
-        now: Time,
-        request: &RequestRecord,
-        handler: &Handler,
-        actions: &mut Actions,
-    ) {
-        let expires_at = request.arrived_at + handler.dedup_window;
-        let is_first =
-            handler.idempotency == Idempotency::Keyed && request.arrival.duplicate_of.is_none();
-        if is_first && expires_at > now {
-            actions.retain_key.push((request.id(), expires_at - now));
-            self.dedup_keys.insert(request.id(), expires_at);
-        }
-    }
-
     /// The run of a request ended.
     pub fn run_ended(&mut self, now: Time, id: RequestId, outcome: RunOutcome) -> Actions {
         self.advance(now);
@@ -102,7 +85,7 @@
         self.settle(now, Actions::default())
     }
 
-    /// The server was told to shut down within `time_left`.
+    /// The server is to shut down within `time_left`.
     pub fn drain(&mut self, now: Time, time_left: Time) -> Actions {
         self.advance(now);
         let answer_by = now + time_left.scaled(ANSWER_FRACTION) - self.schedule.resolution;
@@ -143,12 +126,7 @@
         self.concurrency
             .adjust(now, sample, any_queued, on_core, target);
         actions.idle_timeout = self.advisor.callers.update_idle_timeout(now);
-        // A cancellation while the cores are frozen has no effect: it is asked for again.
-        let answered = self
-            .requests
-            .on_core()
-            .filter(|r| r.answered && self.is_cancellable(r));
-        actions.cancel = answered.map(|r| r.id()).collect();
+        actions.cancel = self.repeated_cancellations();
     }
 
     /// Accounts for the time since the last input.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -23,6 +23,7 @@
 mod request;
 mod request_table;
 mod tick_schedule;
+mod transitions;
 mod value_ledger;
 mod windows;
 
--- a/crates/admission/src/policy/call_limiter.rs
+++ b/crates/admission/src/policy/call_limiter.rs
@@ -2,15 +2,15 @@
 use super::cost_estimator::EWMA_WEIGHT;
 use crate::{call_occupancy::CallOccupancy, call_times::CallTimes, CallConfig, CallOutcome, Time};
 
-const SHARE_FRACTION: f64 = 0.9; // part of the told share of calls that is used
+const SHARE_FRACTION: f64 = 0.9; // part of this server's share of calls that is used
 const PATIENCE: f64 = 4.0; // multiple of its usual time at which a call is slow, or may be abandoned
 const SINGLE_PATIENCE: f64 = 3.0; // multiple of that where the dependency is shared and the limit stands
 const SINGLE_SLOW: f64 = 2.0; // multiple of its usual time at which a call is slow, with one at a time
 const BACK_OFF: f64 = 0.85; // of the limit that stays after a call failed or was slow
-const MAX_BACK_OFF: f64 = 0.5; // the least that stays where the limit is under one
+const MAX_BACK_OFF: f64 = 0.5; // the minimum that stays where the limit is under one
 const MAX_CALLS_PER_CORE: f64 = 4.0;
 const SPARE_FRACTION: f64 = 0.8; // part of the maximum that the limit keeps while nearly all calls succeed
-const MIN_SHARE: f64 = 0.25; // least of the told share that is used, where calls crowd the dependency
+const MIN_SHARE: f64 = 0.25; // minimum of the share that is used, where calls crowd the dependency
 const RECENT_WEIGHT: f64 = 0.25; // of the newest in the recent time of calls
 
 /// Limits the calls to a dependency.
--- a/crates/admission/src/policy/caller_tracker.rs
+++ b/crates/admission/src/policy/caller_tracker.rs
@@ -1,8 +1,8 @@
 //! Who sends requests here, and how long idle connections stay open.
 use crate::{caller_table::CallerTable, histograms::GAP_BINS, CallerConfig, CallerId, Time};
 
-const TRACKED_FACTOR: f64 = 4.0; // callers tracked, times those told at start: the table's bound
-const MIN_TRACKED: f64 = 4096.0; // the least bound of that table, where few or none are told
+const TRACKED_FACTOR: f64 = 4.0; // callers tracked, times those expected: the table's bound
+const MIN_TRACKED: f64 = 4096.0; // the minimum of that bound, where few or none are expected
 const FEW_CALLERS: f64 = 256.0; // connections that any server bears: where no more callers are, all stay open
 const GAP_BIN_MIDDLE: f64 = 0.75; // of a bin's upper bound
 const CONNECT_COST: f64 = 0.15; // of the time callers leave connections idle, for which one costs a new one
@@ -19,15 +19,15 @@
         CallerTracker { config, table: CallerTable::new(now, config), idle_timeout: config.max_idle }
     }
 
-    /// Bounded: past its bound a new caller is not tracked, and the count stays there; on sockets none are
-    /// told beside callers seen, which held it at four.
+    /// Bounded: past its bound a new caller is not tracked, and the count stays there. On sockets no callers
+    /// are expected, which limited it to four: hence the minimum.
     pub(crate) fn count_request(&mut self, now: Time, caller: CallerId) {
         let max_tracked = (self.config.expected * TRACKED_FACTOR).max(MIN_TRACKED);
         self.table.count_request(now, caller, max_tracked);
     }
 
     /// Departure: credit is for the callers that send here, where they say who they are. A front of many
-    /// callers that each come seldom (manila-main) was told a thousandth of a request each: stay away.
+    /// callers that each come seldom (manila-main) was advised a thousandth of a request each: stay away.
     pub(crate) fn senders(&self) -> f64 {
         if self.table.len() == 0 {
             self.config.expected.max(1.0)
--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -2,7 +2,7 @@
 use crate::{ConcurrencyConfig, LoadSample, Time};
 
 const FULL_UTILIZATION: f64 = 0.95; // of the cores, under which the limit grows and over which it shrinks
-const MIN_UTILIZATION: f64 = 0.1; // the least that is reckoned with
+const MIN_UTILIZATION: f64 = 0.1; // the minimum that is reckoned with
 const LIMIT_STEP: f64 = 0.2; // of a run, by which the limit changes
 const GAUGE_DELAY: f64 = 0.3; // time at the limit with idle cores before it grows, part of a response target
 pub(crate) const SAMPLE_INTERVAL: f64 = 0.06; // between looks at the gauges, part of a response target
@@ -40,11 +40,11 @@
     }
 
     /// How many may run, on the cores or not. Departure: where a gauge counts what is on the cores, runs that
-    /// wait for the disk leave room past the ceiling for others that can be cancelled; with 1,080 ms of disk
-    /// wait the ceiling held fast cores half idle (manila-main).
+    /// wait for the disk leave capacity past the ceiling for others that can be cancelled; with 1,080 ms of
+    /// disk wait the ceiling left fast cores half idle (manila-main).
     pub(crate) fn max_running(&self, now: Time) -> f64 {
-        let has_room = self.runnable.is_some_and(|runnable| runnable + 1.0 <= self.ceiling(now));
-        self.ceiling(now) * if has_room { OFF_CORE_FACTOR } else { 1.0 }
+        let has_capacity = self.runnable.is_some_and(|runnable| runnable + 1.0 <= self.ceiling(now));
+        self.ceiling(now) * if has_capacity { OFF_CORE_FACTOR } else { 1.0 }
     }
 
     /// Departure: the cores' gauge, where there is one, tells how much of them the runs had; runs that wait
--- a/crates/admission/src/policy/cost_estimator.rs
+++ b/crates/admission/src/policy/cost_estimator.rs
@@ -3,7 +3,7 @@
 use crate::{AdmissionConfig, Handler, Time};
 
 const INITIAL_COST: f64 = 0.125; // of a request before any is known, part of its response target
-const MIN_SPEED: f64 = 0.1; // the least that a cold server is taken to have
+const MIN_SPEED: f64 = 0.1; // the minimum that a cold server is taken to have
 const MIN_REMAINING: f64 = 0.25; // of a request's cost, what a run that has had more is still taken to need
 const STALL_PRIOR: f64 = 4.0; // usual runs that the running ones must outweigh to show a stall
 pub(crate) const EWMA_WEIGHT: f64 = 0.1; // of the newest in running means
--- a/crates/admission/src/policy/effects.rs
+++ b/crates/admission/src/policy/effects.rs
@@ -34,37 +34,15 @@
         let (retry_after, do_not_retry) = if self.drain.is_some() {
             (self.advisor.config.max_retry_after, false)
         } else {
-            let reading_load = self.advisor.reading_load(now, self.concurrency.cores);
-            let room = self.costs.of(&request) / self.concurrency.cores;
-            let retry_after = self.advisor.retry_after(now, reading_load, self.excess_burden(now), room);
-            (retry_after, self.advisor.discourages_retries(now, reading_load))
+            let read_load = self.advisor.read_load(now, self.concurrency.cores);
+            let min_delay = self.costs.of(&request) / self.concurrency.cores;
+            let retry_after = self.advisor.retry_after(now, read_load, self.excess_burden(now), min_delay);
+            (retry_after, self.advisor.discourages_retries(now, read_load))
         };
         actions.reject.push(Rejection { id, retry_after, do_not_retry });
     }
 
-    /// Lets a duplicate wait for the response of the request that it repeats.
-    pub(crate) fn coalesce(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
-        if let Some(request) = self.requests.get_mut(id) {
-            request.phase = Phase::Coalesced;
-            actions.coalesce.push(id);
-        }
-    }
-
-    pub(crate) fn start(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
-        if let Some(request) = self.requests.get_mut(id) {
-            request.start(now, self.costs.core_clock);
-            self.concurrency.runnable = self.concurrency.runnable.map(|runnable| runnable + 1.0);
-            actions.start.push(id);
-        }
-    }
-
-    pub(crate) fn skip_call(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
-        if let Some(request) = self.requests.get_mut(id) {
-            request.resume(self.costs.core_clock);
-            actions.skip_call.push(id);
-        }
-    }
-
+    /// Makes the call that a run waits for.
     pub(crate) fn call(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
         let Some(timeout) = self.requests.get(id).map(|r| self.call_timeout(now, r)) else { return };
         if let Some(request) = self.requests.get_mut(id) {
@@ -112,4 +90,21 @@
             _ => self.terminate(now, id, actions),
         }
     }
+
+    /// The idempotency key of a first request is retained for as long as its duplicates may arrive.
+    pub(crate) fn retain_key(&mut self, now: Time, request: &RequestRecord, actions: &mut Actions) {
+        let handler = self.priorities.handler(request);
+        let expires_at = request.arrived_at + handler.dedup_window;
+        let is_first = handler.idempotency == Idempotency::Keyed && request.arrival.duplicate_of.is_none();
+        if is_first && expires_at > now {
+            actions.retain_key.push((request.id(), expires_at - now));
+            self.dedup_keys.insert(request.id(), expires_at);
+        }
+    }
+
+    /// A cancellation while the cores are frozen has no effect: it is asked for again with each sample.
+    pub(crate) fn repeated_cancellations(&self) -> Vec<RequestId> {
+        let answered = self.requests.on_core().filter(|r| r.answered && self.is_cancellable(r));
+        answered.map(RequestRecord::id).collect()
+    }
 }
--- a/crates/admission/src/policy/load.rs
+++ b/crates/admission/src/policy/load.rs
@@ -5,7 +5,7 @@
 const FULL: f64 = 0.6; // work in hand a core at which no more is wanted, likewise
 const UNREAD_WEIGHT: f64 = 2.0; // of the delay before reading over the work in hand, for callers
 pub(crate) const ANSWER_FRACTION: f64 = 0.95; // of the time left to shut down, by which all is answered
-const MIN_ADVICE: f64 = 0.25; // least share of traffic asked for, so that callers still hear from the server
+const MIN_ADVICE: f64 = 0.25; // minimum share of traffic asked for, so that callers still get responses
 
 impl AdmissionController {
     /// Work in hand, as time that all cores need for it.
--- a/crates/admission/src/policy/load_advisor.rs
+++ b/crates/admission/src/policy/load_advisor.rs
@@ -1,11 +1,11 @@
-//! What callers are told: advice on how much to send, and when a rejected one may come back.
+//! What callers are advised: how much to send, and when a rejected one may come back.
 use super::caller_tracker::CallerTracker;
 use super::cost_estimator::EWMA_WEIGHT;
 use crate::random::MultiplyWithCarry;
 use crate::windows::{LoadSums, LoadWindow};
 use crate::{AdviceFormat, Arrival, CallerConfig, Time};
 
-const ADVICE_STEP: f64 = 0.02; // least relative change of the advice that is told
+const ADVICE_STEP: f64 = 0.02; // least relative change of the advice that is passed on
 const EXPENSIVE_READING: f64 = 0.25; // part of the cores from which reading counts as expensive
 const MAX_RETRY_SHARE: f64 = 0.2; // of that part, what reading retries takes as rejections ask for no retry
 
@@ -39,31 +39,31 @@
     }
 
     /// What reading takes of the cores; from 1 it is expensive.
-    pub(crate) fn reading_load(&self, now: Time, cores: f64) -> f64 {
+    pub(crate) fn read_load(&self, now: Time, cores: f64) -> f64 {
         self.load.sums(now).arrivals * self.load.read_time()
             / (self.load.duration() * EXPENSIVE_READING * cores)
     }
 
     /// A further attempt costs its reading: where that is cheap it may still succeed elsewhere.
-    pub(crate) fn discourages_retries(&self, now: Time, reading_load: f64) -> bool {
+    pub(crate) fn discourages_retries(&self, now: Time, read_load: f64) -> bool {
         let LoadSums { arrivals, retries, rejections, .. } = self.load.sums(now);
-        retries.max(rejections - 1.0) * reading_load > MAX_RETRY_SHARE * arrivals
+        retries.max(rejections - 1.0) * read_load > MAX_RETRY_SHARE * arrivals
     }
 
     /// When a rejected caller may come back. Where no share can be advised, the time for one request of each
-    /// caller; else a random part of the `excess` work, and at least `room`, in which the cores make room.
-    pub(crate) fn retry_after(&mut self, now: Time, reading_load: f64, excess: f64, room: f64) -> Time {
+    /// caller; else a random part of the `excess` work, and at least `min_delay`.
+    pub(crate) fn retry_after(&mut self, now: Time, read_load: f64, excess: f64, min_delay: f64) -> Time {
         let LoadSums { arrivals, rejections, .. } = self.load.sums(now);
         let retry_after = if self.config.advice_format == AdviceFormat::Unused {
             let round = self.config.expected * self.load.duration() / (arrivals - rejections).max(1.0);
-            round * reading_load.min(1.0)
+            round * read_load.min(1.0)
         } else {
-            excess * self.random.draw() + room
+            excess * self.random.draw() + min_delay
         };
         Time(retry_after as i64).min(self.config.max_retry_after)
     }
 
-    /// The advice to tell, if it has changed. `wanted`: the share of their traffic that is wanted.
+    /// The advice to pass on, if it has changed. `wanted`: the share of their traffic that is wanted.
     pub(crate) fn advise(&mut self, wanted: f64, concurrency_limit: f64) -> Option<f64> {
         let advice = match self.config.advice_format {
             AdviceFormat::Unused => return None,
--- a/crates/admission/src/policy/priority_weights.rs
+++ b/crates/admission/src/policy/priority_weights.rs
@@ -1,11 +1,11 @@
-//! What requests are worth to the goal.
+//! The value of requests to the goal.
 use crate::{request::RequestRecord, value_ledger::ValueLedger, windows::ValueSums};
 use crate::{AdmissionConfig, GoalWeights, Handler, Time};
 use cottondyke_types::SECOND;
 
 const SHARE_WINDOW: f64 = 2.0; // over which tenants' shares count, times the longest client timeout
 
-/// What requests are worth, from the goal's weights and what was won recently.
+/// The value of requests, from the goal's weights and what was won recently.
 pub(crate) struct PriorityWeights {
     pub(crate) handlers: Vec<Handler>,
     pub(crate) shortest_target: Time, // response target
@@ -59,7 +59,7 @@
     }
 
     /// The gain to the goal from a unit of each tenant's value, on a server of this age. No request says
-    /// whether it is past its tenant's quota, which is worth little: what is completed fills the quota first.
+    /// whether it is past its tenant's quota, which has little value: completed ones fill it first.
     pub(crate) fn tenant_gains(&self, now: Time, age: Time) -> Vec<f64> {
         let covered = (age.as_f64() / self.ledger.duration()).min(1.0);
         let quotas = self.quotas.iter().map(|q| (q * covered).max(1.0));
--- /dev/null
+++ b/crates/admission/src/transitions.rs
@@ -0,0 +1,33 @@
+//! Effects of rules that only carry out what was decided: a request enters its next phase.
+
+use crate::actions::Actions;
+use crate::controller::AdmissionController;
+use crate::request::Phase;
+use cottondyke_types::{RequestId, Time};
+
+impl AdmissionController {
+    /// Lets a duplicate wait for the response of the request that it repeats.
+    pub(crate) fn coalesce(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.phase = Phase::Coalesced;
+            actions.coalesce.push(id);
+        }
+    }
+
+    /// Puts a queued request on the cores.
+    pub(crate) fn start(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.start(now, self.costs.core_clock);
+            self.concurrency.runnable = self.concurrency.runnable.map(|runnable| runnable + 1.0);
+            actions.start.push(id);
+        }
+    }
+
+    /// Lets a run go on without the call that it waits for.
+    pub(crate) fn skip_call(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.resume(self.costs.core_clock);
+            actions.skip_call.push(id);
+        }
+    }
+}
--- a/crates/admission/tests/decide/invariants.rs
+++ b/crates/admission/tests/decide/invariants.rs
@@ -8,7 +8,11 @@
 type Step = (u8, u16, u16);
 
 pub(crate) fn setup(choice: u16) -> Setup {
-    let cancellations = [Cancellation::Drop, Cancellation::Never, Cancellation::Pause];
+    let cancellations = [
+        Cancellation::Drop,
+        Cancellation::Never,
+        Cancellation::Suspend,
+    ];
     let advice_formats = [
         AdviceFormat::Share,
         AdviceFormat::Credit,
--- a/crates/settings/src/admission.rs
+++ b/crates/settings/src/admission.rs
@@ -177,7 +177,7 @@
     match text(info, "preemption")? {
         "none" => Ok(Cancellation::Never),
         "drop" => Ok(Cancellation::Drop),
-        "pause" => Ok(Cancellation::Pause),
+        "pause" => Ok(Cancellation::Suspend),
         other => Err(unknown("preemption", other)),
     }
 }
