--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// Decides for one server which requests it admits, runs, rejects and terminates. Call `tick` once first, then
-/// one method for each input; carry out the returned [`Actions`] and call `tick` when they ask for it. Nothing
+/// one method for each input; carry out the returned [`Actions`](crate::Actions) and call `tick` when they ask for it. Nothing
 /// here reads a clock: `now` is passed in and never goes back.
 ///
 /// ```
--- a/crates/admission/src/inputs.rs
+++ b/crates/admission/src/inputs.rs
@@ -121,10 +121,7 @@
         let target = self.priorities.shortest_target;
         let interval = target.scaled(SAMPLE_INTERVAL).max(self.schedule.resolution);
         self.schedule.next_sample_at = now + interval;
-        let any_queued = self.requests.queued().next().is_some();
-        let on_core = self.requests.on_core().count();
-        self.concurrency
-            .adjust(now, sample, any_queued, on_core, target);
+        self.concurrency.adjust(now, sample, &self.requests, target);
         actions.idle_timeout = self.advisor.callers.update_idle_timeout(now);
         actions.cancel = self.repeated_cancellations();
     }
--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -1,5 +1,5 @@
 //! How many requests run.
-use crate::{ConcurrencyConfig, LoadSample, Time};
+use crate::{request_table::RequestTable, ConcurrencyConfig, LoadSample, Time};
 
 const FULL_UTILIZATION: f64 = 0.95; // of the cores, under which the limit grows and over which it shrinks
 const MIN_UTILIZATION: f64 = 0.1; // the minimum that is reckoned with
@@ -55,12 +55,11 @@
 
     /// The limit is the smallest that keeps the cores busy: more runs only slow each other. It grows after it
     /// was reached for longer than the gauge looks back: idle cores then show disk waits, not recent starts.
-    pub(crate) fn adjust(
-        &mut self, now: Time, sample: LoadSample, any_queued: bool, on_core: usize, target: Time,
-    ) {
-        self.utilization = sample.cpu_utilization.unwrap_or(on_core as f64 / self.cores);
+    pub(crate) fn adjust(&mut self, now: Time, sample: LoadSample, requests: &RequestTable, target: Time) {
+        let on_core = requests.on_core().count() as f64;
+        self.utilization = sample.cpu_utilization.unwrap_or(on_core / self.cores);
         self.runnable = sample.runnable_tasks;
-        let is_limited = any_queued && on_core as f64 > self.limit - 1.0;
+        let is_limited = requests.queued().next().is_some() && on_core > self.limit - 1.0;
         self.limited_since = if is_limited { self.limited_since } else { now };
         let growth = LIMIT_STEP * FULL_UTILIZATION / self.utilization.max(MIN_UTILIZATION);
         let may_grow = now - self.limited_since >= target.scaled(GAUGE_DELAY);
--- a/crates/admission/src/policy/priority_weights.rs
+++ b/crates/admission/src/policy/priority_weights.rs
@@ -61,7 +61,7 @@
     /// The gain to the goal from a unit of each tenant's value, on a server of this age. No request says
     /// whether it is past its tenant's quota, which has little value: completed ones fill it first.
     pub(crate) fn tenant_gains(&self, now: Time, age: Time) -> Vec<f64> {
-        let covered = (age.as_f64() / self.ledger.duration()).min(1.0);
+        let covered = (age.as_f64() / self.ledger.duration).min(1.0);
         let quotas = self.quotas.iter().map(|q| (q * covered).max(1.0));
         let uses: Vec<(ValueSums, f64)> = self.ledger.by_tenant(now).into_iter().zip(quotas).collect();
         // A smaller fleet or retries raise all counts alike: a share is measured against the median tenant.
--- a/crates/admission/src/value_ledger.rs
+++ b/crates/admission/src/value_ledger.rs
@@ -6,7 +6,8 @@
 
 /// The value offered and won over a window, by handler and by tenant.
 pub(crate) struct ValueLedger {
-    window: Time,
+    /// The window, in tenths of a millisecond.
+    pub(crate) duration: f64,
     by_handler: Vec<ValueWindow>,
     by_tenant: Vec<ValueWindow>,
 }
@@ -14,17 +15,12 @@
 impl ValueLedger {
     pub(crate) fn new(window: Time, handlers: usize, tenants: usize) -> Self {
         ValueLedger {
-            window,
+            duration: ValueWindow::new(window).duration(),
             by_handler: vec![ValueWindow::new(window); handlers],
             by_tenant: vec![ValueWindow::new(window); tenants],
         }
     }
 
-    /// The window, in tenths of a millisecond.
-    pub(crate) fn duration(&self) -> f64 {
-        ValueWindow::new(self.window).duration()
-    }
-
     pub(crate) fn add_offered(&mut self, now: Time, request: &RequestRecord, value: f64) {
         for window in self.windows(request) {
             window.add_offered(now, value);
