--- a/crates/operator-config/src/arguments.rs
+++ b/crates/operator-config/src/arguments.rs
@@ -1,237 +1,260 @@
-//! Reads the arguments of one declaration: each is asked for by name with what is expected of it, and what was
-//! not asked for is an error with the nearest name that is known.
-use crate::{ConfigError, Declaration, SourceLocation, AT, MADE};
+//! Reads the arguments of one declaration: each is taken out by name with what is expected of it. An argument that was
+//! not taken out is an error with the most similar name that is known.
+use crate::format::{format_value, parse_duration};
+use crate::suggestion::suggest_nearest;
+use crate::{ConfigError, Declaration, SourceLocation};
 use cottondyke_types::Time;
 use serde_json::{Map, Value as Json};
+use std::fmt::Display;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
-/// How alike two names must be for one to be offered for the other.
-const ALIKE: f64 = 0.6;
+/// The longest name, in bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// The known name nearest to a mistyped one, as the end of an error's text.
-pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let likeness = |other: &str| strsim::jaro_winkler(name, other);
-    let best = known.max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
-    best.filter(|b| likeness(b) >= ALIKE)
-        .map_or(String::new(), |best| format!(" (the nearest is {best:?})"))
-}
+const EXPECTED_NAME: &str = "a name of at most 64 letters, digits, dashes, dots and underscores";
+const EXPECTED_DURATION: &str = "a time over 0 such as \"300ms\", \"1.8s\" or \"2m\"";
+const EXPECTED_ADDRESS: &str = "an IP address with a port such as \"127.0.0.1:8080\"";
 
-pub fn shown(value: &Json) -> String {
-    let text = value.to_string();
-    if text.chars().count() > 60 {
-        text.chars().take(57).collect::<String>() + "..."
-    } else {
-        text
-    }
-}
-
-/// A span such as "300ms", "1.8s", "2m" or "1h".
-pub fn duration(text: &str) -> Option<Time> {
-    let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let (number, unit) = text.split_at(digits);
-    let number: f64 = number.parse().ok()?;
-    let ms = match unit {
-        "ms" => 1.0,
-        "s" => 1_000.0,
-        "m" => 60_000.0,
-        "h" => 3_600_000.0,
-        _ => return None,
-    };
-    let tenths = number * ms * 10.0;
-    (tenths.is_finite() && tenths <= 1e12).then_some(Time(tenths.round() as i64))
+/// What is invalid about the arguments of a declaration.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ArgumentError {
+    #[error("{count} unnamed arguments: expected {expected}")]
+    TooManyPositional { count: usize, expected: String },
+    #[error("{name} is given twice")]
+    GivenTwice { name: &'static str },
+    #[error("{name} = {value}: expected {expected}")]
+    Unexpected {
+        name: &'static str,
+        value: String,
+        expected: String,
+    },
+    #[error("{name} is missing: expected {expected}")]
+    Missing {
+        name: &'static str,
+        expected: String,
+    },
+    #[error("{name:?} is no argument of it: expected any of {known}{suggestion}")]
+    Unknown {
+        name: String,
+        known: String,
+        suggestion: String,
+    },
 }
 
 /// The arguments of one declaration, taken out one by one.
-pub struct Arguments {
-    pub function: String,
-    pub at: SourceLocation,
+pub(crate) struct Arguments {
+    pub(crate) function: String,
+    pub(crate) at: SourceLocation,
     named: Map<String, Json>,
-    asked: Vec<&'static str>,
+    /// The names that were asked for, in that order.
+    known: Vec<&'static str>,
 }
 
 impl Arguments {
-    /// `first`: the names of the arguments that may be given by their position.
-    pub fn new(declared: Declaration, first: &[&'static str]) -> Result<Self, ConfigError> {
-        let Declaration {
-            function,
-            at,
-            args,
-            mut named,
-        } = declared;
-        let count = args.len();
-        let wrong = |what: String| ConfigError {
-            location: at.clone(),
-            message: what,
+    /// `positional`: the names of the arguments that may be given by position.
+    pub(crate) fn new(
+        declaration: Declaration,
+        positional: &[&'static str],
+    ) -> Result<Self, ConfigError> {
+        let mut arguments = Arguments {
+            function: declaration.function,
+            at: declaration.at,
+            named: declaration.named,
+            known: Vec::new(),
         };
-        if count > first.len() {
-            let names = first.join(", ");
-            let most = if first.is_empty() {
-                "named arguments alone".into()
-            } else {
-                format!("only {names} unnamed")
+        let count = declaration.positional.len();
+        if count > positional.len() {
+            let expected = match positional {
+                [] => "named arguments alone".to_string(),
+                names => format!("only {} unnamed", names.join(", ")),
             };
-            return Err(wrong(format!(
-                "{function}: {count} unnamed arguments: expected {most}"
-            )));
+            return Err(arguments.error(ArgumentError::TooManyPositional { count, expected }));
         }
-        for (name, value) in first.iter().zip(args) {
-            if named.insert(name.to_string(), value).is_some() {
-                return Err(wrong(format!("{function}: {name} is given twice")));
+        for (&name, value) in positional.iter().zip(declaration.positional) {
+            if arguments.named.insert(name.to_string(), value).is_some() {
+                return Err(arguments.error(ArgumentError::GivenTwice { name }));
             }
         }
-        Ok(Arguments {
-            function,
-            at,
-            named,
-            asked: Vec::new(),
-        })
+        Ok(arguments)
     }
 
-    /// A value that `part`, `kept` or their like made.
-    pub fn made(value: &Json, first: &[&'static str]) -> Option<Result<Self, ConfigError>> {
-        let function = value.get(MADE)?.as_str()?.to_string();
-        let at = value.get(AT)?;
-        let at = SourceLocation {
-            file: at.get(0)?.as_str()?.to_string(),
-            line: at.get(1)?.as_u64()? as usize,
-        };
-        let args = value.get("args")?.as_array()?.clone();
-        let named = value.get("named")?.as_object()?.clone();
-        Some(Arguments::new(
-            Declaration {
-                function,
-                at,
-                args,
-                named,
-            },
-            first,
-        ))
-    }
-
-    pub fn wrong(&self, what: impl Into<String>) -> ConfigError {
-        ConfigError {
-            location: self.at.clone(),
-            message: format!("{}: {}", self.function, what.into()),
-        }
+    /// An error of this declaration.
+    pub(crate) fn error(&self, cause: impl Display) -> ConfigError {
+        ConfigError::new(self.at.clone(), format!("{}: {cause}", self.function))
     }
 
-    pub fn expected(&self, name: &str, value: &Json, what: &str) -> ConfigError {
-        self.wrong(format!("{name} = {}: expected {what}", shown(value)))
+    /// The error that an argument has another value than `expected`.
+    pub(crate) fn unexpected(
+        &self,
+        name: &'static str,
+        value: &Json,
+        expected: &str,
+    ) -> ConfigError {
+        self.error(ArgumentError::Unexpected {
+            name,
+            value: format_value(value),
+            expected: expected.to_string(),
+        })
     }
 
-    /// What was given under a name; `None` stands for not given.
-    pub fn maybe(&mut self, name: &'static str) -> Option<Json> {
-        self.asked.push(name);
-        self.named.remove(name).filter(|v| !v.is_null())
+    /// Takes out what was given under a name; `None` in a script stands for not given.
+    fn take(&mut self, name: &'static str) -> Option<Json> {
+        self.known.push(name);
+        self.named.remove(name).filter(|value| !value.is_null())
     }
 
     /// What `read` makes of a value; `default` where none is given, an error where there is no default either.
-    pub fn read<T>(
+    pub(crate) fn read<T>(
         &mut self,
         name: &'static str,
-        what: &str,
+        expected: &str,
         default: Option<T>,
         read: impl Fn(&Json) -> Option<T>,
     ) -> Result<T, ConfigError> {
-        match (self.maybe(name), default) {
-            (Some(value), _) => read(&value).ok_or_else(|| self.expected(name, &value, what)),
+        match (self.take(name), default) {
+            (Some(value), _) => read(&value).ok_or_else(|| self.unexpected(name, &value, expected)),
             (None, Some(default)) => Ok(default),
-            (None, None) => Err(self.wrong(format!("{name} is missing: expected {what}"))),
+            (None, None) => Err(self.error(ArgumentError::Missing {
+                name,
+                expected: expected.to_string(),
+            })),
         }
     }
 
+    /// Like [`Arguments::read`], for a value that may be missing.
+    pub(crate) fn read_optional<T>(
+        &mut self,
+        name: &'static str,
+        expected: &str,
+        read: impl Fn(&Json) -> Option<T>,
+    ) -> Result<Option<T>, ConfigError> {
+        self.read(name, expected, Some(None), |value| read(value).map(Some))
+    }
+
     /// A name: letters, digits, dashes, dots and underscores.
-    pub fn name(
+    pub(crate) fn name(
         &mut self,
         name: &'static str,
         default: Option<&str>,
     ) -> Result<String, ConfigError> {
-        let what = "a name of at most 64 letters, digits, dashes, dots and underscores";
-        let fits = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        let plain = |text: &&str| !text.is_empty() && text.len() <= 64 && text.chars().all(fits);
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        let is_name = |text: &&str| {
+            !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(is_allowed)
+        };
         let default = default.map(String::from);
-        self.read(name, what, default, |value| {
-            value.as_str().filter(plain).map(String::from)
+        self.read(name, EXPECTED_NAME, default, |value| {
+            value.as_str().filter(is_name).map(String::from)
         })
     }
 
-    pub fn flag(&mut self, name: &'static str, default: bool) -> Result<bool, ConfigError> {
+    /// True or False.
+    pub(crate) fn boolean(
+        &mut self,
+        name: &'static str,
+        default: bool,
+    ) -> Result<bool, ConfigError> {
         self.read(name, "True or False", Some(default), Json::as_bool)
     }
 
-    pub fn number(
+    /// A number within `range`.
+    pub(crate) fn number(
         &mut self,
         name: &'static str,
-        least: f64,
-        most: f64,
+        range: RangeInclusive<f64>,
         default: Option<f64>,
     ) -> Result<f64, ConfigError> {
-        let what = format!("a number from {least} to {most}");
-        self.read(name, &what, default, |value| {
-            value.as_f64().filter(|n| (least..=most).contains(n))
+        let expected = format!("a number from {} to {}", range.start(), range.end());
+        self.read(name, &expected, default, |value| {
+            value.as_f64().filter(|number| range.contains(number))
         })
     }
 
-    pub fn whole(
+    /// A whole number within `range`.
+    pub(crate) fn integer(
         &mut self,
         name: &'static str,
-        least: u64,
-        most: u64,
+        range: RangeInclusive<u64>,
         default: Option<u64>,
     ) -> Result<u64, ConfigError> {
-        let what = format!("a whole number from {least} to {most}");
-        self.read(name, &what, default, |value| {
-            value.as_u64().filter(|n| (least..=most).contains(n))
+        let expected = format!("a whole number from {} to {}", range.start(), range.end());
+        self.read(name, &expected, default, |value| {
+            value.as_u64().filter(|number| range.contains(number))
+        })
+    }
+
+    /// A whole number within `range`, or `None`.
+    pub(crate) fn optional_integer(
+        &mut self,
+        name: &'static str,
+        range: RangeInclusive<u64>,
+    ) -> Result<Option<u64>, ConfigError> {
+        let (min, max) = (range.start(), range.end());
+        let expected = format!("None or a whole number from {min} to {max}");
+        self.read_optional(name, &expected, |value| {
+            value.as_u64().filter(|number| range.contains(number))
         })
     }
 
-    pub fn duration(
+    /// A duration over 0.
+    pub(crate) fn duration(
         &mut self,
         name: &'static str,
         default: Option<Time>,
     ) -> Result<Time, ConfigError> {
-        let what = "a time over 0 such as \"300ms\", \"1.8s\" or \"2m\"";
-        self.read(name, what, default, |value| {
-            value.as_str().and_then(duration).filter(|t| *t > Time(0))
+        self.read(name, EXPECTED_DURATION, default, |value| {
+            let duration = value.as_str().and_then(parse_duration);
+            duration.filter(|duration| *duration > Time(0))
+        })
+    }
+
+    /// An IP address with a port.
+    pub(crate) fn address(&mut self, name: &'static str) -> Result<SocketAddr, ConfigError> {
+        self.read(name, EXPECTED_ADDRESS, None, |value| {
+            value.as_str()?.parse().ok()
         })
     }
 
-    pub fn one_of(
+    /// One of the keywords of `choices`, as what it stands for.
+    pub(crate) fn choice<T: Copy>(
         &mut self,
         name: &'static str,
-        known: &[&str],
-        default: Option<&str>,
-    ) -> Result<String, ConfigError> {
-        let given = self
-            .named
-            .get(name)
-            .and_then(Json::as_str)
-            .unwrap_or_default();
-        let what = format!(
+        choices: &[(&str, T)],
+        default: Option<T>,
+    ) -> Result<T, ConfigError> {
+        let keywords = || choices.iter().map(|(keyword, _)| *keyword);
+        let given = self.named.get(name).and_then(Json::as_str);
+        let expected = format!(
             "one of {}{}",
-            known.join(", "),
-            nearest(given, known.iter().copied())
+            keywords().collect::<Vec<_>>().join(", "),
+            suggest_nearest(given.unwrap_or_default(), keywords())
         );
-        let is = |text: &&str| known.contains(text);
-        self.read(name, &what, default.map(String::from), |value| {
-            value.as_str().filter(is).map(String::from)
+        self.read(name, &expected, default, |value| {
+            let chosen = choices.iter().find(|(keyword, _)| value == keyword)?;
+            Some(chosen.1)
         })
     }
 
-    pub fn list(&mut self, name: &'static str, what: &str) -> Result<Vec<Json>, ConfigError> {
-        self.read(name, what, Some(Vec::new()), |value| {
+    /// A list; empty where none is given.
+    pub(crate) fn list(
+        &mut self,
+        name: &'static str,
+        expected: &str,
+    ) -> Result<Vec<Json>, ConfigError> {
+        self.read(name, expected, Some(Vec::new()), |value| {
             value.as_array().cloned()
         })
     }
 
-    /// Nothing is left that was not asked for.
-    pub fn finish(self) -> Result<(), ConfigError> {
+    /// Checks that no argument is left that was not asked for.
+    pub(crate) fn finish(self) -> Result<(), ConfigError> {
         let Some(name) = self.named.keys().next() else {
             return Ok(());
         };
-        let near = nearest(name, self.asked.iter().copied());
-        let known = self.asked.join(", ");
-        Err(self.wrong(format!(
-            "{name:?} is no argument of it: expected any of {known}{near}"
-        )))
+        Err(self.error(ArgumentError::Unknown {
+            name: name.clone(),
+            known: self.known.join(", "),
+            suggestion: suggest_nearest(name, self.known.iter().copied()),
+        }))
     }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,58 +1,44 @@
-//! The operator's file as values: what a Starlark script declared (`cottondyke-script` evaluates it) becomes typed,
-//! and is held against itself and the handlers. Every error names file, line and value, and what was expected.
-#![expect(
-    missing_docs,
-    unreachable_pub,
-    clippy::too_many_lines,
-    reason = "not yet read through; see docs/ROADMAP.md"
-)]
+//! The operator's file of cottondyke as values. `cottondyke-script` evaluates the file, a Starlark script, to a list of
+//! [`Declaration`]s; this crate makes an [`OperatorConfig`] of them, validates it against itself and the handlers, and
+//! makes the plan by which the server calls dependencies. Every error names file, line and value, and what was expected.
+//!
+//! ```
+//! use cottondyke_operator_config::{Declaration, OperatorConfig, SourceLocation};
+//! use serde_json::json;
+//!
+//! let declaration = Declaration {
+//!     function: "fleet".into(),
+//!     at: SourceLocation { file: "shop.star".into(), line: 1 },
+//!     positional: vec![],
+//!     named: [("instances".to_string(), json!(3))].into_iter().collect(),
+//! };
+//! let config = OperatorConfig::from_declarations("shop.star", vec![declaration])?;
+//! assert_eq!(config.instances, Some(3));
+//!
+//! let error = config.validate_standalone().unwrap_err();
+//! assert_eq!(error.location.line, 0);
+//! assert!(error.to_string().starts_with("shop.star: serve(listen = ...) is missing"));
+//! # Ok::<(), cottondyke_operator_config::ConfigError>(())
+//! ```
 
 mod arguments;
+mod declaration;
+mod error;
+mod format;
 mod model;
+mod parse;
+mod plan;
+mod queries;
+mod serde_time;
+mod suggestion;
+mod summary;
 mod validate;
 
-pub use model::*;
-pub use validate::{budget_of, rate_of, HandlerSpec};
-
-use serde::{Deserialize, Serialize};
-use serde_json::{Map, Value};
-use std::fmt;
-
-/// A place in a script.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SourceLocation {
-    pub file: String,
-    /// From 1; 0 where no line can be told.
-    pub line: usize,
-}
-
-/// What is wrong with a file, on one line.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigError {
-    pub location: SourceLocation,
-    pub message: String,
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.location.line {
-            0 => write!(to, "{}: {}", self.location.file, self.message),
-            line => write!(to, "{}:{}: {}", self.location.file, line, self.message),
-        }
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
-/// Marks what `part`, `kept` and their like return: which function made it, and where.
-pub const MADE: &str = "#made";
-pub const AT: &str = "#at";
-
-/// One declaration: which function was called, where, and with what.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Declaration {
-    pub function: String,
-    pub at: SourceLocation,
-    pub args: Vec<Value>,
-    pub named: Map<String, Value>,
-}
+pub use declaration::Declaration;
+pub use error::{ConfigError, SourceLocation};
+pub use model::{
+    Aggregation, Dependency, Fallback, Handler, OperatorConfig, Part, Peers, Serve, Tenant,
+    MAX_DEFAULT_VALUE_BYTES, MAX_DEPENDENCIES, MAX_FALLBACKS, MAX_PARTS, SAFEGUARDS,
+};
+pub use plan::HandlerSpec;
+pub use queries::{budget_of, rate_of};
--- /dev/null
+++ b/crates/operator-config/src/parse/mod.rs
@@ -0,0 +1,130 @@
+//! Makes typed values of a script's declarations, one module for each kind of declaration.
+//!
+//! The order in which a declaration reads its arguments is the order in which errors list the known ones.
+mod aggregation;
+mod dependency;
+mod fleet;
+mod handler;
+mod peers;
+mod safeguards;
+mod serve;
+
+use crate::arguments::Arguments;
+use crate::{ConfigError, Declaration, OperatorConfig};
+
+/// The memory for cached replies where `fleet` does not say, in MiB.
+const DEFAULT_STALE_CACHE_MB: f64 = 4.0;
+
+/// What is invalid about a declaration whose arguments are plausible one by one.
+#[derive(Debug, thiserror::Error)]
+enum DeclarationError {
+    #[error("expected a declaration")]
+    NotADeclaration,
+    #[error("declared twice: expected once")]
+    DeclaredTwice,
+    #[error("client_timeout is {timeout}: expected no less than the response target of {target}")]
+    TimeoutBelowTarget { timeout: String, target: String },
+    #[error(
+        "data is missing: expected a folder that outlives the process, since this instance is a keeper"
+    )]
+    MissingDataDirectory,
+    #[error("parts holds {count}: expected 1 to {max}")]
+    PartCount { count: usize, max: usize },
+    #[error("{count} fall-backs: expected at most {max}")]
+    TooManyFallbacks { count: usize, max: usize },
+    #[error("fallbacks holds {function}(): expected {expected}")]
+    NotAFallback {
+        function: String,
+        expected: &'static str,
+    },
+    #[error("off holds {value}: expected any of {known}{suggestion}")]
+    UnknownSafeguard {
+        value: String,
+        known: String,
+        suggestion: String,
+    },
+}
+
+impl OperatorConfig {
+    /// Types what the script `file` declared. The declarations are checked one by one; [`OperatorConfig::validate`]
+    /// checks them against each other.
+    pub fn from_declarations(
+        file: &str,
+        declarations: Vec<Declaration>,
+    ) -> Result<Self, ConfigError> {
+        let mut parser = Parser {
+            config: OperatorConfig {
+                file: file.to_string(),
+                stale_cache_mb: DEFAULT_STALE_CACHE_MB,
+                ..OperatorConfig::default()
+            },
+            has_fleet: false,
+        };
+        for declaration in declarations {
+            parser.add(declaration)?;
+        }
+        Ok(parser.config)
+    }
+}
+
+/// The configuration while its declarations are read.
+struct Parser {
+    config: OperatorConfig,
+    has_fleet: bool,
+}
+
+impl Parser {
+    fn add(&mut self, declaration: Declaration) -> Result<(), ConfigError> {
+        let positional: &[&'static str] = match declaration.function.as_str() {
+            "handler" | "customer" | "dependency" => &["name"],
+            "page" => &["handler"],
+            _ => &[],
+        };
+        let function = declaration.function.clone();
+        let arguments = Arguments::new(declaration, positional)?;
+        let config = &mut self.config;
+        match function.as_str() {
+            "serve" => set_once(&mut config.serve, arguments, serve::parse_serve)?,
+            "peers" => set_once(&mut config.peers, arguments, peers::parse_peers)?,
+            "fleet" => self.add_fleet(arguments)?,
+            "handler" => config.handlers.push(handler::parse_handler(arguments)?),
+            "customer" => config.tenants.push(handler::parse_tenant(arguments)?),
+            "dependency" => config
+                .dependencies
+                .push(dependency::parse_dependency(arguments)?),
+            "page" => config
+                .aggregations
+                .push(aggregation::parse_aggregation(arguments)?),
+            "defences" => config
+                .disabled_safeguards
+                .extend(safeguards::parse_disabled_safeguards(arguments)?),
+            _ => return Err(arguments.error(DeclarationError::NotADeclaration)),
+        }
+        Ok(())
+    }
+
+    fn add_fleet(&mut self, arguments: Arguments) -> Result<(), ConfigError> {
+        if self.has_fleet {
+            return Err(arguments.error(DeclarationError::DeclaredTwice));
+        }
+        self.has_fleet = true;
+        let fleet = fleet::parse_fleet(arguments)?;
+        self.config.fleet_at = fleet.at;
+        self.config.instances = fleet.instances;
+        self.config.stale_cache_mb = fleet.stale_cache_mb;
+        Ok(())
+    }
+}
+
+/// Fills `slot` with a declaration that may stand only once.
+fn set_once<T>(
+    slot: &mut Option<T>,
+    arguments: Arguments,
+    parse: impl FnOnce(Arguments) -> Result<T, ConfigError>,
+) -> Result<(), ConfigError> {
+    if slot.is_some() {
+        return Err(arguments.error(DeclarationError::DeclaredTwice));
+    }
+    *slot = Some(parse(arguments)?);
+    Ok(())
+}
--- /dev/null
+++ b/crates/operator-config/src/queries.rs
@@ -0,0 +1,81 @@
+//! What the server asks of a configuration besides the plan: values of requests, safeguards, budgets shared by the fleet.
+use crate::{Dependency, OperatorConfig};
+use cottondyke_dependency::{Safeguards, RATE_WINDOW};
+use cottondyke_quota::BudgetSpec;
+use cottondyke_types::Time;
+
+/// The value of a request whose handler the platform's configuration declares.
+const DEFAULT_REQUEST_VALUE: f64 = 1.0;
+
+/// The name of the fleet's budget for a dependency's calls a second.
+pub fn rate_of(dependency: &str) -> String {
+    format!("rate/{dependency}")
+}
+
+/// The name of the fleet's budget for a dependency's calls in flight.
+pub fn budget_of(dependency: &str) -> String {
+    format!("dependency/{dependency}")
+}
+
+impl OperatorConfig {
+    /// The safeguards of the calls to dependencies, as this file leaves them on.
+    pub fn safeguards(&self) -> Safeguards {
+        Safeguards {
+            time_budget: self.has_safeguard("budget"),
+            limit: self.has_safeguard("limit"),
+            adapt: self.has_safeguard("adapt") && self.has_safeguard("limit"),
+            breaker: self.has_safeguard("breaker"),
+            hedge: self.has_safeguard("hedge"),
+            stale_cache: self.has_safeguard("kept"),
+            fallback: self.has_safeguard("fallback"),
+            restart: self.has_safeguard("restart"),
+        }
+    }
+
+    /// Whether the safeguard of this name, one of [`SAFEGUARDS`](crate::SAFEGUARDS), is on.
+    pub fn has_safeguard(&self, name: &str) -> bool {
+        !self.disabled_safeguards.iter().any(|off| off == name)
+    }
+
+    /// The value of a request of a handler; 1 where the platform's configuration declares the handler.
+    pub fn value(&self, handler: &str) -> f64 {
+        self.handlers
+            .iter()
+            .find(|declared| declared.name == handler)
+            .map_or(DEFAULT_REQUEST_VALUE, |declared| declared.value)
+    }
+
+    /// The longest that a call may occupy a dependency after it was sent: as long as the call is waited for, half as
+    /// long again during which a late reply is still read, and as long as the dependency may go on after that.
+    pub fn max_call_duration(&self, dependency: &Dependency) -> Time {
+        let late_reply_window = Time(dependency.time_budget.0 / 2);
+        dependency.time_budget + late_reply_window + dependency.post_cancel_grace
+    }
+
+    /// The budgets that all instances share: calls in flight, and calls a second where a rate is set.
+    pub fn shared_budgets(&self) -> Vec<BudgetSpec> {
+        let shared = || self.dependencies.iter().filter(|d| !d.per_instance);
+        let calls = shared().map(|dependency| BudgetSpec {
+            name: budget_of(&dependency.name),
+            units: dependency.ceiling as u32,
+            post_cancel_grace: self.max_call_duration(dependency),
+        });
+        let rates = shared().filter_map(|dependency| {
+            Some(BudgetSpec {
+                name: rate_of(&dependency.name),
+                units: dependency.max_rate? as u32,
+                post_cancel_grace: RATE_WINDOW,
+            })
+        });
+        calls.chain(rates).collect()
+    }
+
+    /// Calls in flight that this instance may have at a dependency. Where the ceiling is divided in fixed parts, it is
+    /// one of them, rounded down so that their sum never passes the ceiling; where quotas are leased, it is the ceiling.
+    pub fn max_calls(&self, dependency: &Dependency) -> u64 {
+        if self.peers.is_some() || dependency.per_instance {
+            return dependency.ceiling;
+        }
+        dependency.ceiling / self.instances.unwrap_or(1).max(1)
+    }
+}
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -3,8 +3,8 @@
 //! one allocation: the program beside this library runs it under the system's limits.
 #![expect(missing_docs, reason = "not yet read through; see docs/ROADMAP.md")]
 
-use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation, AT, MADE};
-use serde_json::{json, Value as Json};
+use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation};
+use serde_json::Value as Json;
 use starlark::collections::SmallMap;
 use starlark::environment::{FrozenModule, Globals, GlobalsBuilder, LibraryExtension, Module};
 use starlark::eval::{Evaluator, FileLoader};
@@ -66,7 +66,7 @@
     Ok(Declaration {
         function: function.to_string(),
         at: place(eval),
-        args,
+        positional: args,
         named: named.collect::<anyhow::Result<_>>()?,
     })
 }
@@ -80,7 +80,7 @@
 ) -> anyhow::Result<String> {
     let declared = recorded(function, eval, args, named)?;
     let name = declared
-        .args
+        .positional
         .first()
         .and_then(Json::as_str)
         .unwrap_or_default()
@@ -103,10 +103,7 @@
     args: UnpackTuple<Value<'v>>,
     named: SmallMap<String, Value<'v>>,
 ) -> anyhow::Result<Json> {
-    let it = recorded(function, eval, args, named)?;
-    Ok(
-        json!({ MADE: it.function, AT: [it.at.file, it.at.line], "args": it.args, "named": it.named }),
-    )
+    recorded(function, eval, args, named).map(Declaration::into_value)
 }
 
 #[starlark_module]
--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -1,7 +1,7 @@
 //! `cottondyke-script FILE`: evaluates a script under the system's limits, and writes what it declares, typed, as
 //! JSON. The server calls it: neither the interpreter nor the typing takes memory there, and nothing that a script
 //! does reaches it.
-use cottondyke_operator_config::{operator, ConfigError, OperatorConfig};
+use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use rustix::process::{setrlimit, Resource, Rlimit};
 use std::path::Path;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     limit(Resource::Core, 0).map_err(|e| format!("cannot limit the core file: {e}"))?;
     let declared = cottondyke_script::run(Path::new(path));
     let result: Result<OperatorConfig, ConfigError> =
-        declared.and_then(|declared| operator(path, declared));
+        declared.and_then(|declared| OperatorConfig::from_declarations(path, declared));
     serde_json::to_writer(std::io::stdout().lock(), &result).map_err(|e| e.to_string())
 }
 
--- a/crates/script/tests/golden_operator.rs
+++ b/crates/script/tests/golden_operator.rs
@@ -2,7 +2,7 @@
 //! `golden/operator.txt` is `$ ` with an input and `=> ` with its answer: an error's line, or what is in force. Inputs:
 //! `DECLARATION KEYWORD = VALUE`, one change to the script below (nothing after `=` takes the keyword out), or
 //! `script TEXT` for the whole file, in which `\n` ends a line.
-use cottondyke_operator_config::operator;
+use cottondyke_operator_config::OperatorConfig;
 use std::path::Path;
 
 const ROWS: &str = include_str!("golden/operator.txt");
@@ -82,10 +82,11 @@
     let path = folder.join("shop.star");
     std::fs::write(&path, text).unwrap();
     let file = path.display().to_string();
-    let read = cottondyke_script::run(&path).and_then(|declared| operator(&file, declared));
+    let read = cottondyke_script::run(&path)
+        .and_then(|declared| OperatorConfig::from_declarations(&file, declared));
     let checked = read.and_then(|operator| operator.validate_standalone().map(|()| operator));
     let told = match checked {
-        Ok(operator) => format!("good\n{}", operator.summary(&operator.own_handlers())),
+        Ok(operator) => format!("good\n{}", operator.summary(&operator.declared_handlers())),
         Err(wrong) => wrong.to_string(),
     };
     told.trim_end_matches('\n')
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,7 +1,7 @@
 //! Scripts, good and bad: each bad one with the place and the words of its error.
 #![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
 
-use cottondyke_operator_config::{operator, ConfigError, OperatorConfig};
+use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -35,7 +35,7 @@
 }
 
 fn evaluate(path: &Path) -> Result<OperatorConfig, ConfigError> {
-    operator(&path.display().to_string(), cottondyke_script::run(path)?)
+    OperatorConfig::from_declarations(&path.display().to_string(), cottondyke_script::run(path)?)
 }
 
 fn checked(text: &str) -> Result<OperatorConfig, ConfigError> {
@@ -79,8 +79,8 @@
     let operator = evaluate(&folder.write("shop.star", &text)).unwrap();
     operator.validate_standalone().unwrap();
     assert_eq!(operator.aggregations[0].parts.len(), 2);
-    assert_eq!(operator.dependencies[2].addr.port(), 8102);
-    let (plan, pages) = operator.plan(&operator.own_handlers());
+    assert_eq!(operator.dependencies[2].address.port(), 8102);
+    let (plan, pages) = operator.plan(&operator.declared_handlers());
     assert_eq!(
         (
             plan.dependencies[0].max_calls,
@@ -89,7 +89,7 @@
         (8, 1)
     );
     assert_eq!(pages, [Some(0)]);
-    let text = operator.summary(&operator.own_handlers());
+    let text = operator.summary(&operator.declared_handlers());
     assert!(
         text.contains("page browse: answered within 310 ms of its response target of 1 s"),
         "{text}"
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -121,9 +121,9 @@
     /// Another operator's file is in force.
     pub fn reconfigure(&self, now: Time, operator: &OperatorConfig) {
         let Some(peers) = &operator.peers else { return };
-        let replicas = peers.keepers.iter().cloned().collect();
+        let replicas = peers.replicas.iter().cloned().collect();
         self.links
-            .retain(peers.keepers.iter().map(|(_, addr)| *addr));
+            .retain(peers.replicas.iter().map(|(_, addr)| *addr));
         self.step(|node| node.reconfigure(now, replicas, operator.shared_budgets()));
     }
 
@@ -134,10 +134,10 @@
             || old.zone != new.zone
             || old.listen != new.listen
             || old.advertise != new.advertise
-            || old.data != new.data
-            || old.lease != new.lease
-            || old.longest_stop != new.longest_stop
-            || old.probe != new.probe
+            || old.data_dir != new.data_dir
+            || old.lease_duration != new.lease_duration
+            || old.max_process_pause != new.max_process_pause
+            || old.probe_interval != new.probe_interval
     }
 
     /// For the tasks of its links.
@@ -146,7 +146,7 @@
     }
 
     fn is_own_replica(&self, addr: SocketAddr) -> bool {
-        let mut replicas = self.peers.keepers.iter();
+        let mut replicas = self.peers.replicas.iter();
         replicas.any(|(_, replica)| *replica == addr)
     }
 
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -93,8 +93,12 @@
         source,
     })?;
     let bound = listener.get_ref().local_addr().unwrap_or(peers.listen);
-    let data_dir = peers.data.as_deref().map(DataDirectory::open).transpose()?;
-    let is_replica = peers.keepers.iter().any(|(name, _)| *name == peers.name);
+    let data_dir = peers
+        .data_dir
+        .as_deref()
+        .map(DataDirectory::open)
+        .transpose()?;
+    let is_replica = peers.is_replica();
     let storage = match &data_dir {
         Some(data_dir) if is_replica => Storage::open(data_dir)?,
         _ => Storage::default(),
@@ -105,14 +109,14 @@
     let config = NodeConfig {
         zone: peers.zone.clone(),
         addr: peers.advertise.unwrap_or(bound),
-        probe_interval: Time(peers.probe),
+        probe_interval: peers.probe_interval,
         suspicion_enabled: operator.has_safeguard("suspicion"),
         holder: Holder {
             name: peers.name.clone(),
             incarnation,
         },
         previous_incarnation: data_dir.as_ref().and_then(|d| d.previous_incarnation),
-        replicas: peers.keepers.iter().cloned().collect(),
+        replicas: peers.replicas.iter().cloned().collect(),
         budgets: operator.shared_budgets(),
         lease_config: lease_config(operator, peers),
         seed: seed ^ incarnation,
@@ -131,8 +135,8 @@
 
 fn lease_config(operator: &OperatorConfig, peers: &Peers) -> LeaseConfig {
     LeaseConfig {
-        lease_duration: Time(peers.lease),
-        max_process_pause: Time(peers.longest_stop),
+        lease_duration: peers.lease_duration,
+        max_process_pause: peers.max_process_pause,
         safeguards: Safeguards {
             lease: operator.has_safeguard("lease"),
             fence: operator.has_safeguard("fence"),
--- a/crates/server/src/config/capacity.rs
+++ b/crates/server/src/config/capacity.rs
@@ -38,10 +38,10 @@
     operator: &OperatorConfig,
 ) -> Result<usize, ConfigError> {
     let max_mb = memory_bytes as f64 / BYTES_PER_MB * MAX_CACHE_FRACTION;
-    if operator.fleet.line > 0 && operator.kept_mb > max_mb {
+    if operator.fleet_at.line > 0 && operator.stale_cache_mb > max_mb {
         return Err(ConfigError::CacheTooLarge {
-            at: operator.fleet.clone(),
-            cache_mb: operator.kept_mb,
+            at: operator.fleet_at.clone(),
+            cache_mb: operator.stale_cache_mb,
             max_mb,
         });
     }
--- a/crates/server/src/config/standalone.rs
+++ b/crates/server/src/config/standalone.rs
@@ -1,7 +1,8 @@
 //! A program that serves on its own: all is declared by the operator's file, from which the settings are made.
 use super::capacity::left_for_callers;
 use super::{Config, ConfigError};
-use cottondyke_operator_config::{Effect, OperatorConfig, Serve};
+use cottondyke_operator_config::{OperatorConfig, Serve};
+use cottondyke_types::{Idempotency, Time};
 use serde_json::{json, Value};
 
 /// The admission controller uses 0.85 of the overload that it is told is survived: so `at_once` itself is the most
@@ -38,8 +39,8 @@
     let listen = serve.listen.to_string();
     json!({
         "name": serve.name, "listen": listen, "engine": listen, "control": listen, "records": listen,
-        "seed": format!("{:x}", serve.seed), "stop_ms": (serve.stop / 10).max(1),
-        "limits": { "memory_mb": serve.memory_mb, "sockets": serve.sockets },
+        "seed": format!("{:x}", serve.seed), "stop_ms": (serve.shutdown_timeout.0 / 10).max(1),
+        "limits": { "memory_mb": serve.memory_mb, "sockets": serve.max_descriptors },
         "settings": settings(operator, serve),
     })
 }
@@ -53,16 +54,16 @@
         "family_info": {
             "advert": "none", "below": "none", "blowup": 2.0, "calls_over_ms": 1_000.0, "cold": false,
             "fresh_ms": 0.0, "heeded_ms": 1_000.0, "idle_ms": 60_000.0, "kb_per_key": 1.0, "linger_ms": 0.0,
-            "mem_limit_kb": serve.memory_mb as f64 * REQUEST_KB_PER_MB, "n_cores": serve.at_once, "own_stats": [],
+            "mem_limit_kb": serve.memory_mb as f64 * REQUEST_KB_PER_MB, "n_cores": serve.max_running_requests, "own_stats": [],
             "preemption": "drop", "upstreams": 1.0,
         },
         "group_size": operator.instances.unwrap_or(1),
         "obligations": {
-            "drain_grace_ms": milliseconds(serve.stop) / 2.0, "overload_factor": OVERLOAD_FACTOR,
+            "drain_grace_ms": milliseconds(serve.shutdown_timeout) / 2.0, "overload_factor": OVERLOAD_FACTOR,
             "start_capacity": 1.0, "warm_within_ms": 1_000.0,
         },
         "over_share_worth": 0.1,
-        "policy_limits": { "max_retry_after_ms": milliseconds(serve.pause), "retry_after": true },
+        "policy_limits": { "max_retry_after_ms": milliseconds(serve.max_retry_after), "retry_after": true },
         "resolution_ms": 1.0,
         "worth_by": "request",
     })
@@ -70,16 +71,16 @@
 
 fn classes(operator: &OperatorConfig) -> Vec<Value> {
     let class = |handler: &cottondyke_operator_config::Handler| {
-        let effect = match handler.effect {
-            Effect::Replayable => "repeatable",
-            Effect::Uniqued => "by_key",
-            Effect::NonReplayable => "once",
+        let effect = match handler.idempotency {
+            Idempotency::Idempotent => "repeatable",
+            Idempotency::Keyed => "by_key",
+            Idempotency::NonIdempotent => "once",
         };
         json!({
-            "name": handler.name, "effect": effect, "credit": handler.value, "late_value": handler.late_value,
+            "name": handler.name, "effect": effect, "credit": handler.value, "late_value": handler.late_value_ratio,
             "aim_ms": milliseconds(handler.response_target),
             "deadline_ms": milliseconds(handler.client_timeout),
-            "dedup_window_ms": milliseconds(handler.window),
+            "dedup_window_ms": milliseconds(handler.dedup_window),
         })
     };
     operator.handlers.iter().map(class).collect()
@@ -89,11 +90,10 @@
     operator
         .tenants
         .iter()
-        .map(|tenant| json!({ "name": tenant.name, "quota_per_s": tenant.per_second }))
+        .map(|tenant| json!({ "name": tenant.name, "quota_per_s": tenant.requests_per_second }))
         .collect()
 }
 
-/// The operator's file counts time in tenths of a millisecond.
-fn milliseconds(tenths: i64) -> f64 {
-    tenths as f64 / 10.0
+fn milliseconds(duration: Time) -> f64 {
+    duration.as_f64() / 10.0
 }
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -4,6 +4,7 @@
 use cottondyke::cluster::{self, status::query};
 use cottondyke_cluster::NodeStatus;
 use cottondyke_operator_config::{OperatorConfig, Peers};
+use cottondyke_types::Time;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -23,11 +24,11 @@
         zone: "z".into(),
         listen,
         advertise: None,
-        probe: 1000,
-        keepers: vec![("alone".into(), listen)],
-        data: Some(folder.display().to_string()),
-        lease: 10_000,
-        longest_stop: 10_000,
+        probe_interval: Time(1000),
+        replicas: vec![("alone".into(), listen)],
+        data_dir: Some(folder.display().to_string()),
+        lease_duration: Time(10_000),
+        max_process_pause: Time(10_000),
     };
     let executor = Rc::new(LocalExecutor::new());
     let operator = OperatorConfig::default();
