--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -1,45 +1,49 @@
-//! `cottondyke-script FILE`: evaluates a script under the system's limits, and writes what it declares, typed, as
-//! JSON. The server calls it: neither the interpreter nor the typing takes memory there, and nothing that a script
-//! does reaches it.
+//! `cottondyke-script FILE`: evaluates an operator's file under the system's limits and writes its configuration, or
+//! its first error, as JSON to standard output. The server starts it for each file that it reads: neither the
+//! interpreter nor the typing takes memory there, and nothing that a script does reaches it.
+//!
+//! Exit code 0 where JSON was written, also that of an error in the script; 2 where none could be.
 use cottondyke_operator_config::{ConfigError, OperatorConfig};
-use rustix::process::{setrlimit, Resource, Rlimit};
+use cottondyke_script::process_limits::{limit_process, ProcessLimitError};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Bytes of address space, and seconds of a core.
-const MAX_MEMORY: u64 = 512 << 20;
-const MAX_CPU: u64 = 5;
+const EXIT_FAILURE: u8 = 2;
 
-fn run(path: &str) -> Result<(), String> {
-    let limit = |resource, most| {
-        setrlimit(
-            resource,
-            Rlimit {
-                current: Some(most),
-                maximum: Some(most),
-            },
-        )
-    };
-    limit(Resource::As, MAX_MEMORY).map_err(|e| format!("cannot limit memory: {e}"))?;
-    limit(Resource::Cpu, MAX_CPU).map_err(|e| format!("cannot limit the time: {e}"))?;
-    limit(Resource::Core, 0).map_err(|e| format!("cannot limit the core file: {e}"))?;
-    let declared = cottondyke_script::run(Path::new(path));
-    let result: Result<OperatorConfig, ConfigError> =
-        declared.and_then(|declared| OperatorConfig::from_declarations(path, declared));
-    serde_json::to_writer(std::io::stdout().lock(), &result).map_err(|e| e.to_string())
+/// Why no result was written.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error("usage: cottondyke-script FILE")]
+    Usage,
+    #[error(transparent)]
+    Limit(#[from] ProcessLimitError),
+    #[error(transparent)]
+    Output(#[from] serde_json::Error),
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let result = match words.as_slice() {
-        [path] if !path.starts_with('-') => run(path),
-        _ => Err("usage: cottondyke-script FILE".to_string()),
-    };
-    match result {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match run(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("cottondyke-script: {wrong}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("cottondyke-script: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
+
+fn run(arguments: &[String]) -> Result<(), ProgramError> {
+    let path = match arguments {
+        [path] if !path.starts_with('-') => path,
+        _ => return Err(ProgramError::Usage),
+    };
+    limit_process()?;
+    let result = read_config(path);
+    serde_json::to_writer(std::io::stdout().lock(), &result)?;
+    Ok(())
+}
+
+fn read_config(path: &str) -> Result<OperatorConfig, ConfigError> {
+    let declarations = cottondyke_script::evaluate(Path::new(path))?;
+    OperatorConfig::from_declarations(path, declarations)
+}
--- a/crates/script/tests/golden_operator.rs
+++ b/crates/script/tests/golden_operator.rs
@@ -82,7 +82,7 @@
     let path = folder.join("shop.star");
     std::fs::write(&path, text).unwrap();
     let file = path.display().to_string();
-    let read = cottondyke_script::run(&path)
+    let read = cottondyke_script::evaluate(&path)
         .and_then(|declared| OperatorConfig::from_declarations(&file, declared));
     let checked = read.and_then(|operator| operator.validate_standalone().map(|()| operator));
     let told = match checked {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn each_keyword_is_answered_word_for_word_when_it_is_good_or_bad() {
+fn prints_the_golden_text_when_a_keyword_is_valid_or_invalid() {
     let name = format!("cottondyke-golden-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,24 +1,25 @@
-//! Scripts, good and bad: each bad one with the place and the words of its error.
-#![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
+//! Scripts, valid and invalid: each invalid one with the location and the text of its error.
 
 use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+/// Numbers the directories of this process.
+static NEXT_DIRECTORY: AtomicU64 = AtomicU64::new(0);
 
-struct Folder(PathBuf);
+/// A directory of its own for one script, removed at the end.
+struct ScriptDirectory(PathBuf);
 
-impl Folder {
+impl ScriptDirectory {
     fn new() -> Self {
         let name = format!(
             "cottondyke-script-{}-{}",
             std::process::id(),
-            NEXT.fetch_add(1, Ordering::Relaxed)
+            NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed)
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        ScriptDirectory(path)
     }
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
@@ -28,19 +29,23 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for ScriptDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 fn evaluate(path: &Path) -> Result<OperatorConfig, ConfigError> {
-    OperatorConfig::from_declarations(&path.display().to_string(), cottondyke_script::run(path)?)
+    OperatorConfig::from_declarations(
+        &path.display().to_string(),
+        cottondyke_script::evaluate(path)?,
+    )
 }
 
-fn checked(text: &str) -> Result<OperatorConfig, ConfigError> {
-    let folder = Folder::new();
-    let path = folder.write("shop.star", text);
+/// The configuration of a script that stands alone.
+fn validated(text: &str) -> Result<OperatorConfig, ConfigError> {
+    let directory = ScriptDirectory::new();
+    let path = directory.write("shop.star", text);
     evaluate(&path).and_then(|operator| operator.validate_standalone().map(|()| operator))
 }
 
@@ -54,19 +59,20 @@
 const PEERS: &str =
     "peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:7101\"})";
 
-/// A script whose sixth line is `line`, after which the page is whole.
-fn with(line: &str) -> String {
+/// A script whose sixth line is `line`, before a valid page.
+fn with_line(line: &str) -> String {
     format!("{HEAD}{line}\npage(browse, parts = [part(\"catalogue\")])\n")
 }
 
+/// A script with a page of these parts in its sixth line.
 fn with_page(parts: &str) -> String {
     format!("{HEAD}page(browse, parts = [{parts}])\n")
 }
 
 #[test]
-fn a_good_script_is_what_it_says() {
-    let folder = Folder::new();
-    folder.write(
+fn builds_the_plan_and_the_summary_when_the_script_is_valid() {
+    let directory = ScriptDirectory::new();
+    directory.write(
         "common.star",
         "ports = {\"prices\": 8102}\ndef seconds(n):\n    return \"%ds\" % n\n",
     );
@@ -76,7 +82,7 @@
          for name in [\"catalogue\", \"prices\"]])\n\
          dependency(\"stock\", addr = \"127.0.0.1:%d\" % ports[\"prices\"], budget = \"50ms\", ceiling = 3)\n"
     );
-    let operator = evaluate(&folder.write("shop.star", &text)).unwrap();
+    let operator = evaluate(&directory.write("shop.star", &text)).unwrap();
     operator.validate_standalone().unwrap();
     assert_eq!(operator.aggregations[0].parts.len(), 2);
     assert_eq!(operator.dependencies[2].address.port(), 8102);
@@ -100,81 +106,83 @@
     );
 }
 
-/// Guards operators: each mistake is told with file, line, value and what was expected.
-#[test]
-fn bad_scripts_are_told_where_and_why() {
-    let cases: Vec<(String, usize, &[&str])> = vec![
-        (with("dependency("), 8, &["Parse error"]),
-        (with("dependncy(\"stock\")"), 6, &["dependncy", "not found"]),
-        (with("dependency(\"stock\")"), 6, &["addr is missing", "IP address with a port"]),
-        (with("dependency(\"stock\", adr = \"127.0.0.1:1\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 3)"), 6,
+/// A script, the line of its error (0 where the error is about the whole file), and what the error's text contains.
+type InvalidScript = (String, usize, &'static [&'static str]);
+
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
+fn invalid_scripts() -> Vec<InvalidScript> {
+    vec![
+        (with_line("dependency("), 8, &["Parse error"]),
+        (with_line("dependncy(\"stock\")"), 6, &["dependncy", "not found"]),
+        (with_line("dependency(\"stock\")"), 6, &["addr is missing", "IP address with a port"]),
+        (with_line("dependency(\"stock\", adr = \"127.0.0.1:1\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 3)"), 6,
             &["\"adr\" is no argument", "nearest is \"addr\""]),
-        (with("dependency(\"stock\", addr = \"stock.example:80\", budget = \"1ms\", ceiling = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"stock.example:80\", budget = \"1ms\", ceiling = 3)"), 6,
             &["stock.example:80", "expected an IP address"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = 300, ceiling = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = 300, ceiling = 3)"), 6,
             &["budget = 300", "expected a time", "\"300ms\""]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"-1s\", ceiling = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"-1s\", ceiling = 3)"), 6,
             &["\"-1s\"", "expected a time over 0"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"0ms\", ceiling = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"0ms\", ceiling = 3)"), 6,
             &["\"0ms\"", "expected a time over 0"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 2)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 2)"), 6,
             &["ceiling = 2", "3 instances", "at least 3"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 0)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 0)"), 6,
             &["ceiling = 0", "whole number from 1"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, rate = 2)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, rate = 2)"), 6,
             &["rate = 2", "3 instances", "at least 3"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, rate = 0)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, rate = 0)"), 6,
             &["rate = 0", "None or a whole number from 1"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, floor = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, floor = 3)"), 6,
             &["floor = 3", "share, 2"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, hedge = 2)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, hedge = 2)"), 6,
             &["hedge = 2", "0.5 to 0.999"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, retries = 3)"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, retries = 3)"), 6,
             &["retries = 3", "from 0 to 1"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, path = \"a b\")"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, path = \"a b\")"), 6,
             &["path = \"a b\"", "slash"]),
-        (with("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, replies = \"jsn\")"), 6,
+        (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6, replies = \"jsn\")"), 6,
             &["\"jsn\"", "one of json, text", "nearest is \"json\""]),
-        (with("dependency(\"st ock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
+        (with_line("dependency(\"st ock\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["st ock", "letters"]),
-        (with("dependency(\"prices\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
+        (with_line("dependency(\"prices\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["\"prices\" is declared twice", "line 5"]),
-        (with("dependency(\"a\", \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
+        (with_line("dependency(\"a\", \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["2 unnamed arguments", "only name"]),
-        (with("dependency(\"a\", name = \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
+        (with_line("dependency(\"a\", name = \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["name is given twice"]),
-        (with("handler(\"x\", effect = \"replayble\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
+        (with_line("handler(\"x\", effect = \"replayble\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
             &["\"replayble\"", "nearest is \"replayable\""]),
-        (with("handler(\"x\", effect = \"uniqued\", response_target = \"2s\", client_timeout = \"1s\")"), 6,
+        (with_line("handler(\"x\", effect = \"uniqued\", response_target = \"2s\", client_timeout = \"1s\")"), 6,
             &["client_timeout is 1 s", "response target of 2 s"]),
-        (with("handler(\"x\", effect = \"uniqued\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
+        (with_line("handler(\"x\", effect = \"uniqued\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
             &["handler \"x\" has no page"]),
-        (with("handler(\"x\", effect = len, response_target = \"1s\", client_timeout = \"1s\")"), 6,
+        (with_line("handler(\"x\", effect = len, response_target = \"1s\", client_timeout = \"1s\")"), 6,
             &["effect is a", "plain value"]),
-        (with("fleet(instances = 2)"), 6, &["fleet: declared twice"]),
-        (with("serve(listen = \"nowhere\")"), 6, &["serve: declared twice"]),
-        (with("customer(\"c\", per_second = -1)"), 6, &["per_second = -1", "number from 0"]),
-        (with("defences(off = [\"limits\"])"), 6, &["\"limits\"", "nearest is \"limit\""]),
-        (with(PEERS), 1, &["instances = 3 beside peers(...) in line 6", "expected one of the two"]),
-        (with("peers(name = \"a\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\"})"), 6,
+        (with_line("fleet(instances = 2)"), 6, &["fleet: declared twice"]),
+        (with_line("serve(listen = \"nowhere\")"), 6, &["serve: declared twice"]),
+        (with_line("customer(\"c\", per_second = -1)"), 6, &["per_second = -1", "number from 0"]),
+        (with_line("defences(off = [\"limits\"])"), 6, &["\"limits\"", "nearest is \"limit\""]),
+        (with_line(PEERS), 1, &["instances = 3 beside peers(...) in line 6", "expected one of the two"]),
+        (with_line("peers(name = \"a\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\"})"), 6,
             &["data is missing", "keeper"]),
-        (with("peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\", \"b\": \"127.0.0.1:2\"})"), 6,
+        (with_line("peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\", \"b\": \"127.0.0.1:2\"})"), 6,
             &["keepers = ", "1, 3 or 5 names"]),
-        (with(&PEERS.replace("127.0.0.1:7101", "nowhere")), 6, &["keepers = ", "\"nowhere\"", "address"]),
-        (with(&PEERS.replace("name = \"x\"", "name = \"x\", lease = \"1ms\"")), 6, &["lease = ", "\"500ms\" to \"10m\""]),
-        (with(&PEERS.replace("name = \"x\"", "name = \"x\", probe = \"1h\"")), 6, &["probe = ", "\"50ms\" to \"1m\""]),
-        (with(&PEERS.replace("name = \"x\"", "name = \"x\", leese = 1")), 6, &["\"leese\"", "nearest is \"lease\""]),
-        (with(&format!("{PEERS}; {PEERS}")), 6, &["peers: declared twice"]),
+        (with_line(&PEERS.replace("127.0.0.1:7101", "nowhere")), 6, &["keepers = ", "\"nowhere\"", "address"]),
+        (with_line(&PEERS.replace("name = \"x\"", "name = \"x\", lease = \"1ms\"")), 6, &["lease = ", "\"500ms\" to \"10m\""]),
+        (with_line(&PEERS.replace("name = \"x\"", "name = \"x\", probe = \"1h\"")), 6, &["probe = ", "\"50ms\" to \"1m\""]),
+        (with_line(&PEERS.replace("name = \"x\"", "name = \"x\", leese = 1")), 6, &["\"leese\"", "nearest is \"lease\""]),
+        (with_line(&format!("{PEERS}; {PEERS}")), 6, &["peers: declared twice"]),
         (HEAD.replace("instances = 3", "") + PEERS + "\ncustomer(\"c\", per_second = 5)\n", 7,
             &["customer \"c\" beside peers(...)"]),
-        (with("load(\"../other.star\", \"x\")"), 6, &["../other.star", "own folder"]),
-        (with("load(\"/etc/hostname\", \"x\")"), 6, &["own folder"]),
-        (with("load(\"missing.star\", \"x\")"), 6, &["missing.star", "No such file"]),
-        (with("load(\"shop.star\", \"browse\")"), 6, &["shop.star", "circle"]),
-        (with("x = [i for i in range(2000000)]"), 0, &["limit"]),
-        (with("def f(n):\n    return f(n + 1)\nf(0)"), 7, &["call stack overflow"]),
-        (with("x = 1 // 0"), 6, &["zero"]),
-        (with("page(browse, parts = [part(\"prices\")])"), 7, &["page of handler \"browse\"", "twice", "line 6"]),
+        (with_line("load(\"../other.star\", \"x\")"), 6, &["../other.star", "own folder"]),
+        (with_line("load(\"/etc/hostname\", \"x\")"), 6, &["own folder"]),
+        (with_line("load(\"missing.star\", \"x\")"), 6, &["missing.star", "No such file"]),
+        (with_line("load(\"shop.star\", \"browse\")"), 6, &["shop.star", "circle"]),
+        (with_line("x = [i for i in range(2000000)]"), 0, &["limit"]),
+        (with_line("def f(n):\n    return f(n + 1)\nf(0)"), 7, &["call stack overflow"]),
+        (with_line("x = 1 // 0"), 6, &["zero"]),
+        (with_line("page(browse, parts = [part(\"prices\")])"), 7, &["page of handler \"browse\"", "twice", "line 6"]),
         (with_page("part(\"catalog\")"), 6, &["\"catalog\" is not declared", "nearest is \"catalogue\""]),
         (with_page("part(\"catalogue\", fallbacks = [other(\"price\")])"), 6,
             &["\"price\" is not declared", "nearest is \"prices\""]),
@@ -200,49 +208,65 @@
         (HEAD.replace("serve(listen = \"127.0.0.1:0\")", "") + "page(browse, parts = [part(\"catalogue\")])", 0,
             &["serve(listen = ...) is missing"]),
         (String::new(), 0, &["serve(listen = ...) is missing"]),
-    ];
+    ]
+}
+
+/// Guards operators: each mistake is reported with file, line, value and what was expected.
+#[test]
+fn reports_the_location_and_the_expectation_when_a_script_is_invalid() {
+    let cases = invalid_scripts();
     assert!(cases.len() >= 30);
-    let mut failed = Vec::new();
-    for (text, line, words) in cases {
-        match checked(&text) {
-            Ok(_) => failed.push(format!("taken as good: {text}")),
-            Err(wrong) => {
-                let told = wrong.to_string();
-                let fits = words.iter().all(|w| told.contains(w)) && told.lines().count() == 1;
-                let named = wrong.location.line == line && told.contains("shop.star");
-                if !fits || !named {
-                    failed.push(format!("line {line}, {words:?}\n    {told}"));
-                }
-            }
+    let mut failures = Vec::new();
+    for (text, line, fragments) in cases {
+        let Err(error) = validated(&text) else {
+            failures.push(format!("accepted: {text}"));
+            continue;
+        };
+        let printed = error.to_string();
+        let is_one_line = printed.lines().count() == 1;
+        let has_text = fragments.iter().all(|fragment| printed.contains(fragment));
+        let has_location = error.location.line == line && printed.contains("shop.star");
+        if !is_one_line || !has_text || !has_location {
+            failures.push(format!("line {line}, {fragments:?}\n    {printed}"));
         }
     }
-    assert!(failed.is_empty(), "{}", failed.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards the machine: what a script may do is bounded in steps, depth and memory.
+/// Guards the machine: the steps, the depth and the memory of a script are bounded.
 #[test]
-fn evaluation_is_bounded() {
+fn stops_the_evaluation_when_a_script_takes_too_many_steps_or_too_much_memory() {
     for text in [
         "x = []\nfor i in range(100000000):\n    x.append(i)\n",
         "x = [\"a\" * 10000 for i in range(100000)]\n",
         "def f(n):\n    return [f(n - 1), f(n - 1)] if n else []\nf(40)\n",
     ] {
-        let told = checked(text).unwrap_err().to_string();
-        assert!(told.contains("limit") || told.contains("at most"), "{told}");
+        let printed = validated(text).unwrap_err().to_string();
+        let names_a_limit = printed.contains("limit") || printed.contains("at most");
+        assert!(names_a_limit, "{printed}");
     }
-    let folder = Folder::new();
+}
+
+#[test]
+fn stops_the_evaluation_when_files_load_each_other_too_deep() {
+    let directory = ScriptDirectory::new();
     for n in 0..12 {
-        folder.write(
+        directory.write(
             &format!("f{n}.star"),
             &format!("load(\"f{}.star\", \"x\")\n", n + 1),
         );
     }
-    folder.write("f12.star", "x = 1\n");
-    let told = evaluate(&folder.0.join("f0.star")).unwrap_err().to_string();
-    assert!(told.contains("8 deep"), "{told}");
-    let long = folder.write("long.star", &"x = 1\n".repeat(60_000));
-    assert!(evaluate(&long)
+    directory.write("f12.star", "x = 1\n");
+    let printed = evaluate(&directory.0.join("f0.star"))
         .unwrap_err()
-        .to_string()
-        .contains("expected at most"));
+        .to_string();
+    assert!(printed.contains("8 deep"), "{printed}");
+}
+
+#[test]
+fn rejects_the_file_when_it_is_too_large() {
+    let directory = ScriptDirectory::new();
+    let path = directory.write("long.star", &"x = 1\n".repeat(60_000));
+    let printed = evaluate(&path).unwrap_err().to_string();
+    assert!(printed.contains("expected at most"), "{printed}");
 }
