--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -12,8 +12,8 @@
 }
 
 impl SourceLocation {
-    /// A file without a line.
-    pub fn whole_file(file: impl Into<String>) -> Self {
+    /// A file as a whole, without a line.
+    pub fn file_only(file: impl Into<String>) -> Self {
         SourceLocation {
             file: file.into(),
             line: 0,
--- a/crates/operator-config/src/format.rs
+++ b/crates/operator-config/src/format.rs
@@ -48,6 +48,6 @@
     if text.chars().count() <= MAX_SHOWN_CHARS {
         return text;
     }
-    let kept_chars = MAX_SHOWN_CHARS - ELLIPSIS.len();
-    text.chars().take(kept_chars).collect::<String>() + ELLIPSIS
+    let shown_chars = MAX_SHOWN_CHARS - ELLIPSIS.len();
+    text.chars().take(shown_chars).collect::<String>() + ELLIPSIS
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -41,4 +41,4 @@
     MAX_DEFAULT_VALUE_BYTES, MAX_DEPENDENCIES, MAX_FALLBACKS, MAX_PARTS, SAFEGUARDS,
 };
 pub use plan::HandlerSpec;
-pub use queries::{budget_of, rate_of};
+pub use queries::{call_budget_name, rate_budget_name};
--- a/crates/operator-config/src/queries.rs
+++ b/crates/operator-config/src/queries.rs
@@ -8,12 +8,12 @@
 const DEFAULT_REQUEST_VALUE: f64 = 1.0;
 
 /// The name of the fleet's budget for a dependency's calls a second.
-pub fn rate_of(dependency: &str) -> String {
+pub fn rate_budget_name(dependency: &str) -> String {
     format!("rate/{dependency}")
 }
 
 /// The name of the fleet's budget for a dependency's calls in flight.
-pub fn budget_of(dependency: &str) -> String {
+pub fn call_budget_name(dependency: &str) -> String {
     format!("dependency/{dependency}")
 }
 
@@ -56,13 +56,13 @@
     pub fn shared_budgets(&self) -> Vec<BudgetSpec> {
         let shared = || self.dependencies.iter().filter(|d| !d.per_instance);
         let calls = shared().map(|dependency| BudgetSpec {
-            name: budget_of(&dependency.name),
+            name: call_budget_name(&dependency.name),
             units: dependency.ceiling as u32,
             post_cancel_grace: self.max_call_duration(dependency),
         });
         let rates = shared().filter_map(|dependency| {
             Some(BudgetSpec {
-                name: rate_of(&dependency.name),
+                name: rate_budget_name(&dependency.name),
                 units: dependency.max_rate? as u32,
                 post_cancel_grace: RATE_WINDOW,
             })
--- a/crates/operator-config/src/validate/standalone.rs
+++ b/crates/operator-config/src/validate/standalone.rs
@@ -5,7 +5,7 @@
 impl OperatorConfig {
     /// Checks that the file can be obeyed on its own. Nothing but its pages can run its handlers then.
     pub fn validate_standalone(&self) -> Result<(), ConfigError> {
-        let file = SourceLocation::whole_file(&self.file);
+        let file = SourceLocation::file_only(&self.file);
         if self.serve.is_none() {
             return Err(ValidationError::MissingServe.at(&file));
         }
--- a/crates/script/src/error.rs
+++ b/crates/script/src/error.rs
@@ -72,7 +72,7 @@
 pub(crate) fn to_config_error(file: &str, error: &starlark::Error) -> ConfigError {
     let location = match error.span() {
         Some(span) => location_of(span),
-        None => SourceLocation::whole_file(file),
+        None => SourceLocation::file_only(file),
     };
     let text = error.without_diagnostic().to_string();
     let lines: Vec<&str> = text
--- a/crates/script/src/evaluate.rs
+++ b/crates/script/src/evaluate.rs
@@ -14,7 +14,7 @@
     let globals = operator_globals();
     let recorder = Recorder::default();
     let loader = ScriptLoader::new(path, &globals, &recorder).map_err(|error| {
-        let location = SourceLocation::whole_file(&file);
+        let location = SourceLocation::file_only(&file);
         ConfigError::new(location, format!("cannot be read: {error}"))
     })?;
     loader
--- a/crates/script/src/globals.rs
+++ b/crates/script/src/globals.rs
@@ -33,7 +33,7 @@
 ) -> Result<Vec<Declaration>, ConfigError> {
     let read = |text: &String| {
         serde_json::from_str(text)
-            .map_err(|error| ConfigError::new(SourceLocation::whole_file(file), error))
+            .map_err(|error| ConfigError::new(SourceLocation::file_only(file), error))
     };
     recorder.borrow().iter().map(read).collect()
 }
--- a/crates/server/src/cluster/demand.rs
+++ b/crates/server/src/cluster/demand.rs
@@ -1,6 +1,6 @@
 //! What each budget is worth here, and how much of it was needed of late.
 use cottondyke_dependency::{DependencyUsage, QuotaKind};
-use cottondyke_operator_config::{budget_of, rate_of};
+use cottondyke_operator_config::{call_budget_name, rate_budget_name};
 use cottondyke_quota::Usage;
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 impl DemandTracker {
     /// A run of this value starts that may call a dependency.
     pub(super) fn record_start(&mut self, dependency: &str, value: f64) {
-        for budget in [budget_of(dependency), rate_of(dependency)] {
+        for budget in [call_budget_name(dependency), rate_budget_name(dependency)] {
             let demand = self.0.entry(budget).or_insert(Demand {
                 needed: 0.0,
                 weight: value,
@@ -34,9 +34,9 @@
     /// What is in use at this moment, as the cluster is told: the budget's name and its usage.
     pub(super) fn record_usage(&mut self, usage: &DependencyUsage) -> (String, Usage) {
         let budget = if usage.quota == QuotaKind::Rate {
-            rate_of(&usage.dependency)
+            rate_budget_name(&usage.dependency)
         } else {
-            budget_of(&usage.dependency)
+            call_budget_name(&usage.dependency)
         };
         let demand = self.0.entry(budget.clone()).or_default();
         demand.needed = (demand.needed * NEED_DECAY).max(usage.needed as f64);
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -18,7 +18,7 @@
 use cottondyke_cluster::{ClusterNode, Output};
 use cottondyke_dependency::{DependencyUsage, LeasedQuota, Plan};
 use cottondyke_membership::MAX_DATAGRAM_BYTES;
-use cottondyke_operator_config::{budget_of, rate_of, OperatorConfig, Peers};
+use cottondyke_operator_config::{call_budget_name, rate_budget_name, OperatorConfig, Peers};
 use cottondyke_types::Time;
 use data_dir::{StorageResult, StorageThread};
 use demand::DemandTracker;
@@ -76,8 +76,8 @@
     pub fn attach_quotas(&self, plan: &mut Plan) {
         let now = self.clock.now();
         for spec in &mut plan.dependencies {
-            let calls = self.quota_of(budget_of(&spec.name));
-            let rate = self.quota_of(rate_of(&spec.name));
+            let calls = self.quota_of(call_budget_name(&spec.name));
+            let rate = self.quota_of(rate_budget_name(&spec.name));
             if let Some(spec) = Rc::get_mut(spec) {
                 spec.leased_calls = calls;
                 spec.leased_rate = rate;
