--- a/crates/operator-config/src/parse/aggregation.rs
+++ b/crates/operator-config/src/parse/aggregation.rs
@@ -1,5 +1,5 @@
 //! `aggregation(...)` with its `part(...)`s and their fallbacks.
-use super::DeclarationError;
+use super::error::DeclarationError;
 use crate::arguments::Arguments;
 use crate::{
     Aggregation, ConfigError, Declaration, Fallback, Part, SourceLocation, MAX_DEFAULT_VALUE_BYTES,
--- a/crates/operator-config/src/parse/fleet.rs
+++ b/crates/operator-config/src/parse/fleet.rs
@@ -2,6 +2,8 @@
 use crate::arguments::Arguments;
 use crate::{ConfigError, SourceLocation};
 
+/// The memory for cached replies where `fleet` does not say, in MiB.
+pub(super) const DEFAULT_STALE_CACHE_MB: f64 = 4.0;
 const MAX_INSTANCES: u64 = 100_000;
 const MAX_STALE_CACHE_MB: f64 = 65_536.0;
 
@@ -22,7 +24,7 @@
     let stale_cache_mb = arguments.number(
         "kept_mb",
         0.0..=MAX_STALE_CACHE_MB,
-        Some(super::DEFAULT_STALE_CACHE_MB),
+        Some(DEFAULT_STALE_CACHE_MB),
     )?;
     let at = arguments.at.clone();
     arguments.finish()?;
--- a/crates/operator-config/src/parse/handler.rs
+++ b/crates/operator-config/src/parse/handler.rs
@@ -1,5 +1,5 @@
 //! `handler(...)` and `customer(...)`: kinds of requests, and the tenants that send them.
-use super::DeclarationError;
+use super::error::DeclarationError;
 use crate::arguments::Arguments;
 use crate::format::format_duration;
 use crate::{ConfigError, Handler, Tenant};
--- a/crates/operator-config/src/parse/mod.rs
+++ b/crates/operator-config/src/parse/mod.rs
@@ -3,6 +3,7 @@
 //! The order in which a declaration reads its arguments is the order in which errors list the known ones.
 mod aggregation;
 mod dependency;
+mod error;
 mod fleet;
 mod handler;
 mod peers;
@@ -11,39 +12,8 @@
 
 use crate::arguments::Arguments;
 use crate::{ConfigError, Declaration, OperatorConfig};
-
-/// The memory for cached replies where `fleet` does not say, in MiB.
-const DEFAULT_STALE_CACHE_MB: f64 = 4.0;
-
-/// What is invalid about a declaration whose arguments are plausible one by one.
-#[derive(Debug, thiserror::Error)]
-enum DeclarationError {
-    #[error("expected a declaration")]
-    NotADeclaration,
-    #[error("declared twice: expected once")]
-    DeclaredTwice,
-    #[error("client_timeout is {timeout}: expected no less than the response target of {target}")]
-    TimeoutBelowTarget { timeout: String, target: String },
-    #[error(
-        "data is missing: expected a folder that outlives the process, since this instance is a keeper"
-    )]
-    MissingDataDirectory,
-    #[error("parts holds {count}: expected 1 to {max}")]
-    PartCount { count: usize, max: usize },
-    #[error("{count} fall-backs: expected at most {max}")]
-    TooManyFallbacks { count: usize, max: usize },
-    #[error("fallbacks holds {function}(): expected {expected}")]
-    NotAFallback {
-        function: String,
-        expected: &'static str,
-    },
-    #[error("off holds {value}: expected any of {known}{suggestion}")]
-    UnknownSafeguard {
-        value: String,
-        known: String,
-        suggestion: String,
-    },
-}
+use error::DeclarationError;
+use fleet::DEFAULT_STALE_CACHE_MB;
 
 impl OperatorConfig {
     /// Types what the script `file` declared. The declarations are checked one by one; [`OperatorConfig::validate`]
--- a/crates/operator-config/src/parse/peers.rs
+++ b/crates/operator-config/src/parse/peers.rs
@@ -1,5 +1,5 @@
 //! `peers(...)`: this instance as a member of a fleet.
-use super::DeclarationError;
+use super::error::DeclarationError;
 use crate::arguments::{Arguments, MAX_NAME_BYTES};
 use crate::format::{format_duration, milliseconds};
 use crate::{ConfigError, Peers};
--- a/crates/operator-config/src/parse/safeguards.rs
+++ b/crates/operator-config/src/parse/safeguards.rs
@@ -1,5 +1,5 @@
 //! `defences(...)`: the safeguards that are switched off.
-use super::DeclarationError;
+use super::error::DeclarationError;
 use crate::arguments::Arguments;
 use crate::format::format_value;
 use crate::suggestion::suggest_nearest;
