--- /dev/null
+++ b/crates/chaos/src/experiments/dependencies/checks.rs
@@ -0,0 +1,202 @@
+//! The report of the fleet under test, beside those without fallbacks and with fixed limits.
+use super::super::shop::{CEILING, DEPENDENCY_NAMES, RETRY_BUDGET};
+use super::schedule::{FaultWindow, CALM_SECONDS, LAST_REST_SECONDS, NODES, RATE};
+use super::timeline::Timeline;
+use crate::report::Report;
+use cottondyke_test_support::fake_dependency::FakeDependency;
+
+/// Seconds of load that must have been sent at the least.
+const MIN_LOAD_SECONDS: f64 = 10.0;
+/// Seconds of a window in which the fleet may adapt.
+const ADAPT_SECONDS: f64 = 0.5;
+/// Seconds after a window whose value is shown.
+const AFTERMATH_SECONDS: f64 = 1.5;
+const MAX_RECOVERY_SECONDS: f64 = 5.0;
+
+/// What was run.
+struct Results<'a> {
+    windows: &'a [FaultWindow],
+    dependencies: &'a [FakeDependency],
+    /// The fleet under test.
+    timeline: &'a Timeline,
+    without_fallbacks: &'a Timeline,
+    with_fixed_limits: &'a Timeline,
+}
+
+/// Checks the fleet under test, the first of the timelines, with its dependencies.
+pub(super) fn report(
+    windows: &[FaultWindow],
+    dependencies: &[FakeDependency],
+    [timeline, without_fallbacks, with_fixed_limits]: &[Timeline; 3],
+) -> Report {
+    let results = Results {
+        windows,
+        dependencies,
+        timeline,
+        without_fallbacks,
+        with_fixed_limits,
+    };
+    let mut report = Report::default();
+    results.check_answers(&mut report);
+    results.check_dependencies(&mut report);
+    results.check_value(&mut report);
+    results.check_recovery(&mut report);
+    results.check_extra_calls(&mut report);
+    results.check_completeness(&mut report);
+    results.add_figures(&mut report);
+    report
+}
+
+impl Results<'_> {
+    fn check_answers(&self, report: &mut Report) {
+        let timeline = self.timeline;
+        let all = timeline.len();
+        let min_sent = RATE * NODES as f64 * MIN_LOAD_SECONDS;
+        report.check_at_least("reqs sent", all, min_sent);
+        report.check_at_most(
+            "reqs without exactly one answer",
+            timeline.count(|score| score.answers != 1),
+            0.0,
+        );
+        report.check_at_most(
+            "reqs answered after their due time",
+            timeline.count(|score| score.is_lost),
+            0.0,
+        );
+        report.check_at_most(
+            "part of answers past the response target",
+            timeline.count(|score| score.is_late) / all,
+            0.01,
+        );
+        report.check_at_most(
+            "answers that are not what their head says",
+            timeline.count(|score| score.is_inconsistent),
+            0.0,
+        );
+    }
+
+    fn check_dependencies(&self, report: &mut Report) {
+        let max_in_flight = self
+            .dependencies
+            .iter()
+            .map(|dependency| dependency.counts().max_in_flight)
+            .max()
+            .unwrap_or_default();
+        report.check_at_most(
+            "calls held at a dependency",
+            max_in_flight as f64,
+            CEILING as f64,
+        );
+    }
+
+    fn check_value(&self, report: &mut Report) {
+        let ratio = |other: &Timeline| self.timeline.value() / other.value().max(1.0);
+        report.check_at_least(
+            "value beside no fall-backs",
+            ratio(self.without_fallbacks),
+            1.5,
+        );
+        report.check_above(
+            "value beside fixed limits and no breaker",
+            ratio(self.with_fixed_limits),
+            1.0,
+        );
+    }
+
+    fn check_recovery(&self, report: &mut Report) {
+        let recovery_seconds = self.windows.iter().enumerate().map(|(index, window)| {
+            let next = self.windows.get(index + 1);
+            let end = next.map_or(window.end + LAST_REST_SECONDS, |next| next.start);
+            self.timeline.recovery_seconds(window.end, end)
+        });
+        report.check_at_most(
+            "seconds until 0.95 are whole again",
+            recovery_seconds.fold(0.0, f64::max),
+            MAX_RECOVERY_SECONDS,
+        );
+    }
+
+    fn check_extra_calls(&self, report: &mut Report) {
+        for (name, dependency) in DEPENDENCY_NAMES.iter().zip(self.dependencies) {
+            let counts = dependency.counts();
+            report.figure(&format!("calls at {name}"), counts.calls);
+            report.figure(&format!("extra calls at {name}"), counts.extra);
+            report.figure(&format!("most held at {name}"), counts.max_in_flight);
+        }
+        let extra_fractions = self.dependencies.iter().map(|dependency| {
+            let counts = dependency.counts();
+            let first_calls = counts.calls - counts.extra;
+            counts.extra as f64 / (first_calls as f64).max(1.0)
+        });
+        report.check_at_most(
+            "extra calls as a part of first ones",
+            extra_fractions.fold(0.0, f64::max),
+            RETRY_BUDGET,
+        );
+    }
+
+    fn check_completeness(&self, report: &mut Report) {
+        let complete_fraction = |window: &FaultWindow| {
+            let start = window.start + ADAPT_SECONDS;
+            self.timeline.complete_fraction(start, window.end)
+        };
+        if let [.., overload, outliers] = self.windows {
+            report.figure("part whole while one is weak", complete_fraction(overload));
+            report.check_at_least(
+                "part whole while calls straggle",
+                complete_fraction(outliers),
+                0.98,
+            );
+        }
+        let calm_end = CALM_SECONDS - ADAPT_SECONDS;
+        report.check_at_least(
+            "part whole before anything is wrong",
+            self.timeline.complete_fraction(0.0, calm_end),
+            1.0,
+        );
+    }
+
+    fn add_figures(&self, report: &mut Report) {
+        let timeline = self.timeline;
+        let all = timeline.len();
+        let complete = timeline.count(|score| score.is_done && !score.is_partial);
+        let partial = timeline.count(|score| score.is_partial);
+        let failed = timeline.count(|score| !score.is_done);
+        report.figure("reqs", all);
+        report.figure("whole", complete / all);
+        report.figure("partial", partial / all);
+        report.figure("shed or errored", failed / all);
+        report.figure("value a req", timeline.value() / all);
+        report.figure(
+            "value a req without fall-backs",
+            self.without_fallbacks.value() / all,
+        );
+        report.figure(
+            "value a req with fixed limits and no breaker",
+            self.with_fixed_limits.value() / all,
+        );
+        let windows = self.windows.iter();
+        let windows: Vec<String> = windows.map(|window| self.describe(window)).collect();
+        report.figure("spells", windows);
+    }
+
+    /// A window's faults, and the value of answers in it and after it.
+    fn describe(&self, window: &FaultWindow) -> String {
+        let faults: Vec<String> = window
+            .faults
+            .iter()
+            .map(|fault| format!("{} {}", DEPENDENCY_NAMES[fault.dependency], fault.fault))
+            .collect();
+        let values = |start: f64, end: f64| {
+            let own = self.timeline.mean_value(start, end);
+            let other = self.with_fixed_limits.mean_value(start, end);
+            format!("{own:.3} (with fixed limits {other:.3})")
+        };
+        format!(
+            "{}: value {}, after it {}",
+            faults.join(", "),
+            values(window.start, window.end),
+            values(window.end, window.end + AFTERMATH_SECONDS)
+        )
+    }
+}
--- a/crates/chaos/src/load.rs
+++ b/crates/chaos/src/load.rs
@@ -1,154 +1,179 @@
-//! Open-loop callers: reqs go out when they are due, whatever has come back, and each is timed from then.
+//! An open-loop load generator: requests go out when they are due, whatever has come back, and each is timed from then.
 use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, ReceivedFrame};
 use std::io::Write;
-use std::net::SocketAddr;
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-static NEXT_ID: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// One req from the time when it was due to be sent.
+/// Frame types of the server's protocol.
+const REQUEST_FRAME: u8 = 1;
+const ANSWER_FRAME: u8 = 2;
+/// The code of an answer to a request that was done.
+const DONE_CODE: u8 = 1;
+
+/// An answer and when it arrived.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    pub due: Instant,
-    pub size: usize,
-    /// Its final answers, with the time of each.
-    pub heard: Vec<(Instant, ReceivedFrame)>,
+pub(crate) struct Answer {
+    pub(crate) at: Instant,
+    pub(crate) frame: ReceivedFrame,
+}
+
+impl Answer {
+    pub(crate) fn is_done(&self) -> bool {
+        self.frame.code == DONE_CODE
+    }
 }
 
+/// One request.
 #[derive(Clone, Debug)]
-pub struct Mix {
-    pub handler: &'static str,
-    /// Reqs a second.
-    pub rate: f64,
-    /// Different bodies among them: what is kept of one serves others of its kind.
-    pub bodies: u64,
-    /// The first four digits of the reqs' ids.
-    pub tag: u64,
+pub(crate) struct SentRequest {
+    /// When it was due to be sent.
+    pub(crate) due: Instant,
+    pub(crate) body_bytes: usize,
+    /// Its final answers: more than one is a fault of the server.
+    pub(crate) answers: Vec<Answer>,
 }
 
-/// Callers on several connections to one node, which share the rate.
-pub struct Callers(Vec<JoinHandle<Calls>>);
+impl SentRequest {
+    /// The first answer, and how long after the request was due it arrived.
+    pub(crate) fn first_answer(&self) -> Option<(&Answer, Duration)> {
+        let answer = self.answers.first()?;
+        Some((answer, answer.at.saturating_duration_since(self.due)))
+    }
+}
+
+/// A time in which requests are sent.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct TimeWindow {
+    pub(crate) start: Instant,
+    pub(crate) end: Instant,
+}
 
-impl Callers {
-    pub fn start(
-        addr: SocketAddr,
-        mix: &Mix,
-        connections: u64,
-        seed: u64,
-        span: (Instant, Instant),
-        patience: Duration,
-    ) -> Self {
-        let mix = Mix {
-            rate: mix.rate / connections as f64,
-            ..mix.clone()
+/// What a load generator sends.
+#[derive(Clone, Debug)]
+pub(crate) struct LoadConfig {
+    pub(crate) handler: &'static str,
+    /// Requests a second, of all connections together.
+    pub(crate) rate: f64,
+    pub(crate) connections: u64,
+    /// Different bodies among the requests: what is cached of one serves others of its kind.
+    pub(crate) distinct_bodies: u64,
+    /// The first four digits of the requests' ids, in hexadecimal.
+    pub(crate) tag: u64,
+    pub(crate) seed: u64,
+    pub(crate) window: TimeWindow,
+    /// How long answers are awaited once the window has ended.
+    pub(crate) answer_timeout: Duration,
+}
+
+/// Clients on several connections to one node.
+pub(crate) struct LoadGenerator {
+    connections: Vec<JoinHandle<Vec<SentRequest>>>,
+}
+
+impl LoadGenerator {
+    /// Starts clients that share the rate; each connects when the window begins.
+    pub(crate) fn start(addr: SocketAddr, config: &LoadConfig) -> Self {
+        let start_connection = |connection: u64| {
+            let config = LoadConfig {
+                rate: config.rate / config.connections as f64,
+                seed: config.seed ^ connection << 48,
+                ..config.clone()
+            };
+            std::thread::spawn(move || run_connection(addr, &config))
         };
-        let seeds = (0..connections).map(|connection| seed ^ connection << 48);
-        Callers(
-            seeds
-                .map(|seed| call(addr, mix.clone(), seed, span.0, span.1, patience))
-                .collect(),
-        )
+        LoadGenerator {
+            connections: (0..config.connections).map(start_connection).collect(),
+        }
     }
 
     /// All that was sent, once the last answers have had their time.
-    pub fn join(self) -> Vec<Sent> {
-        self.0
+    pub(crate) fn join(self) -> Vec<SentRequest> {
+        self.connections
             .into_iter()
-            .filter_map(|caller| caller.join().ok())
+            .filter_map(|connection| connection.join().ok())
             .flatten()
             .collect()
     }
 }
 
-type Calls = Vec<Sent>;
-
-/// Sends from `start` until `end`, and waits for answers until `patience` past that.
-fn call(
-    addr: SocketAddr,
-    mix: Mix,
-    seed: u64,
-    start: Instant,
-    end: Instant,
-    patience: Duration,
-) -> JoinHandle<Calls> {
-    std::thread::spawn(move || {
-        // A connection that carries nothing for long is closed: it opens when it is needed.
-        std::thread::sleep(start.saturating_duration_since(Instant::now()));
-        let opened = FakeSidecar::connect(addr).and_then(|sidecar| {
-            sidecar.0.set_read_timeout(Some(
-                end.saturating_duration_since(Instant::now()) + patience,
-            ))?;
-            let writer = sidecar.0.try_clone()?;
-            Ok((sidecar, writer))
-        });
-        match opened {
-            Ok((sidecar, writer)) => calling(sidecar, writer, mix, seed, (start, end), patience),
-            Err(_) => Calls::new(),
+fn run_connection(addr: SocketAddr, config: &LoadConfig) -> Vec<SentRequest> {
+    let window = config.window;
+    // A connection that carries nothing for long is closed: it opens when it is needed.
+    sleep_until(window.start);
+    let connected = FakeSidecar::connect(addr).and_then(|sidecar| {
+        let remaining = window.end.saturating_duration_since(Instant::now());
+        let read_timeout = remaining + config.answer_timeout;
+        sidecar.0.set_read_timeout(Some(read_timeout))?;
+        let writer = sidecar.0.try_clone()?;
+        Ok((sidecar, writer))
+    });
+    let Ok((reader, mut writer)) = connected else {
+        return Vec::new();
+    };
+    let answers = std::thread::spawn(move || receive_answers(reader));
+    let mut sent = send_requests(&mut writer, config);
+    // The last answers come within a client timeout.
+    sleep_until(window.end + config.answer_timeout);
+    let _ = writer.shutdown(Shutdown::Both);
+    for answer in answers.join().unwrap_or_default() {
+        if let Some(request) = sent.get_mut(answer.frame.stream as usize - 1) {
+            request.answers.push(answer);
         }
-    })
+    }
+    sent
 }
 
-fn calling(
-    mut reader: FakeSidecar,
-    mut writer: std::net::TcpStream,
-    mix: Mix,
-    seed: u64,
-    span: (Instant, Instant),
-    patience: Duration,
-) -> Calls {
-    let (start, end) = span;
-    let listening = std::thread::spawn(move || {
-        let mut heard = Vec::new();
-        while let Ok(one) = reader.receive() {
-            if one.kind == 2 && one.stream > 0 {
-                heard.push((Instant::now(), one));
-            }
+/// Receives answers until the connection ends.
+fn receive_answers(mut reader: FakeSidecar) -> Vec<Answer> {
+    let mut answers = Vec::new();
+    while let Ok(frame) = reader.receive() {
+        if frame.kind == ANSWER_FRAME && frame.stream > 0 {
+            let at = Instant::now();
+            answers.push(Answer { at, frame });
         }
-        heard
-    });
-    let mut random = fastrand::Rng::with_seed(seed);
+    }
+    answers
+}
+
+/// Sends requests with exponentially distributed gaps, the first on stream 1.
+fn send_requests(writer: &mut TcpStream, config: &LoadConfig) -> Vec<SentRequest> {
+    let mut random = fastrand::Rng::with_seed(config.seed);
     let mut sent = Vec::new();
-    let mut due = start;
+    let mut due = config.window.start;
     loop {
-        due += Duration::from_secs_f64(-(1.0 - random.f64()).ln() / mix.rate);
-        if due >= end {
-            break;
+        due += Duration::from_secs_f64(-(1.0 - random.f64()).ln() / config.rate);
+        if due >= config.window.end {
+            return sent;
         }
-        std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        let body = format!("{:08}", random.u64(0..mix.bodies));
-        let id = format!(
-            "{:04x}{:012x}",
-            mix.tag,
-            NEXT_ID.fetch_add(1, Ordering::Relaxed)
-        );
+        sleep_until(due);
+        let body = format!("{:08}", random.u64(0..config.distinct_bodies));
+        let number = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
+        let id = format!("{:04x}{number:012x}", config.tag);
         let at = unix_ms().to_string();
         let fields = [
-            ("class", mix.handler),
+            ("class", config.handler),
             ("id", &id),
             ("at", &at),
             ("from", "1"),
             ("kb", "4.0"),
         ];
-        sent.push(Sent {
+        sent.push(SentRequest {
             due,
-            size: body.len(),
-            heard: Vec::new(),
+            body_bytes: body.len(),
+            answers: Vec::new(),
         });
-        let bytes = frame(1, sent.len() as u32, &payload(&fields, body.as_bytes()));
+        let payload = payload(&fields, body.as_bytes());
+        let bytes = frame(REQUEST_FRAME, sent.len() as u32, &payload);
         if writer.write_all(&bytes).is_err() {
-            break;
-        }
-    }
-    // The last answers come within a client timeout.
-    std::thread::sleep((end + patience).saturating_duration_since(Instant::now()));
-    let _ = writer.shutdown(std::net::Shutdown::Both);
-    let heard = listening.join().unwrap_or_default();
-    for (at, one) in heard {
-        if let Some(sent) = sent.get_mut(one.stream as usize - 1) {
-            sent.heard.push((at, one));
+            return sent;
         }
     }
-    sent
+}
+
+fn sleep_until(at: Instant) {
+    std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
--- /dev/null
+++ b/crates/chaos/src/simulation/scale.rs
@@ -0,0 +1,140 @@
+//! What a quiet cluster of a size costs, and how quickly it sees a death and moves quota.
+use super::checks::SimulationError;
+use super::cluster::ClusterSimulation;
+use super::config::{
+    EventLog, SimulationConfig, LEASE_DURATION, MILLISECOND, PROBE_INTERVAL, SECOND,
+};
+use crate::error::Error;
+use crate::options::Options;
+use crate::report::Report;
+use cottondyke_membership::{MemberState, MAX_DETECTION_PERIODS};
+use cottondyke_quota::Safeguards;
+
+/// Sizes of the table, in members.
+const CLUSTER_SIZES: [usize; 3] = [10, 100, 1_000];
+const REPLICAS: usize = 3;
+const UNITS_PER_MEMBER: u32 = 2;
+/// Later than any measurement.
+const NO_END: i64 = 100_000 * SECOND;
+/// The longest wait for what is measured.
+const MAX_WAIT: i64 = 60 * SECOND;
+/// How long bytes are counted, and how long the cluster settles after a death.
+const QUIET_DURATION: i64 = 10 * SECOND;
+const DEATH_POLL_INTERVAL: i64 = 250 * MILLISECOND;
+const QUOTA_POLL_INTERVAL: i64 = 5 * MILLISECOND;
+/// The member whose demand jumps to the total, and the fraction of it that it must come to.
+const BUSY_MEMBER: usize = 3;
+const MIN_QUOTA_FRACTION: f64 = 0.7;
+
+struct ScaleMeasurement {
+    bytes_per_member_second: f64,
+    /// Until a dead member is in no member's list.
+    detection_seconds: f64,
+    /// Until a total that was spread is at the one member that needs it.
+    reallocation_seconds: f64,
+}
+
+/// Measures clusters of each size up to the options' member count.
+pub fn measure_scale(options: &Options) -> Result<Report, Error> {
+    options.disabled_safeguards(&[])?;
+    let mut report = Report::default();
+    let max_detection = MAX_DETECTION_PERIODS as f64 * PROBE_INTERVAL as f64 / SECOND as f64;
+    let max_reallocation = LEASE_DURATION as f64 / SECOND as f64;
+    for members in CLUSTER_SIZES
+        .into_iter()
+        .filter(|members| *members <= options.members)
+    {
+        let measured = measure(options.seed, members)?;
+        report.check_at_most(
+            "seconds until a dead member is in no list",
+            measured.detection_seconds,
+            max_detection,
+        );
+        report.check_at_most(
+            "seconds until a need that jumped is met",
+            measured.reallocation_seconds,
+            max_reallocation,
+        );
+        report.figure(
+            &format!("{members} members: bytes a second and member"),
+            measured.bytes_per_member_second.round(),
+        );
+        report.figure(
+            &format!("{members} members: seconds until a dead one is in no list"),
+            measured.detection_seconds,
+        );
+        report.figure(
+            &format!("{members} members: seconds until a need that jumped is met"),
+            measured.reallocation_seconds,
+        );
+    }
+    Ok(report)
+}
+
+fn measure(seed: u64, members: usize) -> Result<ScaleMeasurement, SimulationError> {
+    let config = SimulationConfig {
+        members,
+        replicas: REPLICAS,
+        total_units: members as u32 * UNITS_PER_MEMBER,
+        faults_until: 0,
+        end: NO_END,
+        has_constant_demand: true,
+        message_loss: 0.0,
+        safeguards: Safeguards::default(),
+    };
+    let mut simulation = ClusterSimulation::new(seed, config, EventLog::Off);
+    // Members join one after another: the larger the cluster, the longer it takes to settle.
+    simulation.advance(20 * SECOND + members as i64 * SECOND / 50)?;
+    Ok(ScaleMeasurement {
+        bytes_per_member_second: measure_traffic(&mut simulation)?,
+        detection_seconds: measure_detection(&mut simulation)?,
+        reallocation_seconds: measure_reallocation(&mut simulation)?,
+    })
+}
+
+fn measure_traffic(simulation: &mut ClusterSimulation) -> Result<f64, SimulationError> {
+    let bytes_before = simulation.state.quiet_bytes;
+    simulation.advance(simulation.state.now + QUIET_DURATION)?;
+    let bytes = (simulation.state.quiet_bytes - bytes_before) as f64;
+    let members = simulation.state.config.members;
+    Ok(bytes / (QUIET_DURATION / SECOND) as f64 / members as f64)
+}
+
+/// Kills the last member, and lets the cluster settle once no other lists it.
+fn measure_detection(simulation: &mut ClusterSimulation) -> Result<f64, SimulationError> {
+    let start = simulation.state.now;
+    let dead = simulation.state.config.members - 1;
+    let name = simulation.state.nodes[dead].name.clone();
+    simulation.state.nodes[dead].instance = None;
+    while is_listed(simulation, &name) && simulation.state.now < start + MAX_WAIT {
+        simulation.advance(simulation.state.now + DEATH_POLL_INTERVAL)?;
+    }
+    let duration = simulation.state.now - start;
+    simulation.advance(simulation.state.now + QUIET_DURATION)?;
+    Ok(duration as f64 / SECOND as f64)
+}
+
+fn is_listed(simulation: &ClusterSimulation, name: &str) -> bool {
+    simulation
+        .state
+        .nodes
+        .iter()
+        .filter_map(|node| node.instance.as_ref())
+        .flat_map(|instance| instance.members())
+        .any(|member| member.name == name && member.state != MemberState::Dead)
+}
+
+fn measure_reallocation(simulation: &mut ClusterSimulation) -> Result<f64, SimulationError> {
+    let start = simulation.state.now;
+    let total_units = simulation.state.config.total_units;
+    simulation.state.nodes[BUSY_MEMBER].demand = total_units;
+    let min_quota = f64::from(total_units) * MIN_QUOTA_FRACTION;
+    let usable_units = |simulation: &ClusterSimulation| {
+        let now = simulation.state.now;
+        f64::from(simulation.state.nodes[BUSY_MEMBER].usable_units(now))
+    };
+    while usable_units(simulation) < min_quota && simulation.state.now < start + MAX_WAIT {
+        simulation.advance(simulation.state.now + QUOTA_POLL_INTERVAL)?;
+    }
+    Ok((simulation.state.now - start) as f64 / SECOND as f64)
+}
