--- a/crates/chaos/src/experiments/budgets/schedule.rs
+++ b/crates/chaos/src/experiments/budgets/schedule.rs
@@ -7,7 +7,7 @@
 /// The first so many of them are replicas of the registry.
 pub(super) const REPLICAS: usize = 3;
 pub(super) const ZONES: usize = 3;
-/// Names by index: one more than there are nodes, whose links lead to replicas too.
+/// Names by index; the ninth has links and a data directory, but no process.
 pub(super) const NODE_NAMES: [&str; 9] = ["n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"];
 
 /// The phases, in seconds from when the load begins: calm, faults of single nodes, a zone partitioned, quiet, and full
--- a/crates/chaos/src/experiments/dependencies/schedule.rs
+++ b/crates/chaos/src/experiments/dependencies/schedule.rs
@@ -46,47 +46,60 @@
     ];
     random.shuffle(&mut kinds);
     let mut kinds = kinds.into_iter().cycle();
-    let mut windows = Vec::new();
-    let mut start = CALM_SECONDS;
-    let mut add_window = |start: &mut f64, faults| {
-        let end = *start + FAULT_SECONDS;
-        windows.push(FaultWindow {
-            start: *start,
-            end,
-            faults,
-        });
-        *start += FAULT_SECONDS + REST_SECONDS;
+    let mut schedule = Schedule {
+        windows: Vec::new(),
+        next_start: CALM_SECONDS,
     };
     // One, two and all three together, each at least once.
     let mut fault_counts = vec![1, 3, 2, 2];
     random.shuffle(&mut fault_counts);
-    for (number, count) in fault_counts.into_iter().enumerate() {
-        let end = start + 3.0 * FAULT_SECONDS + 2.0 * REST_SECONDS + LAST_REST_SECONDS;
-        if end > seconds && number > 0 {
+    for count in fault_counts {
+        let end =
+            schedule.next_start + 3.0 * FAULT_SECONDS + 2.0 * REST_SECONDS + LAST_REST_SECONDS;
+        if end > seconds && !schedule.windows.is_empty() {
             break;
         }
         let mut dependencies: Vec<usize> = (0..PAGE_PARTS).collect();
         random.shuffle(&mut dependencies);
-        let faults = dependencies[..count]
-            .iter()
-            .zip(&mut kinds)
-            .map(|(dependency, fault)| DependencyFault {
-                dependency: *dependency,
-                fault,
-            });
-        add_window(&mut start, faults.collect());
+        let failing = dependencies[..count].iter().zip(&mut kinds);
+        let faults = failing.map(|(dependency, fault)| DependencyFault {
+            dependency: *dependency,
+            fault,
+        });
+        schedule.add(faults.collect());
+    }
+    schedule.add(vec![overload(random)]);
+    schedule.add((0..PAGE_PARTS).map(latency_outliers).collect());
+    schedule.windows
+}
+
+struct Schedule {
+    windows: Vec<FaultWindow>,
+    /// When the next window starts, in seconds.
+    next_start: f64,
+}
+
+impl Schedule {
+    fn add(&mut self, faults: Vec<DependencyFault>) {
+        let start = self.next_start;
+        let end = start + FAULT_SECONDS;
+        self.windows.push(FaultWindow { start, end, faults });
+        self.next_start += FAULT_SECONDS + REST_SECONDS;
     }
-    // One survives a third of what it should: the more is in flight, the less it does.
-    let overload = DependencyFault {
+}
+
+/// One dependency survives a third of what it should: the more is in flight, the less it does.
+fn overload(random: &mut fastrand::Rng) -> DependencyFault {
+    DependencyFault {
         dependency: random.usize(0..PAGE_PARTS),
         fault: Fault::Overloaded(OVERLOAD_LIMIT),
-    };
-    add_window(&mut start, vec![overload]);
-    // Last, no dependency fails, but some calls of all three take ten times their time.
-    let outliers = |dependency| DependencyFault {
+    }
+}
+
+/// The dependency does not fail, but some calls of it take ten times their time.
+fn latency_outliers(dependency: usize) -> DependencyFault {
+    DependencyFault {
         dependency,
         fault: Fault::LatencyOutliers(OUTLIER_INTERVAL),
-    };
-    add_window(&mut start, (0..PAGE_PARTS).map(outliers).collect());
-    windows
+    }
 }
--- a/crates/test-support/src/fake_dependency/mod.rs
+++ b/crates/test-support/src/fake_dependency/mod.rs
@@ -106,6 +106,28 @@
 }
 
 /// A running dependency; it stops when it is dropped.
+///
+/// ```
+/// use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig, Fault};
+/// use std::io::{Read, Write};
+/// use std::net::TcpStream;
+/// use std::time::Duration;
+///
+/// let dependency = FakeDependency::start(FakeDependencyConfig {
+///     mean_latency: Duration::from_millis(1),
+///     concurrency_limit: 8,
+///     post_cancel_duration: Duration::ZERO,
+///     seed: 1,
+/// })?;
+/// dependency.set_fault(Fault::Fail);
+/// let mut stream = TcpStream::connect(dependency.addr)?;
+/// stream.write_all(b"GET / HTTP/1.1\r\nReq-Id: 0001a\r\n\r\n")?;
+/// let mut status = [0; 12];
+/// stream.read_exact(&mut status)?;
+/// assert_eq!(&status, b"HTTP/1.1 500");
+/// assert_eq!(dependency.counts().calls, 1);
+/// # Ok::<(), std::io::Error>(())
+/// ```
 pub struct FakeDependency {
     /// Where it listens.
     pub addr: SocketAddr,
--- a/crates/test-support/src/faulty_link.rs
+++ b/crates/test-support/src/faulty_link.rs
@@ -71,6 +71,14 @@
     stopped: AtomicBool,
 }
 
+/// What one direction of a connection is to do now.
+struct Orders {
+    link: LinkState,
+    is_reset: bool,
+    /// How much later to deliver what was sent, where the connection is closed for that.
+    late_delivery: Option<Duration>,
+}
+
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state
@@ -78,6 +86,17 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    fn orders(&self, direction: Direction, connection: ConnectionId) -> Orders {
+        let state = self.state();
+        let late = state.late_delivery;
+        let is_late = connection.number <= late.last_connection;
+        Orders {
+            link: state.directions[direction as usize],
+            is_reset: state.resets != connection.resets,
+            late_delivery: is_late.then_some(late.delay),
+        }
+    }
+
     fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
@@ -88,6 +107,25 @@
 }
 
 /// A running link; it stops when it is dropped.
+///
+/// ```
+/// use cottondyke_test_support::faulty_link::{FaultyLink, LinkState};
+/// use std::io::{Read, Write};
+/// use std::net::{TcpListener, TcpStream};
+///
+/// let server = TcpListener::bind("127.0.0.1:0")?;
+/// let link = FaultyLink::start()?;
+/// link.set_target(Some(server.local_addr()?));
+/// link.set_directions(LinkState::Stalled, LinkState::Open);
+/// let mut client = TcpStream::connect(link.addr)?;
+/// client.write_all(b"hello")?;
+/// let (mut connection, _) = server.accept()?;
+/// link.set_directions(LinkState::Open, LinkState::Open);
+/// let mut received = [0; 5];
+/// connection.read_exact(&mut received)?;
+/// assert_eq!(&received, b"hello");
+/// # Ok::<(), std::io::Error>(())
+/// ```
 pub struct FaultyLink {
     /// Where clients connect.
     pub addr: SocketAddr,
@@ -213,16 +251,8 @@
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     let mut has_lost_bytes = false;
     loop {
-        let (link, was_reset, late_delivery) = {
-            let state = shared.state();
-            let late = state.late_delivery;
-            (
-                state.directions[direction as usize],
-                state.resets != connection.resets,
-                (connection.number <= late.last_connection).then_some(late.delay),
-            )
-        };
-        if let Some(delay) = late_delivery {
+        let orders = shared.orders(direction, connection);
+        if let Some(delay) = orders.late_delivery {
             if direction == Direction::Outbound {
                 hold_back(shared, &mut from, &mut to, delay);
                 break;
@@ -234,16 +264,16 @@
             }
             continue;
         }
-        let is_open_after_loss = has_lost_bytes && link != LinkState::Partitioned;
-        if was_reset || shared.is_stopped() || is_open_after_loss {
+        let is_open_after_loss = has_lost_bytes && orders.link != LinkState::Partitioned;
+        if orders.is_reset || shared.is_stopped() || is_open_after_loss {
             break;
         }
-        if link == LinkState::Stalled {
+        if orders.link == LinkState::Stalled {
             // Bytes wait in the system's buffers, as they would before a peer that reads nothing.
             thread::sleep(POLL_INTERVAL);
             continue;
         }
-        match forward_read(link, &mut from, &mut to, &mut buffer) {
+        match forward_read(orders.link, &mut from, &mut to, &mut buffer) {
             Forwarded::Nothing | Forwarded::Delivered => {}
             Forwarded::Dropped => has_lost_bytes = true,
             Forwarded::Closed => break,
