--- a/crates/chaos/src/experiments/dependencies/checks.rs
+++ b/crates/chaos/src/experiments/dependencies/checks.rs
@@ -1,6 +1,6 @@
 //! The report of the fleet under test, beside those without fallbacks and with fixed limits.
 use super::super::shop::{CEILING, DEPENDENCY_NAMES, RETRY_BUDGET};
-use super::schedule::{FaultWindow, CALM_SECONDS, LAST_REST_SECONDS, NODES, RATE};
+use super::schedule::{FaultWindow, CALM_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
 use super::timeline::Timeline;
 use crate::report::Report;
 use cottondyke_test_support::fake_dependency::FakeDependency;
@@ -106,7 +106,7 @@
     fn check_recovery(&self, report: &mut Report) {
         let recovery_seconds = self.windows.iter().enumerate().map(|(index, window)| {
             let next = self.windows.get(index + 1);
-            let end = next.map_or(window.end + LAST_REST_SECONDS, |next| next.start);
+            let end = next.map_or(window.end + LAST_RECOVERY_SECONDS, |next| next.start);
             self.timeline.recovery_seconds(window.end, end)
         });
         report.check_at_most(
--- a/crates/chaos/src/experiments/dependencies/mod.rs
+++ b/crates/chaos/src/experiments/dependencies/mod.rs
@@ -12,7 +12,7 @@
 use crate::process::NodeProcess;
 use crate::report::Report;
 use cottondyke_test_support::fake_dependency::{FakeDependency, Fault};
-use schedule::{draw_schedule, FaultWindow, CALM_SECONDS, LAST_REST_SECONDS, NODES, RATE};
+use schedule::{draw_schedule, FaultWindow, CALM_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
 use std::time::{Duration, Instant};
 use timeline::Timeline;
 
@@ -67,7 +67,7 @@
     ];
     let start = Instant::now() + shop::POST_CANCEL_GRACE + WARM_UP;
     let last_fault = windows.last().map_or(CALM_SECONDS, |window| window.end);
-    let end = start + Duration::from_secs_f64(last_fault + LAST_REST_SECONDS);
+    let end = start + Duration::from_secs_f64(last_fault + LAST_RECOVERY_SECONDS);
     let load_window = TimeWindow { start, end };
     let generators = fleets
         .each_ref()
--- a/crates/chaos/src/experiments/dependencies/schedule.rs
+++ b/crates/chaos/src/experiments/dependencies/schedule.rs
@@ -9,8 +9,8 @@
 /// Times of the schedule, in seconds: before the first fault, of a fault, after it, and after the last.
 pub(super) const CALM_SECONDS: f64 = 2.5;
 const FAULT_SECONDS: f64 = 2.75;
-const REST_SECONDS: f64 = 2.25;
-pub(super) const LAST_REST_SECONDS: f64 = 3.0;
+const RECOVERY_SECONDS: f64 = 2.25;
+pub(super) const LAST_RECOVERY_SECONDS: f64 = 3.0;
 /// Calls in flight that a dependency survives in the window before the last.
 const OVERLOAD_LIMIT: u64 = CEILING / 3;
 /// Every call in so many is an outlier in the last window.
@@ -54,8 +54,10 @@
     let mut fault_counts = vec![1, 3, 2, 2];
     random.shuffle(&mut fault_counts);
     for count in fault_counts {
-        let end =
-            schedule.next_start + 3.0 * FAULT_SECONDS + 2.0 * REST_SECONDS + LAST_REST_SECONDS;
+        let end = schedule.next_start
+            + 3.0 * FAULT_SECONDS
+            + 2.0 * RECOVERY_SECONDS
+            + LAST_RECOVERY_SECONDS;
         if end > seconds && !schedule.windows.is_empty() {
             break;
         }
@@ -84,7 +86,7 @@
         let start = self.next_start;
         let end = start + FAULT_SECONDS;
         self.windows.push(FaultWindow { start, end, faults });
-        self.next_start += FAULT_SECONDS + REST_SECONDS;
+        self.next_start += FAULT_SECONDS + RECOVERY_SECONDS;
     }
 }
 
--- a/crates/chaos/src/experiments/mod.rs
+++ b/crates/chaos/src/experiments/mod.rs
@@ -4,13 +4,14 @@
 mod calm;
 mod dependencies;
 mod restarts;
+mod scale;
 mod score;
 mod shop;
+mod simulate;
 
 use crate::error::Error;
 use crate::options::Options;
 use crate::report::Report;
-use crate::simulation::{measure_scale, run_batch};
 
 /// What can be run by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,8 +63,8 @@
             Experiment::Calm => calm::run(options),
             Experiment::Dependencies => dependencies::run(options),
             Experiment::Restarts => restarts::run(options),
-            Experiment::Scale => measure_scale(options),
-            Experiment::Simulate => run_batch(options),
+            Experiment::Scale => scale::run(options),
+            Experiment::Simulate => simulate::run(options),
         }
     }
 }
--- a/crates/chaos/src/simulation/batch.rs
+++ b/crates/chaos/src/experiments/simulate.rs
@@ -1,17 +1,17 @@
-//! Many simulations, one a seed, on all cores.
-use super::checks::SimulationError;
-use super::cluster::ClusterSimulation;
-use super::config::{EventLog, SimulationConfig, SimulationResult};
+//! Many simulated clusters with faults, one a seed, on all cores.
 use crate::error::Error;
 use crate::options::{Options, SHARED_BUDGET_SAFEGUARDS};
 use crate::report::Report;
+use crate::simulation::{
+    ClusterSimulation, EventLog, SimulationConfig, SimulationError, SimulationResult,
+};
 use cottondyke_quota::Safeguards;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
 /// Runs as many simulations as the options say, from their seed on.
-pub fn run_batch(options: &Options) -> Result<Report, Error> {
+pub(super) fn run(options: &Options) -> Result<Report, Error> {
     let disabled = options.disabled_safeguards(&SHARED_BUDGET_SAFEGUARDS)?;
     let is_enabled = |name: &str| !disabled.contains(&name);
     let safeguards = Safeguards {
--- a/crates/chaos/src/simulation/mod.rs
+++ b/crates/chaos/src/simulation/mod.rs
@@ -4,7 +4,6 @@
 //! their sum against the budget's total after every step. The same seed plays the same run, so a failure is replayed
 //! by its seed.
 
-mod batch;
 mod checks;
 mod cluster;
 mod config;
@@ -15,8 +14,7 @@
 mod scale;
 mod state;
 
-pub use batch::run_batch;
 pub use checks::SimulationError;
 pub use cluster::ClusterSimulation;
 pub use config::{EventLog, SimulationConfig, SimulationResult};
-pub use scale::measure_scale;
+pub use scale::{measure_scale, ScaleMeasurement, MAX_DETECTION_SECONDS, MAX_REALLOCATION_SECONDS};
--- a/crates/chaos/src/simulation/scale.rs
+++ b/crates/chaos/src/simulation/scale.rs
@@ -4,14 +4,15 @@
 use super::config::{
     EventLog, SimulationConfig, LEASE_DURATION, MILLISECOND, PROBE_INTERVAL, SECOND,
 };
-use crate::error::Error;
-use crate::options::Options;
-use crate::report::Report;
 use cottondyke_membership::{MemberState, MAX_DETECTION_PERIODS};
 use cottondyke_quota::Safeguards;
 
-/// Sizes of the table, in members.
-const CLUSTER_SIZES: [usize; 3] = [10, 100, 1_000];
+/// Until a dead member must be in no member's list.
+pub const MAX_DETECTION_SECONDS: f64 =
+    MAX_DETECTION_PERIODS as f64 * PROBE_INTERVAL as f64 / SECOND as f64;
+/// Until a total that was spread must be at the one member that needs it.
+pub const MAX_REALLOCATION_SECONDS: f64 = LEASE_DURATION as f64 / SECOND as f64;
+
 const REPLICAS: usize = 3;
 const UNITS_PER_MEMBER: u32 = 2;
 /// Later than any measurement.
@@ -26,52 +27,19 @@
 const BUSY_MEMBER: usize = 3;
 const MIN_QUOTA_FRACTION: f64 = 0.7;
 
-struct ScaleMeasurement {
-    bytes_per_member_second: f64,
+/// What a cluster of a size costs, and how quick it is, in simulated time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ScaleMeasurement {
+    /// Bytes sent per second and member, without faults or load.
+    pub bytes_per_member_second: f64,
     /// Until a dead member is in no member's list.
-    detection_seconds: f64,
+    pub detection_seconds: f64,
     /// Until a total that was spread is at the one member that needs it.
-    reallocation_seconds: f64,
-}
-
-/// Measures clusters of each size up to the options' member count.
-pub fn measure_scale(options: &Options) -> Result<Report, Error> {
-    options.disabled_safeguards(&[])?;
-    let mut report = Report::default();
-    let max_detection = MAX_DETECTION_PERIODS as f64 * PROBE_INTERVAL as f64 / SECOND as f64;
-    let max_reallocation = LEASE_DURATION as f64 / SECOND as f64;
-    for members in CLUSTER_SIZES
-        .into_iter()
-        .filter(|members| *members <= options.members)
-    {
-        let measured = measure(options.seed, members)?;
-        report.check_at_most(
-            "seconds until a dead member is in no list",
-            measured.detection_seconds,
-            max_detection,
-        );
-        report.check_at_most(
-            "seconds until a need that jumped is met",
-            measured.reallocation_seconds,
-            max_reallocation,
-        );
-        report.figure(
-            &format!("{members} members: bytes a second and member"),
-            measured.bytes_per_member_second.round(),
-        );
-        report.figure(
-            &format!("{members} members: seconds until a dead one is in no list"),
-            measured.detection_seconds,
-        );
-        report.figure(
-            &format!("{members} members: seconds until a need that jumped is met"),
-            measured.reallocation_seconds,
-        );
-    }
-    Ok(report)
+    pub reallocation_seconds: f64,
 }
 
-fn measure(seed: u64, members: usize) -> Result<ScaleMeasurement, SimulationError> {
+/// Measures one cluster of a size.
+pub fn measure_scale(seed: u64, members: usize) -> Result<ScaleMeasurement, SimulationError> {
     let config = SimulationConfig {
         members,
         replicas: REPLICAS,
--- a/crates/chaos/src/simulation/state.rs
+++ b/crates/chaos/src/simulation/state.rs
@@ -278,9 +278,9 @@
 
     /// Demand is uneven, and moves, but for the end of the run.
     fn draw_demand(&mut self, index: usize) {
-        let moves = !self.config.has_constant_demand
+        let may_change = !self.config.has_constant_demand
             && self.now < self.config.end - CONSTANT_DEMAND_DURATION;
-        if moves && self.random.f64() < DEMAND_CHANGE_PROBABILITY {
+        if may_change && self.random.f64() < DEMAND_CHANGE_PROBABILITY {
             let is_high = self.random.f64() < HIGH_DEMAND_PROBABILITY;
             self.nodes[index].demand = if is_high {
                 self.random.u32(0..=self.config.total_units)
--- a/crates/test-support/src/fake_dependency/connection.rs
+++ b/crates/test-support/src/fake_dependency/connection.rs
@@ -1,9 +1,8 @@
 //! Serves the calls of one connection, with the latency and the response that the fault in force asks for.
-use super::counting::{tag_of, Arrival, InFlightCall};
-use super::{FakeDependencyConfig, Fault, Shared};
+use super::config::{FakeDependencyConfig, Fault};
+use super::counting::{tag_of, Arrival, InFlightCall, Shared};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -58,7 +57,7 @@
     loop {
         reader.get_ref().set_read_timeout(Some(IDLE_TIMEOUT))?;
         let request = read_request(&mut reader)?;
-        let number = shared.next_call.fetch_add(1, Ordering::Relaxed);
+        let number = shared.next_call_number();
         let tag = tag_of(&request.id);
         let arrival = shared.state().record_arrival(request.id);
         let call = InFlightCall::new(shared, tag);
@@ -108,7 +107,7 @@
     let deadline = Instant::now() + duration;
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        if remaining.is_zero() || shared.stopped.load(Ordering::Relaxed) {
+        if remaining.is_zero() || shared.is_stopped() {
             return remaining.is_zero();
         }
         let timeout = remaining.min(STOP_POLL_INTERVAL);
--- a/crates/test-support/src/fake_dependency/counting.rs
+++ b/crates/test-support/src/fake_dependency/counting.rs
@@ -1,6 +1,8 @@
 //! Counts calls from their arrival to their end, whether or not their callers still wait.
-use super::{CallCounts, Fault, Shared};
+use super::config::{CallCounts, FakeDependencyConfig, Fault};
 use std::collections::{HashMap, VecDeque};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 /// Length of the sliding window of [`CallCounts::max_per_second`].
@@ -29,7 +31,7 @@
 }
 
 impl State {
-    pub(super) fn new(seed: u64) -> Self {
+    fn new(seed: u64) -> Self {
         State {
             fault: Fault::None,
             counts: CallCounts::default(),
@@ -66,6 +68,45 @@
     }
 }
 
+/// What the connections' threads share.
+pub(super) struct Shared {
+    pub(super) config: FakeDependencyConfig,
+    state: Mutex<State>,
+    stopped: AtomicBool,
+    next_call: AtomicU64,
+}
+
+impl Shared {
+    pub(super) fn new(config: FakeDependencyConfig) -> Self {
+        Shared {
+            config,
+            state: Mutex::new(State::new(config.seed)),
+            stopped: AtomicBool::new(false),
+            next_call: AtomicU64::new(0),
+        }
+    }
+
+    pub(super) fn state(&self) -> MutexGuard<'_, State> {
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    /// Ends all waits of the connections' threads.
+    pub(super) fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
+    }
+
+    pub(super) fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
+    }
+
+    /// The number of the next call, from 0.
+    pub(super) fn next_call_number(&self) -> u64 {
+        self.next_call.fetch_add(1, Ordering::Relaxed)
+    }
+}
+
 /// Counts a call as in flight until it is dropped.
 pub(super) struct InFlightCall<'a> {
     shared: &'a Shared,
--- a/crates/test-support/src/fakes/fake_engine.rs
+++ b/crates/test-support/src/fakes/fake_engine.rs
@@ -1,5 +1,5 @@
 //! The engine that runs work for the server, as its end of one connection.
-use super::{accept, IO_TIMEOUT};
+use super::connection::{accept, IO_TIMEOUT};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
--- a/crates/test-support/src/fakes/fake_service.rs
+++ b/crates/test-support/src/fakes/fake_service.rs
@@ -1,5 +1,5 @@
 //! An HTTP service that the server calls (records service, control plane), as its end of one connection.
-use super::accept;
+use super::connection::accept;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 
--- a/crates/test-support/src/fakes/fake_sidecar.rs
+++ b/crates/test-support/src/fakes/fake_sidecar.rs
@@ -1,5 +1,5 @@
 //! A sidecar: encodes and decodes frames by itself, so that a fault of the server's codec shows in tests.
-use super::IO_TIMEOUT;
+use super::connection::IO_TIMEOUT;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
--- a/crates/test-support/src/faulty_link.rs
+++ b/crates/test-support/src/faulty_link.rs
@@ -190,7 +190,7 @@
 
 fn spawn_thread(work: impl FnOnce() + Send + 'static) -> io::Result<thread::JoinHandle<()>> {
     thread::Builder::new()
-        .stack_size(crate::THREAD_STACK_BYTES)
+        .stack_size(crate::threads::THREAD_STACK_BYTES)
         .spawn(work)
 }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -6,6 +6,4 @@
 pub mod fake_dependency;
 pub mod fakes;
 pub mod faulty_link;
-
-/// Stack of a fake's thread, in bytes: fakes start hundreds of threads, and none of them nests calls deeply.
-const THREAD_STACK_BYTES: usize = 128 << 10;
+mod threads;
--- /dev/null
+++ b/crates/test-support/src/threads.rs
@@ -0,0 +1,4 @@
+//! Threads of fakes.
+
+/// Stack of a fake's thread, in bytes: fakes start hundreds of threads, and none of them nests calls deeply.
+pub(crate) const THREAD_STACK_BYTES: usize = 128 << 10;
