--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -195,11 +195,13 @@
                 }
                 return;
             }
+            Event::RecordsCallEnded(id, number, result) => {
+                let event =
+                    engine.and_then(|engine| engine.handle_call_ended(now, id, number, result));
+                self.handle_execution_events(now, event);
+                return;
+            }
             Event::EngineMessage(message) => engine.map(|engine| engine.handle_message(message)),
-            Event::RecordsCallEnded(id, number, result) => engine.map(|engine| {
-                let event = engine.handle_call_ended(now, id, number, result);
-                event.into_iter().collect()
-            }),
             Event::DependencyCallEnded(call, result) => {
                 aggregation.map(|aggregation| aggregation.handle_call_ended(now, call, result))
             }
--- a/crates/server/tests/dispatcher.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -194,7 +194,7 @@
 }
 
 /// Guards the one final answer where the end of the run, the sidecar's cancel, the end of the connection, its half-close,
-/// a malformed frame and the notice to leave fall into one turn, in each order: one answer, none where the connection
+/// a malformed frame and the shutdown signal fall into one turn, in each order: one answer, none where the connection
 /// went before anything could answer.
 #[test]
 fn answers_once_when_events_of_one_turn_come_in_any_order() {
--- a/crates/server/tests/serve/aggregations.rs
+++ b/crates/server/tests/serve/aggregations.rs
@@ -102,7 +102,7 @@
     assert!(kept["age_ms"].as_u64().unwrap() >= 100, "{kept}");
 }
 
-/// Guards customers: what one asked for is never handed to what another asks.
+/// Guards tenants: what one asked for is never handed to what another asks.
 #[test]
 fn serves_cached_responses_for_the_same_request_only() {
     let shop = Shop::start("replayable", PARTS);
@@ -118,7 +118,7 @@
     assert_eq!(parts(&heard)["prices"], json!({ "state": "missing" }));
 }
 
-/// Guards against an answer that comes after its budget: it is dropped, and reaches no later req.
+/// Guards against an answer that comes after its budget: it is dropped, and reaches no later request.
 #[test]
 fn discards_a_response_that_comes_after_its_budget() {
     let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [leave_out()])");
@@ -145,7 +145,7 @@
     );
 }
 
-/// Guards pages against spoilt replies of every kind: none is taken for an answer.
+/// Guards aggregations against corrupt replies of every kind: none is taken for an answer.
 #[test]
 fn refuses_corrupt_responses_of_dependencies() {
     for odd in [
@@ -208,7 +208,7 @@
     }
 }
 
-/// Guards required parts: without one the answer is errored at once, whatever else is still out.
+/// Guards required parts: without one the answer is failed at once, whatever else is still out.
 #[test]
 fn fails_when_a_required_part_is_missing() {
     let shop = Shop::start("non-replayable", PARTS);
@@ -220,7 +220,7 @@
     assert_eq!((heard.code, heard.field("partial")), (9, None));
 }
 
-/// Guards leaving: pages half composed are answered with what there is, and the program ends in its time.
+/// Guards leaving: aggregations half composed are answered with what there is, and the program ends in its time.
 #[test]
 fn answers_incomplete_aggregations_when_shutting_down() {
     let mut shop = Shop::start(
@@ -251,7 +251,7 @@
     );
 }
 
-/// Guards reqs in progress and the file in force: a req ends under the file that it began with, also where that
+/// Guards requests in progress and the file in force: a request ends under the file that it began with, also where that
 /// takes its dependency away; a bad file changes nothing.
 #[test]
 fn applies_a_reloaded_file_to_what_starts_then() {
@@ -285,7 +285,7 @@
     );
 }
 
-/// Guards leaving: a script that takes seconds to read anew holds no notice to leave up.
+/// Guards leaving: a script that takes seconds to read again holds no shutdown signal up.
 #[test]
 fn shuts_down_while_a_script_is_evaluated() {
     let mut shop = Shop::start("replayable", PARTS);
--- a/crates/server/tests/serve/connections.rs
+++ b/crates/server/tests/serve/connections.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::io::Write;
 
-/// Guards the server's other connections: what cannot be decoded is told and closed, after the open reqs.
+/// Guards the server's other connections: what cannot be decoded is told and closed, after the open requests.
 #[test]
 fn closes_a_connection_after_a_malformed_frame_once_requests_are_answered() {
     let rig = Rig::start();
@@ -39,7 +39,7 @@
     }
 }
 
-/// Guards the desk against a connection that is gone: its run is settled, with nobody to tell.
+/// Guards the dispatcher against a connection that is gone: its run is settled, with nobody to tell.
 #[test]
 fn serves_others_when_a_connection_is_reset() {
     let rig = Rig::start();
@@ -92,7 +92,7 @@
 }
 
 /// Guards sidecars against connections that hold on: near the budget of descriptors the longest idle is told and
-/// closed, what has a req open stays, and accepting does not stop.
+/// closed, what has a request open stays, and accepting does not stop.
 #[test]
 fn evicts_the_longest_idle_connection_when_full() {
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(100));
@@ -141,7 +141,7 @@
     assert!(rude.receive().is_err());
 }
 
-/// Guards capacity: the run of a req whose connection was reset is stopped.
+/// Guards capacity: the run of a request whose connection was reset is stopped.
 #[test]
 fn cancels_runs_when_their_connection_is_lost() {
     let rig = Rig::start();
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -38,7 +38,7 @@
     assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
-/// Guards against lost and repeated notices when the link breaks within a body.
+/// Guards against lost and repeated messages when the link breaks within a body.
 #[test]
 fn resumes_after_the_last_complete_message_when_the_link_breaks() {
     let rig = Rig::start();
@@ -64,7 +64,7 @@
     );
 }
 
-/// Guards effects: after a break only replayable runs are commanded again, the others are left to end.
+/// Guards effects: after a break only idempotent runs are commanded again, the others are left to end.
 #[test]
 fn repeats_a_possibly_lost_run_only_when_it_is_idempotent() {
     let rig = Rig::start();
@@ -143,7 +143,7 @@
     assert_eq!(started(&mut link), id(2), "its place is free");
 }
 
-/// Guards against a req whose run the engine refuses: it is answered, and the server goes on.
+/// Guards against a request whose run the engine refuses: it is answered, and the server goes on.
 #[test]
 fn settles_the_request_when_its_command_is_refused() {
     let rig = Rig::start();
@@ -185,7 +185,7 @@
 }
 
 /// Guards runs against a HALT that crosses their end: whichever comes first, the end or the word that it was one too
-/// many, the req has its one answer and the next is served.
+/// many, the request has its one answer and the next is served.
 #[test]
 fn ignores_a_cancel_that_crosses_the_end_of_its_run() {
     for refused_first in [false, true] {
--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -5,10 +5,10 @@
 use std::io::{ErrorKind, Write};
 use std::time::{Duration, Instant};
 
-const MARK: &[(&str, &str)] = &[("once", "basket")];
+const KEY: &[(&str, &str)] = &[("once", "basket")];
 
-/// A uniqued req that came to the machine at `at`.
-fn ask_at(sidecar: &mut FakeSidecar, number: u32, mark: &str, at: u64) {
+/// A keyed request that came to the machine at `at`.
+fn ask_at(sidecar: &mut FakeSidecar, number: u32, key: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
     let fields = [
         ("class", BUY),
@@ -16,7 +16,7 @@
         ("at", &at),
         ("from", "1"),
         ("kb", "1.0"),
-        ("once", mark),
+        ("once", key),
     ];
     sidecar.send(1, number, &fields, b"").unwrap();
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// A server, its engine, a sidecar of which the engine has known a req, and a client of which it never does.
+/// A server, its engine, a sidecar of which the engine has known a request, and a client of which it never does.
 fn with_stranger() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
@@ -37,24 +37,24 @@
     (rig, link, sidecar, stranger)
 }
 
-/// Guards effects: the dedup window goes by when a try reached the machine. Two tries that lay unread past a short
+/// Guards effects: the dedup window goes by when an attempt reached the machine. Two attempts that lay unread past a short
 /// window, and are read together, run once.
 #[test]
 fn runs_once_when_two_attempts_are_read_after_the_window() {
     let rig = Rig::with(short_window);
     let (mut link, mut sidecar) = rig.ready();
     let now = unix_ms();
-    for (number, mark, at) in [
+    for (number, key, at) in [
         (1, "basket", now - 300),
         (2, "basket", now - 290),
         (3, "other", now),
     ] {
-        ask_at(&mut sidecar, number, mark, at);
+        ask_at(&mut sidecar, number, key, at);
     }
     assert_eq!(
         [started(&mut link), started(&mut link)],
         [id(1), id(3)],
-        "the second try joins the first"
+        "the second attempt is coalesced with the first"
     );
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"bought")
         .unwrap();
@@ -66,8 +66,8 @@
     );
 }
 
-/// Guards effects: a try that reached the machine within the window, and is read after it, repeats the one that ran,
-/// whether that still goes on or is over. One that came after the window is another req.
+/// Guards effects: an attempt that reached the machine within the window, and is read after it, repeats the one that ran,
+/// whether that still goes on or is over. One that came after the window is another request.
 #[test]
 fn does_not_run_an_attempt_within_the_window_that_is_read_after_it() {
     for over in [false, true] {
@@ -98,11 +98,11 @@
             (late.stream, late.code, late.body.as_slice()),
             (2, 1, &b"result 1"[..])
         );
-        serves(&mut link, &mut sidecar, 4, BUY, MARK);
+        serves(&mut link, &mut sidecar, 4, BUY, KEY);
     }
 }
 
-/// Guards customers against one another: the same mark of another customer is another req.
+/// Guards tenants against one another: the same key of another tenant is another request.
 #[test]
 fn separates_idempotency_keys_of_tenants() {
     let rig = Rig::with(|conf| {
@@ -116,58 +116,58 @@
             &mut sidecar,
             number,
             BUY,
-            &[MARK[0], ("tenant", customer)],
+            &[KEY[0], ("tenant", customer)],
         );
     }
 }
 
-/// Guards results against a client that copies a mark it has seen: its connection, of which the engine knows no req,
+/// Guards results against a client that copies a key it has seen: its connection, of which the engine knows no request,
 /// is given no result, open or kept; the sidecar's own repeats are.
 #[test]
 fn gives_no_result_for_a_copied_key() {
     let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
-    ask(&mut sidecar, 2, BUY, MARK, b"");
+    ask(&mut sidecar, 2, BUY, KEY, b"");
     assert_eq!(started(&mut link), id(2));
-    ask(&mut stranger, 3, BUY, MARK, b"");
+    ask(&mut stranger, 3, BUY, KEY, b"");
     assert_eq!(
         stranger.receive().unwrap().code,
         9,
         "while the first is open"
     );
-    ask(&mut sidecar, 4, BUY, MARK, b"");
+    ask(&mut sidecar, 4, BUY, KEY, b"");
     assert_eq!(check(&mut stranger), 1);
     ends(&mut link, &mut sidecar, 2);
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    ask(&mut stranger, 5, BUY, MARK, b"");
+    ask(&mut stranger, 5, BUY, KEY, b"");
     assert_eq!(stranger.receive().unwrap().code, 9, "when it is kept");
-    ask(&mut sidecar, 6, BUY, MARK, b"");
+    ask(&mut sidecar, 6, BUY, KEY, b"");
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
     serves(&mut link, &mut sidecar, 7, READ, &[]);
 }
 
-/// Guards marks against a client that uses them first: what the engine does not know leaves nothing behind, whether a
-/// genuine try joined it or comes later.
+/// Guards keys against a client that uses them first: what the engine does not know leaves nothing behind, whether a
+/// genuine attempt joined it or comes later.
 #[test]
 fn frees_a_key_that_an_unproven_client_used_first() {
     for joins in [true, false] {
         let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
-        ask(&mut stranger, 2, BUY, MARK, b"");
+        ask(&mut stranger, 2, BUY, KEY, b"");
         assert_eq!(started(&mut link), id(2));
         if joins {
-            ask(&mut sidecar, 3, BUY, MARK, b"");
+            ask(&mut sidecar, 3, BUY, KEY, b"");
             assert_eq!(check(&mut sidecar), 1, "it has been taken");
         }
         link.send_line(&format!("NO RUN {}", id(2))).unwrap();
         assert_eq!(stranger.receive().unwrap().code, 9);
         if !joins {
-            ask(&mut sidecar, 3, BUY, MARK, b"");
+            ask(&mut sidecar, 3, BUY, KEY, b"");
         }
         assert_eq!(started(&mut link), id(3));
         ends(&mut link, &mut sidecar, 3);
     }
 }
 
-/// Guards a sidecar's req against a copy of it, whichever is read first: the copy is errored, the answer is the
+/// Guards a sidecar's request against a copy of it, whichever is read first: the copy is failed, the answer is the
 /// sidecar's.
 #[test]
 fn gives_a_copied_request_nothing() {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Guards connections against a sidecar that gives a req up and says so: the req is answered at once, its run is
+/// Guards connections against a sidecar that gives a request up and says so: the request is answered at once, its run is
 /// stopped, and what follows on the connection is served.
 #[test]
 fn keeps_the_connection_when_a_request_is_cancelled() {
@@ -229,7 +229,7 @@
     }
 }
 
-/// Guards value: a repeat that joined a try which fell due before the engine was there runs itself, since nothing ran.
+/// Guards value: a repeat that joined an attempt which fell due before the engine was there runs itself, since nothing ran.
 #[test]
 fn runs_a_repeat_when_the_first_attempt_never_ran() {
     let rig = Rig::start();
@@ -248,7 +248,7 @@
     ends(&mut link, &mut sidecar, 2);
 }
 
-/// Guards a start against a SIGHUP that comes while the files are read: it ends nothing, and the files are read anew.
+/// Guards a start against a SIGHUP that comes while the files are read: it ends nothing, and the files are read again.
 #[test]
 fn survives_sighup_while_the_files_are_read() {
     let (conf, _peers) = with_peers();
@@ -272,12 +272,12 @@
     file.write_all(conf.to_string().as_bytes()).unwrap();
     drop(file);
     process.serves();
-    // The signal was kept: the files are read anew.
+    // The signal was kept: the files are read again.
     open().write_all(conf.to_string().as_bytes()).unwrap();
     process.logged("configuration reloaded");
 }
 
-/// Guards the time from the notice to the end: a short one that comes just after the start is kept.
+/// Guards the time from the shutdown signal to the end: a short one that comes just after the start is kept.
 #[test]
 fn ends_in_time_when_the_shutdown_timeout_is_short() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(200));
@@ -290,7 +290,7 @@
     );
 }
 
-/// Guards sidecars that rest on a connection until the server ends it: they see its end in order, and a req that
+/// Guards sidecars that rest on a connection until the server ends it: they see its end in order, and a request that
 /// comes after the server's half-close runs nowhere.
 #[test]
 fn closes_an_idle_connection_in_order() {
--- a/crates/server/tests/serve/main.rs
+++ b/crates/server/tests/serve/main.rs
@@ -1,4 +1,4 @@
-//! The real binary against small stand-ins on loopback.
+//! The real binary against small fakes on loopback.
 #![expect(
     unreachable_pub,
     clippy::too_many_lines,
--- a/crates/server/tests/serve/records_calls.rs
+++ b/crates/server/tests/serve/records_calls.rs
@@ -13,7 +13,7 @@
     (link, sidecar)
 }
 
-/// Guards effects: a call that may have run is not made again for a req that must not run twice.
+/// Guards effects: a call that may have run is not made again for a request that must not run twice.
 #[test]
 fn does_not_repeat_a_call_that_may_have_been_executed() {
     for odd in [
@@ -73,7 +73,7 @@
         0,
         "the connection is closed"
     );
-    // This handler's calls can be skipped; the skip names the notice that asked.
+    // This handler's calls can be skipped; the skip names the shutdown signal that asked.
     let (words, _) = link.receive_command().unwrap();
     assert_eq!(words, ["SKIP", &id(1), "1"]);
     link.send_line_with_body(&format!("DONE 2 {} fine 1", id(1)), b"poorer")
@@ -81,7 +81,7 @@
     assert_eq!(sidecar.receive().unwrap().body, b"poorer");
 }
 
-/// Guards against a call that outlives its req: when the run ends at it, the call is given up.
+/// Guards against a call that outlives its request: when the run ends at it, the call is given up.
 #[test]
 fn cancels_a_call_when_its_run_ends() {
     let rig = Rig::start();
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -1,11 +1,11 @@
-//! The configuration read anew on SIGHUP.
+//! The configuration read again on SIGHUP.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::net::TcpListener;
 
 /// Guards a server whose peers move while it serves: it lives, nothing open is lost, each peer is met at its new
-/// address, and the new engine is told which notices were read.
+/// address, and the new engine is told which messages were read.
 #[test]
 fn follows_new_addresses_while_requests_are_in_flight() {
     let rig = Rig::start();
@@ -75,7 +75,7 @@
 }
 
 /// Guards an engine that moves away and back, while the link to the new address is still being made: it is met where it
-/// is, and told which notices were read.
+/// is, and told which messages were read.
 #[test]
 fn follows_an_engine_that_moves_away_and_back() {
     let rig = Rig::start();
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -1,4 +1,4 @@
-//! From a req to its one final answer.
+//! From a request to its one final answer.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use std::io::Write;
@@ -53,7 +53,7 @@
     );
 }
 
-/// Guards the frames against any split, and answers against the order of reqs.
+/// Guards the frames against any split, and answers against the order of requests.
 #[test]
 fn answers_32_requests_in_any_order_when_read_in_small_pieces() {
     let rig = Rig::with(|conf| {
@@ -78,7 +78,7 @@
         .chunks(11)
         .for_each(|piece| sidecar.0.write_all(piece).unwrap());
     let mut runs: Vec<_> = (0..32).map(|_| started(&mut link)).collect();
-    // One more is more than a connection may have open: it is turned away, the others stay.
+    // One more is more than a connection may have open: it is rejected, the others stay.
     ask(&mut sidecar, 33, READ, &[], b"");
     assert_eq!((sidecar.receive().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
@@ -91,7 +91,7 @@
     }
 }
 
-/// Guards a connection against reqs that can be read and not run: each gets its own answer.
+/// Guards a connection against requests that can be read and not run: each gets its own answer.
 #[test]
 fn fails_only_the_request_with_an_invalid_field() {
     let rig = Rig::start();
@@ -153,7 +153,7 @@
     assert_eq!(sidecar.receive().unwrap().code, 9, "fields past the frame");
     ask(&mut sidecar, 100, READ, &[], b"");
     let run = started(&mut link);
-    // The same id while it is open cannot be told apart: the second is errored, the first goes on.
+    // The same id while it is open cannot be told apart: the second is failed, the first goes on.
     sidecar
         .send(
             1,
@@ -183,7 +183,7 @@
     sidecar.receive().unwrap().stream
 }
 
-/// Guards against two answers: a run that ends after its req fell due is not sent.
+/// Guards against two answers: a run that ends after its request fell due is not sent.
 #[test]
 fn fails_a_request_once_when_its_deadline_passes() {
     let rig = Rig::start();
@@ -214,7 +214,7 @@
     );
 }
 
-/// Guards load and pace against stamps that are wrong: they are no sign that reqs lie unread here.
+/// Guards load and pace against stamps that are wrong: they are no sign that requests lie unread here.
 #[test]
 fn learns_no_queueing_delay_from_a_wrong_stamp() {
     let rig = Rig::start();
@@ -274,7 +274,7 @@
     }
 }
 
-/// Guards uniqued reqs against a second run: repeats share the first one's result, open or kept.
+/// Guards keyed requests against a second run: repeats share the first one's result, open or kept.
 #[test]
 fn runs_a_keyed_request_once_for_all_its_attempts() {
     let rig = Rig::start();
@@ -287,7 +287,7 @@
     assert_eq!(
         started(&mut link),
         id(3),
-        "another mark is another req; the repeat did not run"
+        "another key is another request; the repeat did not run"
     );
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"bought")
         .unwrap();
@@ -305,7 +305,7 @@
     );
 }
 
-/// Guards joined reqs: where the first one's run failed, they hear that too.
+/// Guards joined requests: where the first one's run failed, they hear that too.
 #[test]
 fn fails_repeats_of_a_failed_request() {
     let rig = Rig::start();
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -71,7 +71,7 @@
 }
 
 /// Guards a server whose every place is taken by clients that rest, while the control plane takes no report: its link
-/// to the engine is taken up again, calls are made, reqs on open connections answered and reports go out again, and
+/// to the engine is taken up again, calls are made, requests on open connections answered and reports go out again, and
 /// it never holds more descriptors than it may.
 #[test]
 fn serves_while_idle_clients_fill_the_descriptors() {
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -1,4 +1,4 @@
-//! The real binary on loopback, with stand-ins whose ports the system picks.
+//! The real binary on loopback, with fakes whose ports the system picks.
 use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
@@ -32,7 +32,7 @@
     conf
 }
 
-/// Settings with stand-ins for engine, records service and control plane, on ports that the system picks.
+/// Settings with fakes for engine, records service and control plane, on ports that the system picks.
 pub fn with_peers() -> (Value, [TcpListener; 3]) {
     let mut conf = settings();
     conf["listen"] = json!("127.0.0.1:0");
@@ -108,7 +108,7 @@
             .success());
     }
 
-    /// Replaces the file and has it read anew.
+    /// Replaces the file and has it read again.
     pub fn reload(&self, text: &str, logged: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
@@ -292,7 +292,7 @@
     format!("{number:016x}")
 }
 
-/// Sends a req whose stream and id are `number`.
+/// Sends a request whose stream and id are `number`.
 pub fn ask(
     sidecar: &mut FakeSidecar,
     number: u32,
@@ -340,7 +340,7 @@
     (status.code(), text)
 }
 
-/// The next req is served: what is still said of runs before it is passed over.
+/// The next request is served: what is still said of runs before it is passed over.
 pub fn serves(
     link: &mut FakeEngine,
     sidecar: &mut FakeSidecar,
@@ -356,7 +356,7 @@
     ends(link, sidecar, number);
 }
 
-/// The run of a req ends, and its result is heard.
+/// The run of a request ends, and its result is heard.
 pub fn ends(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
     let result = format!("result {number}");
     link.send_line_with_body(
--- a/crates/server/tests/serve/shutdown.rs
+++ b/crates/server/tests/serve/shutdown.rs
@@ -22,7 +22,7 @@
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"done")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"done");
-    // The second run never ends: its req is errored before the end.
+    // The second run never ends: its request is failed before the end.
     let hung = sidecar.receive().unwrap();
     assert_eq!((hung.stream, hung.code), (2, 9));
     let heard = std::iter::from_fn(|| late.receive().ok())
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -33,7 +33,7 @@
         }),
         ("classes", |c| c["settings"]["classes"] = json!([])),
         ("sockets", |c| c["limits"]["sockets"] = json!(3)),
-        // A uniqued handler without a window, or with none.
+        // A keyed handler without a window, or with none.
         ("dedup_window_ms is missing", |c| {
             c["settings"]["classes"][1]["dedup_window_ms"] = json!(null)
         }),
