--- a/crates/server/tests/serve/aggregations.rs
+++ b/crates/server/tests/serve/aggregations.rs
@@ -43,9 +43,9 @@
         }
     }
 
-    fn ask(&self, number: u32) -> FakeSidecar {
+    fn send_request(&self, number: u32) -> FakeSidecar {
         let mut sidecar = FakeSidecar::connect(self.rig.addr).unwrap();
-        ask(&mut sidecar, number, "browse", &[], b"shoes");
+        send_request(&mut sidecar, number, "browse", &[], b"shoes");
         sidecar
     }
 }
@@ -71,7 +71,7 @@
 #[test]
 fn flags_a_response_when_it_is_partial() {
     let shop = Shop::start("replayable", PARTS);
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
     let (mut prices, asked) = called(&shop.prices);
     assert_eq!(
@@ -88,7 +88,7 @@
         json!({ "state": "whole", "body": { "price": 3 } })
     );
     // The same connections serve the next; prices never answers, and its last answer was kept.
-    ask(&mut sidecar, 2, "browse", &[], b"shoes");
+    send_request(&mut sidecar, 2, "browse", &[], b"shoes");
     catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
     prices.receive_request().unwrap();
@@ -106,11 +106,11 @@
 #[test]
 fn serves_cached_responses_for_the_same_request_only() {
     let shop = Shop::start("replayable", PARTS);
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     let mut catalogue = good(&shop.catalogue, b"a list");
     drop(good(&shop.prices, b"1"));
     assert_eq!(sidecar.receive().unwrap().field("partial"), None);
-    ask(&mut sidecar, 2, "browse", &[], b"boots");
+    send_request(&mut sidecar, 2, "browse", &[], b"boots");
     catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
     let _hangs = called(&shop.prices);
@@ -122,13 +122,13 @@
 #[test]
 fn discards_a_response_that_comes_after_its_budget() {
     let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [leave_out()])");
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     let (mut prices, _) = called(&shop.prices);
     let heard = sidecar.receive().unwrap();
     assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
     // Within the time for which it is still listened to.
     let _ = prices.reply("200 OK", "", b"\"late\"");
-    ask(&mut sidecar, 2, "browse", &[], b"shoes");
+    send_request(&mut sidecar, 2, "browse", &[], b"shoes");
     let again = prices.receive_request();
     let mut other;
     let now = if again.is_ok() {
@@ -162,7 +162,7 @@
             "replayable",
             "part(\"prices\", fallbacks = [fixed({\"price\": None})])",
         );
-        let mut sidecar = shop.ask(1);
+        let mut sidecar = shop.send_request(1);
         let (mut prices, _) = called(&shop.prices);
         prices.0.get_mut().write_all(odd.as_bytes()).unwrap();
         drop(prices);
@@ -186,7 +186,7 @@
 fn never_repeats_a_dependency_call_that_may_have_been_executed() {
     for effect in ["uniqued", "non-replayable"] {
         let shop = Shop::start(effect, "part(\"catalogue\", required = True)");
-        let mut sidecar = shop.ask(1);
+        let mut sidecar = shop.send_request(1);
         let (catalogue, _) = called(&shop.catalogue);
         drop(catalogue);
         assert_eq!(sidecar.receive().unwrap().code, 9, "{effect}");
@@ -197,7 +197,7 @@
         );
         shop.catalogue.set_nonblocking(false).unwrap();
         // Turned away unread: that never ran.
-        let mut sidecar = shop.ask(2);
+        let mut sidecar = shop.send_request(2);
         let (mut catalogue, _) = called(&shop.catalogue);
         catalogue
             .reply("503 Busy", "Op-Not-Begun: 1\r\n", b"")
@@ -212,7 +212,7 @@
 #[test]
 fn fails_when_a_required_part_is_missing() {
     let shop = Shop::start("non-replayable", PARTS);
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     let _prices = called(&shop.prices);
     let (mut catalogue, _) = called(&shop.catalogue);
     catalogue.reply("500 No", "", b"").unwrap();
@@ -227,7 +227,7 @@
         "replayable",
         "part(\"catalogue\", fallbacks = [leave_out()]), part(\"prices\", fallbacks = [leave_out()])",
     );
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     drop(good(&shop.prices, b"7"));
     let (mut hangs, _) = called(&shop.catalogue);
     shop.rig.signal("-TERM");
@@ -244,7 +244,7 @@
         0,
         "the call is given up"
     );
-    let (status, took) = shop.rig.ended();
+    let (status, took) = shop.rig.wait_for_exit();
     assert!(
         status.success() && took.as_millis() < 3_000,
         "{status} {took:?}"
@@ -256,7 +256,7 @@
 #[test]
 fn applies_a_reloaded_file_to_what_starts_then() {
     let shop = Shop::start("replayable", PARTS);
-    let mut sidecar = shop.ask(1);
+    let mut sidecar = shop.send_request(1);
     let (mut catalogue, _) = called(&shop.catalogue);
     let (mut prices, _) = called(&shop.prices);
     shop.rig
@@ -276,7 +276,7 @@
         (heard.code, parts(&heard).as_object().unwrap().len()),
         (1, 2)
     );
-    ask(&mut sidecar, 2, "browse", &[], b"shoes");
+    send_request(&mut sidecar, 2, "browse", &[], b"shoes");
     catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"new").unwrap();
     assert_eq!(
@@ -294,7 +294,7 @@
     shop.rig.signal("-HUP");
     // The evaluation ends at its limit of 5 s; leaving takes 1 s.
     shop.rig.signal("-TERM");
-    let (status, took) = shop.rig.ended();
+    let (status, took) = shop.rig.wait_for_exit();
     assert!(
         status.success() && took.as_millis() < 3_000,
         "{status} {took:?}"
@@ -335,7 +335,7 @@
         let path: PathBuf = folder.join("shop.star");
         std::fs::write(&path, text).unwrap();
         for command in ["check", "serve"] {
-            let (code, said) = said(&[command, "--operator", path.to_str().unwrap()]);
+            let (code, said) = run_to_exit(&[command, "--operator", path.to_str().unwrap()]);
             assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
             assert!(
                 said.contains(told) || told == "cannot be evaluated" && said.contains("limit"),
--- a/crates/server/tests/serve/connections.rs
+++ b/crates/server/tests/serve/connections.rs
@@ -28,7 +28,7 @@
             ("kb", "1.0"),
         ];
         sidecar.send(1, 1, &fields, b"").unwrap();
-        let run = started(&mut link);
+        let run = expect_start(&mut link);
         sidecar.0.write_all(bytes).unwrap();
         let told = sidecar.receive().unwrap();
         assert_eq!((told.kind, told.stream), (2, 0), "{bytes:?}");
@@ -45,14 +45,14 @@
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
     let mut gone = rig.sidecar();
-    ask(&mut gone, 1, READ, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut gone, 1, READ, &[], b"");
+    let run = expect_start(&mut link);
     // Half a frame, then the end.
     gone.0.write_all(&[0, 0]).unwrap();
     drop(gone);
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
         .unwrap();
-    ask(&mut other, 2, READ, &[], b"");
+    send_request(&mut other, 2, READ, &[], b"");
     run_through(&mut link, 2, b"fine");
     assert_eq!(other.receive().unwrap().body, b"fine");
 }
@@ -70,8 +70,8 @@
         .flat_map(|_| frame(4, 0, &payload(&[], b"")))
         .collect();
     while rude.0.write_all(&checks).is_ok() {}
-    rig.logged("sidecar reads too slowly");
-    serves(&mut link, &mut other, 1, READ, &[]);
+    rig.wait_for_log("sidecar reads too slowly");
+    expect_served(&mut link, &mut other, 1, READ, &[]);
 }
 
 /// Guards memory: a length is no reason to take room, and frames in part have one bound for all.
@@ -87,8 +87,8 @@
             .count()
             > 100
     );
-    rig.logged("invalid input");
-    assert_eq!(check(&mut other), 1);
+    rig.wait_for_log("invalid input");
+    assert_eq!(check_health(&mut other), 1);
 }
 
 /// Guards sidecars against connections that hold on: near the budget of descriptors the longest idle is told and
@@ -98,12 +98,12 @@
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(100));
     let (mut link, mut idle) = rig.ready();
     let mut busy = rig.sidecar();
-    ask(&mut busy, 1, READ, &[], b"");
-    started(&mut link);
+    send_request(&mut busy, 1, READ, &[], b"");
+    expect_start(&mut link);
     let mut others = [rig.sidecar(), rig.sidecar()];
     others
         .iter_mut()
-        .for_each(|other| assert_eq!(check(other), 1));
+        .for_each(|other| assert_eq!(check_health(other), 1));
     assert_eq!(idle.receive().unwrap().kind, 6);
     assert!(idle.receive().is_err());
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"kept")
@@ -117,14 +117,18 @@
     let rig = Rig::start();
     let (_link, mut good) = rig.ready();
     let (mut silent, mut half) = (rig.sidecar(), rig.sidecar());
-    assert_eq!(check(&mut half), 1);
+    assert_eq!(check_health(&mut half), 1);
     half.0.write_all(&frame(4, 0, b"\0")[..7]).unwrap();
     for rude in [&mut silent, &mut half] {
         let told = rude.receive().unwrap();
         assert_eq!((told.kind, told.stream), (2, 0));
         assert!(rude.receive().is_err());
     }
-    assert_eq!(check(&mut good), 1, "idle between frames is no fault");
+    assert_eq!(
+        check_health(&mut good),
+        1,
+        "idle between frames is no fault"
+    );
 }
 
 /// Guards the word why: what a peer sends at full speed after it is read and thrown away, not reset.
@@ -146,8 +150,8 @@
 fn cancels_runs_when_their_connection_is_lost() {
     let rig = Rig::start();
     let (mut link, mut gone) = rig.ready();
-    ask(&mut gone, 1, READ, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut gone, 1, READ, &[], b"");
+    let run = expect_start(&mut link);
     // Closing with an answer unread resets the connection.
     gone.send(4, 0, &[], b"").unwrap();
     while gone.0.peek(&mut [0]).unwrap() == 0 {}
@@ -179,5 +183,5 @@
         report(reply);
     }
     drop(report("HTTP/1.1 204 No Content\r\n\r\n"));
-    serves(&mut link, &mut sidecar, 1, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
 }
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -8,22 +8,22 @@
 fn queues_requests_and_reports_unhealthy_until_the_engine_is_up() {
     let rig = Rig::start();
     let mut sidecar = rig.sidecar();
-    assert_ne!(check(&mut sidecar), 1);
-    ask(&mut sidecar, 1, BRIEF, &[], b"");
+    assert_ne!(check_health(&mut sidecar), 1);
+    send_request(&mut sidecar, 1, BRIEF, &[], b"");
     let heard = sidecar.receive().unwrap();
     assert_ne!((heard.stream, heard.code), (1, 1), "it fell due meanwhile");
-    ask(&mut sidecar, 2, READ, &[], b"");
-    assert_ne!(check(&mut sidecar), 1);
+    send_request(&mut sidecar, 2, READ, &[], b"");
+    assert_ne!(check_health(&mut sidecar), 1);
     let mut link = rig.link(0);
     assert_eq!(
-        started(&mut link),
+        expect_start(&mut link),
         id(2),
         "what is still open runs once the engine is there"
     );
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(2)), b"")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 1);
-    assert_eq!(check(&mut sidecar), 1);
+    assert_eq!(check_health(&mut sidecar), 1);
     // What was answered before left nothing behind: its id is free again.
     let (id, at) = (id(1), unix_ms().to_string());
     let fields = [
@@ -43,9 +43,9 @@
 fn resumes_after_the_last_complete_message_when_the_link_breaks() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, READ, &[], b"a");
-    ask(&mut sidecar, 2, READ, &[], b"b");
-    let (first, second) = (started(&mut link), started(&mut link));
+    send_request(&mut sidecar, 1, READ, &[], b"a");
+    send_request(&mut sidecar, 2, READ, &[], b"b");
+    let (first, second) = (expect_start(&mut link), expect_start(&mut link));
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"whole")
         .unwrap();
     let half = format!("DONE 2 {second} fine 1 9\r\nhal");
@@ -70,20 +70,20 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for (n, class) in [(1, READ), (2, BUY), (3, PAY)] {
-        ask(&mut sidecar, n, class, &[], b"");
-        assert_eq!(started(&mut link), id(n.into()));
+        send_request(&mut sidecar, n, class, &[], b"");
+        assert_eq!(expect_start(&mut link), id(n.into()));
     }
     drop(link);
     let mut link = rig.link(0);
-    assert_eq!(started(&mut link), id(1));
+    assert_eq!(expect_start(&mut link), id(1));
     for n in 1..=3 {
         link.send_line_with_body(&format!("DONE {n} {} fine 1", id(n)), b"")
             .unwrap();
         assert_eq!(sidecar.receive().unwrap().stream, n as u32);
     }
-    ask(&mut sidecar, 4, READ, &[], b"");
+    send_request(&mut sidecar, 4, READ, &[], b"");
     assert_eq!(
-        started(&mut link),
+        expect_start(&mut link),
         id(4),
         "nothing but the next run was commanded"
     );
@@ -95,8 +95,8 @@
 fn repeats_a_call_result_that_may_have_been_lost() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
         .unwrap();
     let mut service = FakeService::accept(&rig.records).unwrap();
@@ -116,9 +116,9 @@
     assert_eq!(sidecar.receive().unwrap().body, b"went on");
     drop(link);
     let mut link = rig.link(2);
-    ask(&mut sidecar, 2, READ, &[], b"");
+    send_request(&mut sidecar, 2, READ, &[], b"");
     assert_eq!(
-        started(&mut link),
+        expect_start(&mut link),
         id(2),
         "nothing of the run that ended is said again"
     );
@@ -135,12 +135,12 @@
         conf["settings"]["obligations"]["overload_factor"] = 2.into();
     });
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    started(&mut link);
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    expect_start(&mut link);
     assert_eq!(sidecar.receive().unwrap().code, 9);
-    rig.logged("abandoning a run that never ended");
-    ask(&mut sidecar, 2, PAY, &[], b"");
-    assert_eq!(started(&mut link), id(2), "its place is free");
+    rig.wait_for_log("abandoning a run that never ended");
+    send_request(&mut sidecar, 2, PAY, &[], b"");
+    assert_eq!(expect_start(&mut link), id(2), "its place is free");
 }
 
 /// Guards against a request whose run the engine refuses: it is answered, and the server goes on.
@@ -148,14 +148,14 @@
 fn settles_the_request_when_its_command_is_refused() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let run = expect_start(&mut link);
     link.send_line(&format!("NO RUN {run}")).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9);
     link.send_line("SOMETHING new").unwrap();
     link.send_line(&format!("NO HALT {run}")).unwrap();
-    serves(&mut link, &mut sidecar, 2, READ, &[]);
-    rig.logged("unknown engine message");
+    expect_served(&mut link, &mut sidecar, 2, READ, &[]);
+    rig.wait_for_log("unknown engine message");
 }
 
 /// Guards due answers against an engine that takes commands and says nothing more.
@@ -163,11 +163,11 @@
 fn keeps_timers_and_checks_going_when_the_engine_is_silent() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, BRIEF, &[], b"");
-    started(&mut link);
+    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    expect_start(&mut link);
     // From here on not even gauges come.
     assert_eq!(sidecar.receive().unwrap().code, 9);
-    assert_eq!(check(&mut sidecar), 1, "checks hear what was set");
+    assert_eq!(check_health(&mut sidecar), 1, "checks hear what was set");
 }
 
 /// Guards the link against bytes that are no notice: it is closed and taken up again.
@@ -175,8 +175,8 @@
 fn replaces_a_link_that_sends_unreadable_messages() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, BUY, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, BUY, &[], b"");
+    let run = expect_start(&mut link);
     link.send_line("DONE 1 nobody fine 1 0\r\n").unwrap();
     let mut link = rig.link(0);
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"")
@@ -191,8 +191,8 @@
     for refused_first in [false, true] {
         let rig = Rig::start();
         let (mut link, mut sidecar) = rig.ready();
-        ask(&mut sidecar, 1, BRIEF, &[], b"");
-        let run = started(&mut link);
+        send_request(&mut sidecar, 1, BRIEF, &[], b"");
+        let run = expect_start(&mut link);
         assert_eq!(sidecar.receive().unwrap().code, 9);
         assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
         if refused_first {
@@ -201,6 +201,6 @@
         link.send_line_with_body(&format!("DONE 1 {run} fine 600"), b"late")
             .unwrap();
         link.send_line(&format!("NO HALT {run}")).unwrap();
-        serves(&mut link, &mut sidecar, 2, READ, &[]);
+        expect_served(&mut link, &mut sidecar, 2, READ, &[]);
     }
 }
--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -8,7 +8,7 @@
 const KEY: &[(&str, &str)] = &[("once", "basket")];
 
 /// A keyed request that came to the machine at `at`.
-fn ask_at(sidecar: &mut FakeSidecar, number: u32, key: &str, at: u64) {
+fn send_request_at(sidecar: &mut FakeSidecar, number: u32, key: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
     let fields = [
         ("class", BUY),
@@ -32,7 +32,7 @@
 fn with_stranger() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    serves(&mut link, &mut sidecar, 1, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
     let stranger = rig.sidecar();
     (rig, link, sidecar, stranger)
 }
@@ -49,10 +49,10 @@
         (2, "basket", now - 290),
         (3, "other", now),
     ] {
-        ask_at(&mut sidecar, number, key, at);
+        send_request_at(&mut sidecar, number, key, at);
     }
     assert_eq!(
-        [started(&mut link), started(&mut link)],
+        [expect_start(&mut link), expect_start(&mut link)],
         [id(1), id(3)],
         "the second attempt is coalesced with the first"
     );
@@ -74,31 +74,31 @@
         let rig = Rig::with(short_window);
         let (mut link, mut sidecar) = rig.ready();
         let start = unix_ms();
-        ask_at(&mut sidecar, 1, "basket", start);
-        assert_eq!(started(&mut link), id(1));
+        send_request_at(&mut sidecar, 1, "basket", start);
+        assert_eq!(expect_start(&mut link), id(1));
         if over {
-            ends(&mut link, &mut sidecar, 1);
+            complete_run(&mut link, &mut sidecar, 1);
         }
         // Past the window and the slack of sockets, by the clock that the stamps go by.
         while unix_ms() < start + 250 {
-            assert_eq!(check(&mut sidecar), 1);
+            assert_eq!(check_health(&mut sidecar), 1);
         }
-        ask_at(&mut sidecar, 2, "basket", start + 60);
-        ask_at(&mut sidecar, 3, "other", unix_ms());
+        send_request_at(&mut sidecar, 2, "basket", start + 60);
+        send_request_at(&mut sidecar, 3, "other", unix_ms());
         assert_eq!(
-            started(&mut link),
+            expect_start(&mut link),
             id(3),
             "the try that was read late does not run"
         );
         if !over {
-            ends(&mut link, &mut sidecar, 1);
+            complete_run(&mut link, &mut sidecar, 1);
         }
         let late = sidecar.receive().unwrap();
         assert_eq!(
             (late.stream, late.code, late.body.as_slice()),
             (2, 1, &b"result 1"[..])
         );
-        serves(&mut link, &mut sidecar, 4, BUY, KEY);
+        expect_served(&mut link, &mut sidecar, 4, BUY, KEY);
     }
 }
 
@@ -111,7 +111,7 @@
     });
     let (mut link, mut sidecar) = rig.ready();
     for (number, customer) in [(1, "acme"), (2, "bolt")] {
-        serves(
+        expect_served(
             &mut link,
             &mut sidecar,
             number,
@@ -126,23 +126,23 @@
 #[test]
 fn gives_no_result_for_a_copied_key() {
     let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
-    ask(&mut sidecar, 2, BUY, KEY, b"");
-    assert_eq!(started(&mut link), id(2));
-    ask(&mut stranger, 3, BUY, KEY, b"");
+    send_request(&mut sidecar, 2, BUY, KEY, b"");
+    assert_eq!(expect_start(&mut link), id(2));
+    send_request(&mut stranger, 3, BUY, KEY, b"");
     assert_eq!(
         stranger.receive().unwrap().code,
         9,
         "while the first is open"
     );
-    ask(&mut sidecar, 4, BUY, KEY, b"");
-    assert_eq!(check(&mut stranger), 1);
-    ends(&mut link, &mut sidecar, 2);
+    send_request(&mut sidecar, 4, BUY, KEY, b"");
+    assert_eq!(check_health(&mut stranger), 1);
+    complete_run(&mut link, &mut sidecar, 2);
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    ask(&mut stranger, 5, BUY, KEY, b"");
+    send_request(&mut stranger, 5, BUY, KEY, b"");
     assert_eq!(stranger.receive().unwrap().code, 9, "when it is kept");
-    ask(&mut sidecar, 6, BUY, KEY, b"");
+    send_request(&mut sidecar, 6, BUY, KEY, b"");
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    serves(&mut link, &mut sidecar, 7, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 7, READ, &[]);
 }
 
 /// Guards keys against a client that uses them first: what the engine does not know leaves nothing behind, whether a
@@ -151,19 +151,19 @@
 fn frees_a_key_that_an_unproven_client_used_first() {
     for joins in [true, false] {
         let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
-        ask(&mut stranger, 2, BUY, KEY, b"");
-        assert_eq!(started(&mut link), id(2));
+        send_request(&mut stranger, 2, BUY, KEY, b"");
+        assert_eq!(expect_start(&mut link), id(2));
         if joins {
-            ask(&mut sidecar, 3, BUY, KEY, b"");
-            assert_eq!(check(&mut sidecar), 1, "it has been taken");
+            send_request(&mut sidecar, 3, BUY, KEY, b"");
+            assert_eq!(check_health(&mut sidecar), 1, "it has been taken");
         }
         link.send_line(&format!("NO RUN {}", id(2))).unwrap();
         assert_eq!(stranger.receive().unwrap().code, 9);
         if !joins {
-            ask(&mut sidecar, 3, BUY, KEY, b"");
+            send_request(&mut sidecar, 3, BUY, KEY, b"");
         }
-        assert_eq!(started(&mut link), id(3));
-        ends(&mut link, &mut sidecar, 3);
+        assert_eq!(expect_start(&mut link), id(3));
+        complete_run(&mut link, &mut sidecar, 3);
     }
 }
 
@@ -178,11 +178,11 @@
         } else {
             (&mut sidecar, &mut stranger)
         };
-        ask(first, number, PAY, &[], b"same");
-        assert_eq!(started(&mut link), id(number.into()));
-        ask(second, number, PAY, &[], b"same");
+        send_request(first, number, PAY, &[], b"same");
+        assert_eq!(expect_start(&mut link), id(number.into()));
+        send_request(second, number, PAY, &[], b"same");
         assert_eq!(stranger.receive().unwrap().code, 9);
-        ends(&mut link, &mut sidecar, number);
+        complete_run(&mut link, &mut sidecar, number);
     }
 }
 
@@ -192,8 +192,8 @@
 fn keeps_the_connection_when_a_request_is_cancelled() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, READ, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, READ, &[], b"");
+    let run = expect_start(&mut link);
     sidecar.0.write_all(&frame(3, 1, b"")).unwrap();
     let heard = sidecar.receive().unwrap();
     assert_eq!((heard.stream, heard.code), (1, 9));
@@ -205,7 +205,7 @@
         .unwrap();
     link.send_line_with_body(&format!("DONE 1 {run} broken_off 1"), b"")
         .unwrap();
-    serves(&mut link, &mut sidecar, 2, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 2, READ, &[]);
 }
 
 /// Guards the due time where callers tell how long they wait: it goes before the client timeout.
@@ -213,9 +213,9 @@
 fn answers_by_the_deadline_that_the_caller_tells() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, BRIEF, &[], b"");
-    ask(&mut sidecar, 2, READ, &[("wait", "300")], b"");
-    let _hang = (started(&mut link), started(&mut link));
+    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    send_request(&mut sidecar, 2, READ, &[("wait", "300")], b"");
+    let _hang = (expect_start(&mut link), expect_start(&mut link));
     let heard =
         [sidecar.receive().unwrap(), sidecar.receive().unwrap()].map(|h| (h.stream, h.code));
     assert_eq!(
@@ -224,7 +224,7 @@
         "the client timeout of the first is 600 ms"
     );
     for (number, wait) in [(3, "1e9"), (4, "soon")] {
-        ask(&mut sidecar, number, READ, &[("wait", wait)], b"");
+        send_request(&mut sidecar, number, READ, &[("wait", wait)], b"");
         assert_eq!(sidecar.receive().unwrap().code, 9, "no caller means that");
     }
 }
@@ -235,8 +235,8 @@
     let rig = Rig::start();
     let mut sidecar = rig.sidecar();
     let now = unix_ms();
-    ask_at(&mut sidecar, 1, "basket", now - 1_800);
-    ask_at(&mut sidecar, 2, "basket", now);
+    send_request_at(&mut sidecar, 1, "basket", now - 1_800);
+    send_request_at(&mut sidecar, 2, "basket", now);
     let heard = sidecar.receive().unwrap();
     assert_eq!(
         (heard.stream, heard.code != 1),
@@ -244,15 +244,15 @@
         "the first fell due"
     );
     let mut link = rig.link(0);
-    assert_eq!(started(&mut link), id(2));
-    ends(&mut link, &mut sidecar, 2);
+    assert_eq!(expect_start(&mut link), id(2));
+    complete_run(&mut link, &mut sidecar, 2);
 }
 
 /// Guards a start against a SIGHUP that comes while the files are read: it ends nothing, and the files are read again.
 #[test]
 fn survives_sighup_while_the_files_are_read() {
     let (conf, _peers) = with_peers();
-    let path = written("");
+    let path = temporary_file("");
     std::fs::remove_file(&path).unwrap();
     assert!(std::process::Command::new("mkfifo")
         .arg(&path)
@@ -271,10 +271,10 @@
     process.signal("-HUP");
     file.write_all(conf.to_string().as_bytes()).unwrap();
     drop(file);
-    process.serves();
+    process.listen_addr();
     // The signal was kept: the files are read again.
     open().write_all(conf.to_string().as_bytes()).unwrap();
-    process.logged("configuration reloaded");
+    process.wait_for_log("configuration reloaded");
 }
 
 /// Guards the time from the shutdown signal to the end: a short one that comes just after the start is kept.
@@ -283,7 +283,7 @@
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(200));
     let start = Instant::now();
     rig.signal("-TERM");
-    let (status, time) = (rig.ended().0, start.elapsed());
+    let (status, time) = (rig.wait_for_exit().0, start.elapsed());
     assert!(
         status.code() == Some(0) && time < Duration::from_millis(350),
         "{time:?}"
@@ -296,7 +296,7 @@
 fn closes_an_idle_connection_in_order() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
     let (mut link, mut resting) = rig.ready();
-    serves(&mut link, &mut resting, 1, PAY, &[]);
+    expect_served(&mut link, &mut resting, 1, PAY, &[]);
     rig.signal("-TERM");
     assert_eq!(resting.receive().unwrap().kind, 6);
     assert_eq!(
@@ -304,13 +304,13 @@
         ErrorKind::UnexpectedEof
     );
     // After the end of the server's half: read by nobody, and no reset.
-    ask(&mut resting, 2, PAY, &[], b"");
+    send_request(&mut resting, 2, PAY, &[], b"");
     assert_eq!(
         resting.receive().unwrap_err().kind(),
         ErrorKind::UnexpectedEof
     );
     drop(resting);
-    assert_eq!(rig.ended().0.code(), Some(0));
+    assert_eq!(rig.wait_for_exit().0.code(), Some(0));
     let mut orders = std::iter::from_fn(|| link.receive_command().ok());
     assert!(!orders.any(|(words, _)| words[0] == "RUN"), "it never ran");
 }
--- a/crates/server/tests/serve/records_calls.rs
+++ b/crates/server/tests/serve/records_calls.rs
@@ -6,8 +6,8 @@
 /// A run that waits for its call.
 fn waiting(rig: &Rig, class: &str) -> (FakeEngine, FakeSidecar) {
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, class, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, class, &[], b"");
+    let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
         .unwrap();
     (link, sidecar)
@@ -105,8 +105,8 @@
     let reply = format!("HTTP/1.1 102 Wait\r\n\r\n{}", good("one"));
     first.0.get_mut().write_all(reply.as_bytes()).unwrap();
     assert_eq!(link.receive_command().unwrap().1, b"one");
-    ask(&mut sidecar, 2, PAY, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 2, PAY, &[], b"");
+    let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 2 {run}"), b"body")
         .unwrap();
     let mut second = FakeService::accept(&rig.records).unwrap();
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -11,8 +11,8 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for n in [1, 2] {
-        ask(&mut sidecar, n, PAY, &[], b"");
-        started(&mut link);
+        send_request(&mut sidecar, n, PAY, &[], b"");
+        expect_start(&mut link);
     }
     link.send_line_with_body(&format!("NEED 1 {}", id(1)), b"first")
         .unwrap();
@@ -65,13 +65,17 @@
     for bad in ["", &whole[..whole.len() / 2], "{}"] {
         rig.reload(bad, "configuration is invalid; keeping the old one");
     }
-    serves(&mut link, &mut sidecar, 1, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
     (0..5).for_each(|_| rig.signal("-HUP"));
     rig.reload(&whole, "configuration reloaded");
     rig.signal("-TERM");
-    rig.logged("shutting down");
+    rig.wait_for_log("shutting down");
     rig.signal("-HUP");
-    assert_eq!(rig.ended().0.code(), Some(0), "the same during a drain");
+    assert_eq!(
+        rig.wait_for_exit().0.code(),
+        Some(0),
+        "the same during a drain"
+    );
 }
 
 /// Guards an engine that moves away and back, while the link to the new address is still being made: it is met where it
@@ -80,8 +84,8 @@
 fn follows_an_engine_that_moves_away_and_back() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    started(&mut link);
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    expect_start(&mut link);
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = rig.conf.clone();
     conf["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
@@ -90,6 +94,6 @@
     assert_eq!(half_made.command().unwrap().0[0], "ATTACH");
     rig.reload(&rig.conf.to_string(), "engine address changed");
     let mut link = rig.link(0);
-    ends(&mut link, &mut sidecar, 1);
+    complete_run(&mut link, &mut sidecar, 1);
     assert!(half_made.command().is_err(), "nothing more is said there");
 }
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -13,7 +13,7 @@
         .chain(*b"\r\n")
         .take(2_048)
         .collect();
-    ask(
+    send_request(
         &mut sidecar,
         1,
         READ,
@@ -77,9 +77,9 @@
     bytes
         .chunks(11)
         .for_each(|piece| sidecar.0.write_all(piece).unwrap());
-    let mut runs: Vec<_> = (0..32).map(|_| started(&mut link)).collect();
+    let mut runs: Vec<_> = (0..32).map(|_| expect_start(&mut link)).collect();
     // One more is more than a connection may have open: it is rejected, the others stay.
-    ask(&mut sidecar, 33, READ, &[], b"");
+    send_request(&mut sidecar, 33, READ, &[], b"");
     assert_eq!((sidecar.receive().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
     for (n, run) in runs.iter().enumerate() {
@@ -151,8 +151,8 @@
     assert_eq!(sidecar.receive().unwrap().code, 9, "a body past 2 KiB");
     sidecar.0.write_all(&frame(1, 91, &[3, 200, b'x'])).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9, "fields past the frame");
-    ask(&mut sidecar, 100, READ, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 100, READ, &[], b"");
+    let run = expect_start(&mut link);
     // The same id while it is open cannot be told apart: the second is failed, the first goes on.
     sidecar
         .send(
@@ -171,13 +171,13 @@
     assert_eq!(
         (
             sidecar.receive().unwrap().stream,
-            started_done(&mut link, &mut sidecar, &run)
+            complete_next_run(&mut link, &mut sidecar, &run)
         ),
         (101, 100)
     );
 }
 
-fn started_done(link: &mut FakeEngine, sidecar: &mut FakeSidecar, run: &str) -> u32 {
+fn complete_next_run(link: &mut FakeEngine, sidecar: &mut FakeSidecar, run: &str) -> u32 {
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"")
         .unwrap();
     sidecar.receive().unwrap().stream
@@ -188,8 +188,8 @@
 fn fails_a_request_once_when_its_deadline_passes() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, BRIEF, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    let run = expect_start(&mut link);
     let heard = sidecar.receive().unwrap();
     assert_eq!((heard.stream, heard.code), (1, 9));
     assert_eq!(
@@ -199,7 +199,7 @@
     );
     link.send_line_with_body(&format!("DONE 1 {run} fine 400"), b"too late")
         .unwrap();
-    ask(&mut sidecar, 2, READ, &[], b"");
+    send_request(&mut sidecar, 2, READ, &[], b"");
     // Until its end is heard of, the stop is asked for again.
     let run = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
@@ -230,11 +230,11 @@
             ("kb", "1.0"),
         ];
         rude.send(1, n, &fields, b"").unwrap();
-        let run = started(&mut link);
+        let run = expect_start(&mut link);
         link.send_line(&format!("NO RUN {run}")).unwrap();
         assert_eq!(rude.receive().unwrap().code, 9);
     }
-    ask(&mut sidecar, 21, READ, &[], b"");
+    send_request(&mut sidecar, 21, READ, &[], b"");
     run_through(&mut link, 1, b"");
     assert_eq!(
         sidecar.receive().unwrap().field("say"),
@@ -280,12 +280,12 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let once = [("once", "basket 7")];
-    ask(&mut sidecar, 1, BUY, &once, b"buy");
-    let run = started(&mut link);
-    ask(&mut sidecar, 2, BUY, &once, b"buy");
-    ask(&mut sidecar, 3, BUY, &[("once", "basket 8")], b"buy");
+    send_request(&mut sidecar, 1, BUY, &once, b"buy");
+    let run = expect_start(&mut link);
+    send_request(&mut sidecar, 2, BUY, &once, b"buy");
+    send_request(&mut sidecar, 3, BUY, &[("once", "basket 8")], b"buy");
     assert_eq!(
-        started(&mut link),
+        expect_start(&mut link),
         id(3),
         "another key is another request; the repeat did not run"
     );
@@ -297,7 +297,7 @@
         heard.map(|h| (h.stream, h.code, h.body)),
         [1, 2].map(|s| (s, 1, b"bought".to_vec()))
     );
-    ask(&mut sidecar, 4, BUY, &once, b"buy");
+    send_request(&mut sidecar, 4, BUY, &once, b"buy");
     let late = sidecar.receive().unwrap();
     assert_eq!(
         (late.stream, late.code, late.body.as_slice()),
@@ -311,9 +311,9 @@
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     for n in 1..=2 {
-        ask(&mut sidecar, n, BUY, &[("once", "basket 7")], b"buy");
+        send_request(&mut sidecar, n, BUY, &[("once", "basket 7")], b"buy");
     }
-    let run = started(&mut link);
+    let run = expect_start(&mut link);
     link.send_line_with_body(&format!("DONE 1 {run} fault 1"), b"")
         .unwrap();
     assert_eq!(
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -49,7 +49,7 @@
 #[test]
 fn is_ready_in_time_after_nine_in_ten_restarts() {
     let mut rigs: Vec<_> = (0..PROCESSES).map(|_| Rig::start()).collect();
-    rigs.iter_mut().for_each(Rig::again);
+    rigs.iter_mut().for_each(Rig::restart_at_same_address);
     let start = Instant::now();
     let each = rigs.into_iter().enumerate().map(|(n, rig)| {
         std::thread::spawn(move || {
@@ -58,7 +58,7 @@
             let control = rig.control.try_clone().unwrap();
             let reporting = std::thread::spawn(move || reported(&control, n % 4));
             let mut sidecar = rig.sidecar();
-            while check(&mut sidecar) != 1 {}
+            while check_health(&mut sidecar) != 1 {}
             let checked = Instant::now();
             reporting.join().unwrap().max(checked) - start
         })
@@ -78,14 +78,14 @@
     const SOCKETS: usize = 128;
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(SOCKETS));
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    let run = started(&mut link);
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let run = expect_start(&mut link);
     // More than there are places: some are served a check and rest, some never send anything.
     let mut resting: Vec<_> = (0..100).map(|_| rig.sidecar()).collect();
     for one in resting.iter_mut().step_by(2) {
         let _ = one.send(4, 0, &[], b"");
     }
-    rig.logged("connection limit reached");
+    rig.wait_for_log("connection limit reached");
     assert!(rig.descriptors() <= SOCKETS);
     drop(link);
     let mut link = rig.link(0);
@@ -113,7 +113,7 @@
     {}
     // One that comes new finds a place as those that rest go.
     let mut new = rig.sidecar();
-    ask(&mut new, 2, READ, &[], b"");
-    assert_eq!(started(&mut link), id(2));
+    send_request(&mut new, 2, READ, &[], b"");
+    assert_eq!(expect_start(&mut link), id(2));
     assert!(rig.descriptors() <= SOCKETS);
 }
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -45,7 +45,7 @@
 }
 
 /// A configuration in a file of its own.
-pub fn written(conf: &str) -> PathBuf {
+pub fn temporary_file(conf: &str) -> PathBuf {
     let name = format!(
         "cottondyke-{}-{}.json",
         std::process::id(),
@@ -86,8 +86,8 @@
     }
 
     /// Where it listens, once it serves.
-    pub fn serves(&self) -> SocketAddr {
-        self.logged("listen=")
+    pub fn listen_addr(&self) -> SocketAddr {
+        self.wait_for_log("listen=")
             .split_once("listen=")
             .unwrap()
             .1
@@ -112,7 +112,7 @@
     pub fn reload(&self, text: &str, logged: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
-        self.logged(logged);
+        self.wait_for_log(logged);
     }
 
     /// Kills the program and starts it again with the file as it is then.
@@ -131,7 +131,7 @@
     }
 
     /// How the program ended, and how long that took.
-    pub fn ended(&mut self) -> (ExitStatus, Duration) {
+    pub fn wait_for_exit(&mut self) -> (ExitStatus, Duration) {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -143,7 +143,7 @@
     }
 
     /// The next line of its log with these words.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         let until = Instant::now() + IO_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -187,9 +187,9 @@
 
 impl Alone {
     pub fn start(script: &str) -> Self {
-        let process = Process::start("--operator", written(script));
+        let process = Process::start("--operator", temporary_file(script));
         Alone {
-            addr: process.serves(),
+            addr: process.listen_addr(),
             process,
         }
     }
@@ -232,9 +232,9 @@
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
         let (mut conf, [engine, records, control]) = with_peers();
         change(&mut conf);
-        let process = Process::start("--config", written(&conf.to_string()));
+        let process = Process::start("--config", temporary_file(&conf.to_string()));
         Rig {
-            addr: process.serves(),
+            addr: process.listen_addr(),
             process,
             conf,
             engine,
@@ -262,7 +262,7 @@
     /// Both, once the server has seen the engine.
     pub fn ready(&self) -> (FakeEngine, FakeSidecar) {
         let (link, mut sidecar) = (self.link(0), self.sidecar());
-        while check(&mut sidecar) != 1 {}
+        while check_health(&mut sidecar) != 1 {}
         (link, sidecar)
     }
 
@@ -271,16 +271,16 @@
     }
 
     /// Kills the program and starts it again under its address.
-    pub fn again(&mut self) {
+    pub fn restart_at_same_address(&mut self) {
         self.conf["listen"] = json!(self.addr.to_string());
         let text = self.conf.to_string();
         self.restart(&text);
-        self.serves();
+        self.listen_addr();
     }
 }
 
 /// The code that a health check hears.
-pub fn check(sidecar: &mut FakeSidecar) -> u8 {
+pub fn check_health(sidecar: &mut FakeSidecar) -> u8 {
     sidecar.send(4, 0, &[("deep", "1")], b"").unwrap();
     let heard = sidecar.receive().unwrap();
     assert_eq!(heard.kind, 5);
@@ -293,7 +293,7 @@
 }
 
 /// Sends a request whose stream and id are `number`.
-pub fn ask(
+pub fn send_request(
     sidecar: &mut FakeSidecar,
     number: u32,
     class: &str,
@@ -313,7 +313,7 @@
 }
 
 /// The engine's side of a run that is told to start now.
-pub fn started(link: &mut FakeEngine) -> String {
+pub fn expect_start(link: &mut FakeEngine) -> String {
     let (words, _) = link.receive_command().unwrap();
     assert_eq!(words[0], "RUN", "{words:?}");
     words[1].clone()
@@ -321,13 +321,13 @@
 
 /// The engine's side of a whole run: told to start, done with this result.
 pub fn run_through(link: &mut FakeEngine, notice: u64, result: &[u8]) {
-    let run = started(link);
+    let run = expect_start(link);
     link.send_line_with_body(&format!("DONE {notice} {run} fine 1"), result)
         .unwrap();
 }
 
 /// What the program says of a configuration, and its exit code.
-pub fn said(words: &[&str]) -> (Option<i32>, String) {
+pub fn run_to_exit(words: &[&str]) -> (Option<i32>, String) {
     let mut child = program(words).spawn().unwrap();
     let status = child.wait().unwrap();
     let mut text = String::new();
@@ -341,23 +341,23 @@
 }
 
 /// The next request is served: what is still said of runs before it is passed over.
-pub fn serves(
+pub fn expect_served(
     link: &mut FakeEngine,
     sidecar: &mut FakeSidecar,
     number: u32,
     class: &str,
     more: &[(&str, &str)],
 ) {
-    ask(sidecar, number, class, more, b"");
+    send_request(sidecar, number, class, more, b"");
     let next = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
         .unwrap();
     assert_eq!(next[..2], ["RUN".to_string(), id(number.into())]);
-    ends(link, sidecar, number);
+    complete_run(link, sidecar, number);
 }
 
 /// The run of a request ends, and its result is heard.
-pub fn ends(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
+pub fn complete_run(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
     let result = format!("result {number}");
     link.send_line_with_body(
         &format!("DONE {number} {} fine 1", id(number.into())),
--- a/crates/server/tests/serve/shutdown.rs
+++ b/crates/server/tests/serve/shutdown.rs
@@ -8,17 +8,17 @@
 fn answers_all_that_was_read_before_the_end() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(1_500));
     let (mut link, mut sidecar) = rig.ready();
-    ask(&mut sidecar, 1, PAY, &[], b"");
-    ask(&mut sidecar, 2, PAY, &[], b"");
-    let (first, _hangs) = (started(&mut link), started(&mut link));
+    send_request(&mut sidecar, 1, PAY, &[], b"");
+    send_request(&mut sidecar, 2, PAY, &[], b"");
+    let (first, _hangs) = (expect_start(&mut link), expect_start(&mut link));
     rig.signal("-TERM");
     let told = sidecar.receive().unwrap();
     assert_eq!((told.kind, told.stream), (6, 0));
     rig.signal("-TERM");
-    rig.logged("repeated shutdown signal");
+    rig.wait_for_log("repeated shutdown signal");
     let mut late = rig.sidecar();
-    assert_ne!(check(&mut late), 1, "checks hear that it leaves");
-    ask(&mut late, 3, READ, &[], b"");
+    assert_ne!(check_health(&mut late), 1, "checks hear that it leaves");
+    send_request(&mut late, 3, READ, &[], b"");
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"done")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"done");
@@ -29,7 +29,7 @@
         .filter(|h| h.kind == 2)
         .map(|h| h.stream);
     assert_eq!(heard.collect::<Vec<_>>(), [3], "one answer, whatever it is");
-    let (status, _) = rig.ended();
+    let (status, _) = rig.wait_for_exit();
     assert_eq!(status.code(), Some(0));
 }
 
@@ -39,7 +39,7 @@
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
     drop(rig.ready());
     rig.signal("-TERM");
-    let (status, time) = rig.ended();
+    let (status, time) = rig.wait_for_exit();
     assert!(
         status.code() == Some(0) && time < Duration::from_millis(2_000),
         "{time:?}"
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -48,9 +48,9 @@
     for (names, spoil) in cases {
         let mut conf = settings();
         spoil(&mut conf);
-        let path = written(&conf.to_string());
+        let path = temporary_file(&conf.to_string());
         for command in ["check", "serve"] {
-            let (code, text) = said(&[command, "--config", path.to_str().unwrap()]);
+            let (code, text) = run_to_exit(&[command, "--config", path.to_str().unwrap()]);
             assert_eq!((code, text.lines().count()), (Some(2), 1), "{text}");
             assert!(text.contains(names), "{names}: {text}");
         }
@@ -61,27 +61,27 @@
         let mut conf = settings();
         conf.as_object_mut().unwrap().remove("records");
         conf["settings"]["family_info"]["below"] = json!(below);
-        let path = written(&conf.to_string());
-        let (told, text) = said(&["check", "--config", path.to_str().unwrap()]);
+        let path = temporary_file(&conf.to_string());
+        let (told, text) = run_to_exit(&["check", "--config", path.to_str().unwrap()]);
         assert!(
             told == code && (code == Some(0) || text.contains("records")),
             "{below}: {told:?} {text}"
         );
         std::fs::remove_file(path).unwrap();
     }
-    let path = written("{ not JSON");
-    assert!(said(&["check", "--config", path.to_str().unwrap()])
+    let path = temporary_file("{ not JSON");
+    assert!(run_to_exit(&["check", "--config", path.to_str().unwrap()])
         .1
         .contains("not JSON"));
     std::fs::remove_file(&path).unwrap();
     assert_eq!(
-        said(&["check", "--config", path.to_str().unwrap()]).0,
+        run_to_exit(&["check", "--config", path.to_str().unwrap()]).0,
         Some(2),
         "a missing file"
     );
-    assert_eq!(said(&["serve"]).0, Some(2), "no file named");
-    assert_eq!(said(&["dance"]).0, Some(2));
-    assert_eq!(said(&["version"]).0, Some(0));
+    assert_eq!(run_to_exit(&["serve"]).0, Some(2), "no file named");
+    assert_eq!(run_to_exit(&["dance"]).0, Some(2));
+    assert_eq!(run_to_exit(&["version"]).0, Some(0));
     // The move: one build takes the first shape and the new one, each from its settings alone.
     let mut new = settings();
     new["front"] = json!({ "callers": "connections" });
@@ -89,9 +89,9 @@
         .as_object_mut()
         .unwrap()
         .remove("upstreams");
-    let path = written(&new.to_string());
+    let path = temporary_file(&new.to_string());
     assert_eq!(
-        said(&["check", "--config", path.to_str().unwrap()]).0,
+        run_to_exit(&["check", "--config", path.to_str().unwrap()]).0,
         Some(0),
         "the new shape"
     );
@@ -104,12 +104,12 @@
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = settings();
     conf["listen"] = json!(taken.local_addr().unwrap().to_string());
-    let path = written(&conf.to_string());
+    let path = temporary_file(&conf.to_string());
     assert_eq!(
-        said(&["check", "--config", path.to_str().unwrap()]).0,
+        run_to_exit(&["check", "--config", path.to_str().unwrap()]).0,
         Some(0)
     );
-    let (code, text) = said(&["serve", "--config", path.to_str().unwrap()]);
+    let (code, text) = run_to_exit(&["serve", "--config", path.to_str().unwrap()]);
     std::fs::remove_file(path).unwrap();
     assert!(
         code == Some(1) && text.contains("cannot listen"),
