--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -52,10 +52,3 @@
         value: String,
     },
 }
-
-/// For callers whose errors are still lines of text.
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> String {
-        error.to_string()
-    }
-}
