--- a/crates/server/src/cluster/data_dir.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -1,8 +1,8 @@
 //! The data directory of an instance: its lock, the number of its incarnation, and the replica's file with the thread
 //! that writes it.
-use crate::cluster::error::{ClusterError, SourceError};
+use crate::cluster::error::ClusterError;
 use async_channel::{Receiver, Sender};
-use cottondyke_consensus::sqlite::SqliteStorage;
+use cottondyke_consensus::sqlite::{SqliteStorage, StorageError};
 use cottondyke_consensus::{PersistedState, ReplicaId, StorageOperation};
 use std::fs::{File, TryLockError};
 use std::hash::{BuildHasher, Hasher};
@@ -80,8 +80,7 @@
     /// The replica's file, and what it holds.
     pub(super) fn open_replica(&self) -> Result<(SqliteStorage, PersistedState), ClusterError> {
         let new_id = ReplicaId(random() | 1);
-        SqliteStorage::open(&self.path.join(REPLICA_FILE), new_id)
-            .map_err(|error| ClusterError::Storage(error.into()))
+        SqliteStorage::open(&self.path.join(REPLICA_FILE), new_id).map_err(ClusterError::Storage)
     }
 }
 
@@ -104,7 +103,7 @@
 }
 
 /// The number of the last operation of a batch that is on disk, or why the storage failed.
-pub(super) type StorageResult = Result<u64, SourceError>;
+pub(super) type StorageResult = Result<u64, StorageError>;
 
 /// The thread that writes. What waits is written in one step.
 pub(super) struct StorageThread(Sender<StorageOperation>);
@@ -119,10 +118,7 @@
                 let rest = std::iter::from_fn(|| operations.try_recv().ok()).take(MAX_BATCH - 1);
                 let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
                 let last = batch.last().map_or(0, |operation| operation.number);
-                let result = storage
-                    .apply(&batch)
-                    .map(|()| last)
-                    .map_err(SourceError::from);
+                let result = storage.apply(&batch).map(|()| last);
                 let has_failed = result.is_err();
                 if results.send_blocking(result).is_err() || has_failed {
                     return;
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -1,12 +1,11 @@
 //! Why an instance cannot join its peers, or be asked.
+use cottondyke_cluster::NodeError;
+use cottondyke_consensus::sqlite::StorageError;
 use std::io;
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// An error of a package beneath.
-pub(super) type SourceError = Box<dyn std::error::Error + Send + Sync>;
-
 /// Why an instance cannot start among its peers.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
@@ -45,13 +44,13 @@
     },
     /// The replica's file cannot be opened.
     #[error("{0}")]
-    Storage(#[source] SourceError),
+    Storage(#[source] StorageError),
     /// The thread that writes cannot be started.
     #[error("{0}")]
     StorageThread(#[source] io::Error),
     /// What is stored or configured makes no cluster node.
     #[error("{0}")]
-    Node(#[source] SourceError),
+    Node(#[source] NodeError),
     /// Where in the operator's file the cause stands.
     #[error("{file}:{line}: peers: {source}")]
     At {
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -121,8 +121,7 @@
         lease_config: lease_config(operator, peers),
         seed: seed ^ incarnation,
     };
-    let node = ClusterNode::new(config, storage.state.as_ref())
-        .map_err(|error| ClusterError::Node(error.into()))?;
+    let node = ClusterNode::new(config, storage.state.as_ref()).map_err(ClusterError::Node)?;
     let driver = ClusterDriver::new(node, peers.clone(), clock, datagrams, storage.thread, tasks);
     tracing::info!(name = peers.name, life = incarnation, listen = %bound, "among peers");
     Ok(StartedCluster {
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -1,11 +1,9 @@
 //! What is wrong with the program's two files. Each error prints as one line that names the place.
 use cottondyke_operator_config::{ConfigError as OperatorConfigError, SourceLocation};
+use cottondyke_settings::SettingsError;
 use std::io;
 use std::process::ExitStatus;
 
-/// An error of a package beneath.
-pub type SourceError = Box<dyn std::error::Error + Send + Sync>;
-
 /// Why the configuration cannot be in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -36,7 +34,7 @@
     Missing(&'static str),
     /// A value that cannot be used, as the settings package says.
     #[error("{0}")]
-    Value(#[source] SourceError),
+    Value(#[source] SettingsError),
     /// An address that cannot be read.
     #[error("{key} is not an address with a port: {text}")]
     InvalidAddress {
@@ -168,14 +166,9 @@
         }
     }
 
-    /// An error of the settings package.
-    pub(super) fn value(error: impl Into<SourceError>) -> Self {
-        ConfigError::Value(error.into())
-    }
-
     /// An error of the settings package about the section `settings`.
-    pub(super) fn settings(error: impl Into<SourceError>) -> Self {
-        ConfigError::value(error).within("settings")
+    pub(super) fn settings(error: SettingsError) -> Self {
+        ConfigError::Value(error).within("settings")
     }
 }
 
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -94,7 +94,7 @@
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let document: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let conf = object(&document, "settings")?;
-        let seed = settings::text(&document, "seed").map_err(ConfigError::value)?;
+        let seed = settings::text(&document, "seed").map_err(ConfigError::Value)?;
         let (sockets, memory_mb) = limits(&document)?;
         let names = settings::wire_names(conf);
         if names.handlers.is_empty() || names.handlers.iter().any(String::is_empty) {
@@ -102,7 +102,7 @@
         }
         let mut config = Config {
             name: settings::text(&document, "name")
-                .map_err(ConfigError::value)?
+                .map_err(ConfigError::Value)?
                 .to_string(),
             listen: address(&document, "listen")?,
             engine: Some(address(&document, "engine")?),
@@ -178,7 +178,7 @@
 }
 
 fn address(document: &Value, key: &'static str) -> Result<SocketAddr, ConfigError> {
-    let text = settings::text(document, key).map_err(ConfigError::value)?;
+    let text = settings::text(document, key).map_err(ConfigError::Value)?;
     text.parse().map_err(|_| ConfigError::InvalidAddress {
         key,
         text: text.to_string(),
@@ -197,7 +197,7 @@
 }
 
 fn shutdown_timeout(document: &Value) -> Result<Duration, ConfigError> {
-    let ms = settings::unsigned(document, "stop_ms").map_err(ConfigError::value)?;
+    let ms = settings::unsigned(document, "stop_ms").map_err(ConfigError::Value)?;
     Ok(Duration::from_millis(ms))
 }
 
@@ -205,7 +205,7 @@
 fn limits(document: &Value) -> Result<(u64, u64), ConfigError> {
     let limits = object(document, "limits")?;
     let whole = |key| {
-        settings::unsigned(limits, key).map_err(|error| ConfigError::value(error).within("limits"))
+        settings::unsigned(limits, key).map_err(|error| ConfigError::Value(error).within("limits"))
     };
     let sockets = whole("sockets")?;
     let memory_mb = whole("memory_mb")?;
--- a/crates/server/src/config/standalone.rs
+++ b/crates/server/src/config/standalone.rs
@@ -1,8 +1,9 @@
 //! A program that serves on its own: all is declared by the operator's file, from which the settings are made.
 use super::capacity::left_for_callers;
 use super::{Config, ConfigError};
+use crate::clock::ms;
 use cottondyke_operator_config::{OperatorConfig, Serve};
-use cottondyke_types::{Idempotency, Time};
+use cottondyke_types::Idempotency;
 use serde_json::{json, Value};
 
 /// The admission controller uses 0.85 of the overload that it is told is survived: so `at_once` itself is the most
@@ -59,11 +60,11 @@
         },
         "group_size": operator.instances.unwrap_or(1),
         "obligations": {
-            "drain_grace_ms": milliseconds(serve.shutdown_timeout) / 2.0, "overload_factor": OVERLOAD_FACTOR,
+            "drain_grace_ms": ms(serve.shutdown_timeout) / 2.0, "overload_factor": OVERLOAD_FACTOR,
             "start_capacity": 1.0, "warm_within_ms": 1_000.0,
         },
         "over_share_worth": 0.1,
-        "policy_limits": { "max_retry_after_ms": milliseconds(serve.max_retry_after), "retry_after": true },
+        "policy_limits": { "max_retry_after_ms": ms(serve.max_retry_after), "retry_after": true },
         "resolution_ms": 1.0,
         "worth_by": "request",
     })
@@ -78,9 +79,9 @@
         };
         json!({
             "name": handler.name, "effect": effect, "credit": handler.value, "late_value": handler.late_value_ratio,
-            "aim_ms": milliseconds(handler.response_target),
-            "deadline_ms": milliseconds(handler.client_timeout),
-            "dedup_window_ms": milliseconds(handler.dedup_window),
+            "aim_ms": ms(handler.response_target),
+            "deadline_ms": ms(handler.client_timeout),
+            "dedup_window_ms": ms(handler.dedup_window),
         })
     };
     operator.handlers.iter().map(class).collect()
@@ -93,7 +94,3 @@
         .map(|tenant| json!({ "name": tenant.name, "quota_per_s": tenant.requests_per_second }))
         .collect()
 }
-
-fn milliseconds(duration: Time) -> f64 {
-    duration.as_f64() / 10.0
-}
--- a/crates/server/src/config/validate.rs
+++ b/crates/server/src/config/validate.rs
@@ -57,7 +57,7 @@
     check_number(info, "mem_limit_kb", MEMORY_KB)?;
     check_number(rules, "overload_factor", OVERLOAD_FACTOR)?;
     // What lies below decides whether a records service is needed: no word of it may pass for another.
-    let below = settings::text(info, "below").map_err(ConfigError::value)?;
+    let below = settings::text(info, "below").map_err(ConfigError::Value)?;
     if !BELOW.contains(&below) {
         return Err(ConfigError::UnknownBelow {
             value: below.to_string(),
@@ -88,7 +88,7 @@
     key: &'static str,
     range: RangeInclusive<f64>,
 ) -> Result<(), ConfigError> {
-    let value = settings::number(section, key).map_err(ConfigError::value)?;
+    let value = settings::number(section, key).map_err(ConfigError::Value)?;
     if !range.contains(&value) {
         return Err(ConfigError::Implausible { key, value });
     }
