--- a/crates/server/tests/serve/main.rs
+++ b/crates/server/tests/serve/main.rs
@@ -1,10 +1,4 @@
 //! The real binary against small fakes on loopback.
-#![expect(
-    unreachable_pub,
-    clippy::too_many_lines,
-    reason = "tables of cases and long scenarios"
-)]
-
 mod aggregations;
 mod connections;
 mod engine;
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -93,6 +93,7 @@
 
 /// Guards a connection against requests that can be read and not run: each gets its own answer.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn fails_only_the_request_with_an_invalid_field() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -12,12 +12,12 @@
 
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
-pub const READ: &str = "greet"; // replayable, its call can be skipped
-pub const BUY: &str = "order"; // uniqued
-pub const PAY: &str = "pay"; // non-replayable
-pub const BRIEF: &str = "brief"; // replayable, a client timeout of 600 ms
+pub(crate) const READ: &str = "greet"; // replayable, its call can be skipped
+pub(crate) const BUY: &str = "order"; // uniqued
+pub(crate) const PAY: &str = "pay"; // non-replayable
+pub(crate) const BRIEF: &str = "brief"; // replayable, a client timeout of 600 ms
 
-pub fn settings() -> Value {
+pub(crate) fn settings() -> Value {
     let mut conf: Value =
         serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
     let class = |name: &str, effect: &str, timeout: f64| {
@@ -33,7 +33,7 @@
 }
 
 /// Settings with fakes for engine, records service and control plane, on ports that the system picks.
-pub fn with_peers() -> (Value, [TcpListener; 3]) {
+pub(crate) fn with_peers() -> (Value, [TcpListener; 3]) {
     let mut conf = settings();
     conf["listen"] = json!("127.0.0.1:0");
     let peers = ["engine", "records", "control"].map(|key| {
@@ -45,7 +45,7 @@
 }
 
 /// A configuration in a file of its own.
-pub fn temporary_file(conf: &str) -> PathBuf {
+pub(crate) fn temporary_file(conf: &str) -> PathBuf {
     let name = format!(
         "cottondyke-{}-{}.json",
         std::process::id(),
@@ -56,7 +56,7 @@
     path
 }
 
-pub fn program(words: &[&str]) -> Command {
+pub(crate) fn program(words: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottondyke"));
     command
         .args(words)
@@ -67,7 +67,7 @@
 }
 
 /// The program with a file of its own, both of which end with it.
-pub struct Process {
+pub(crate) struct Process {
     option: &'static str,
     path: PathBuf,
     child: Child,
@@ -75,7 +75,7 @@
 }
 
 impl Process {
-    pub fn start(option: &'static str, path: PathBuf) -> Self {
+    pub(crate) fn start(option: &'static str, path: PathBuf) -> Self {
         let (child, log) = spawned(option, &path);
         Process {
             option,
@@ -86,7 +86,7 @@
     }
 
     /// Where it listens, once it serves.
-    pub fn listen_addr(&self) -> SocketAddr {
+    pub(crate) fn listen_addr(&self) -> SocketAddr {
         self.wait_for_log("listen=")
             .split_once("listen=")
             .unwrap()
@@ -96,11 +96,11 @@
             .unwrap()
     }
 
-    pub fn path(&self) -> &Path {
+    pub(crate) fn path(&self) -> &Path {
         &self.path
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         assert!(Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
@@ -109,14 +109,14 @@
     }
 
     /// Replaces the file and has it read again.
-    pub fn reload(&self, text: &str, logged: &str) {
+    pub(crate) fn reload(&self, text: &str, logged: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
         self.wait_for_log(logged);
     }
 
     /// Kills the program and starts it again with the file as it is then.
-    pub fn restart(&mut self, text: &str) {
+    pub(crate) fn restart(&mut self, text: &str) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         std::fs::write(&self.path, text).unwrap();
@@ -124,14 +124,14 @@
     }
 
     /// How many descriptors the program holds.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
     /// How the program ended, and how long that took.
-    pub fn wait_for_exit(&mut self) -> (ExitStatus, Duration) {
+    pub(crate) fn wait_for_exit(&mut self) -> (ExitStatus, Duration) {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -143,7 +143,7 @@
     }
 
     /// The next line of its log with these words.
-    pub fn wait_for_log(&self, words: &str) -> String {
+    pub(crate) fn wait_for_log(&self, words: &str) -> String {
         let until = Instant::now() + IO_TIMEOUT;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -180,13 +180,13 @@
 }
 
 /// The program on its own, with a script.
-pub struct Alone {
+pub(crate) struct Alone {
     process: Process,
     pub addr: SocketAddr,
 }
 
 impl Alone {
-    pub fn start(script: &str) -> Self {
+    pub(crate) fn start(script: &str) -> Self {
         let process = Process::start("--operator", temporary_file(script));
         Alone {
             addr: process.listen_addr(),
@@ -195,7 +195,7 @@
     }
 }
 
-pub struct Rig {
+pub(crate) struct Rig {
     process: Process,
     pub conf: Value,
     pub addr: SocketAddr,
@@ -225,11 +225,11 @@
 process!(Rig);
 
 impl Rig {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         Self::with(|_| {})
     }
 
-    pub fn with(change: impl FnOnce(&mut Value)) -> Self {
+    pub(crate) fn with(change: impl FnOnce(&mut Value)) -> Self {
         let (mut conf, [engine, records, control]) = with_peers();
         change(&mut conf);
         let process = Process::start("--config", temporary_file(&conf.to_string()));
@@ -244,11 +244,11 @@
     }
 
     /// A link past its hello and the question that fences it off from the link before.
-    pub fn link(&self, last: u64) -> FakeEngine {
+    pub(crate) fn link(&self, last: u64) -> FakeEngine {
         Self::hello(&self.engine, last)
     }
 
-    pub fn hello(engine: &TcpListener, last: u64) -> FakeEngine {
+    pub(crate) fn hello(engine: &TcpListener, last: u64) -> FakeEngine {
         let mut link = FakeEngine::accept(engine).unwrap();
         assert_eq!(link.command().unwrap().0, ["ATTACH", &last.to_string()]);
         link.send_line("HELLO running 5.0").unwrap();
@@ -260,18 +260,18 @@
     }
 
     /// Both, once the server has seen the engine.
-    pub fn ready(&self) -> (FakeEngine, FakeSidecar) {
+    pub(crate) fn ready(&self) -> (FakeEngine, FakeSidecar) {
         let (link, mut sidecar) = (self.link(0), self.sidecar());
         while check_health(&mut sidecar) != 1 {}
         (link, sidecar)
     }
 
-    pub fn sidecar(&self) -> FakeSidecar {
+    pub(crate) fn sidecar(&self) -> FakeSidecar {
         FakeSidecar::connect(self.addr).unwrap()
     }
 
     /// Kills the program and starts it again under its address.
-    pub fn restart_at_same_address(&mut self) {
+    pub(crate) fn restart_at_same_address(&mut self) {
         self.conf["listen"] = json!(self.addr.to_string());
         let text = self.conf.to_string();
         self.restart(&text);
@@ -280,7 +280,7 @@
 }
 
 /// The code that a health check hears.
-pub fn check_health(sidecar: &mut FakeSidecar) -> u8 {
+pub(crate) fn check_health(sidecar: &mut FakeSidecar) -> u8 {
     sidecar.send(4, 0, &[("deep", "1")], b"").unwrap();
     let heard = sidecar.receive().unwrap();
     assert_eq!(heard.kind, 5);
@@ -288,12 +288,12 @@
 }
 
 /// An id that differs for each number.
-pub fn id(number: u64) -> String {
+pub(crate) fn id(number: u64) -> String {
     format!("{number:016x}")
 }
 
 /// Sends a request whose stream and id are `number`.
-pub fn send_request(
+pub(crate) fn send_request(
     sidecar: &mut FakeSidecar,
     number: u32,
     class: &str,
@@ -313,21 +313,21 @@
 }
 
 /// The engine's side of a run that is told to start now.
-pub fn expect_start(link: &mut FakeEngine) -> String {
+pub(crate) fn expect_start(link: &mut FakeEngine) -> String {
     let (words, _) = link.receive_command().unwrap();
     assert_eq!(words[0], "RUN", "{words:?}");
     words[1].clone()
 }
 
 /// The engine's side of a whole run: told to start, done with this result.
-pub fn run_through(link: &mut FakeEngine, notice: u64, result: &[u8]) {
+pub(crate) fn run_through(link: &mut FakeEngine, notice: u64, result: &[u8]) {
     let run = expect_start(link);
     link.send_line_with_body(&format!("DONE {notice} {run} fine 1"), result)
         .unwrap();
 }
 
 /// What the program says of a configuration, and its exit code.
-pub fn run_to_exit(words: &[&str]) -> (Option<i32>, String) {
+pub(crate) fn run_to_exit(words: &[&str]) -> (Option<i32>, String) {
     let mut child = program(words).spawn().unwrap();
     let status = child.wait().unwrap();
     let mut text = String::new();
@@ -341,7 +341,7 @@
 }
 
 /// The next request is served: what is still said of runs before it is passed over.
-pub fn expect_served(
+pub(crate) fn expect_served(
     link: &mut FakeEngine,
     sidecar: &mut FakeSidecar,
     number: u32,
@@ -357,7 +357,7 @@
 }
 
 /// The run of a request ends, and its result is heard.
-pub fn complete_run(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
+pub(crate) fn complete_run(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
     let result = format!("result {number}");
     link.send_line_with_body(
         &format!("DONE {number} {} fine 1", id(number.into())),
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -7,6 +7,7 @@
 
 /// Guards newcomers and operators: one line that names what is wrong, and an exit code that says so.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn prints_one_line_when_the_configuration_is_invalid() {
     let cases: [(&str, Spoil); 15] = [
         // The first shape's count of callers beside callers heard on connections: the two are mixed.
