--- a/crates/admission/src/policy/caller_tracker.rs
+++ b/crates/admission/src/policy/caller_tracker.rs
@@ -1,11 +1,11 @@
-//! Who sends requests here, and how long idle connections stay open.
+//! The callers that send requests here, and how long their idle connections stay open.
 use crate::{caller_table::CallerTable, histograms::GAP_BINS, CallerConfig, CallerId, Time};
 
-const TRACKED_FACTOR: f64 = 4.0; // callers tracked, times those expected: the table's bound
-const MIN_TRACKED: f64 = 4096.0; // the minimum of that bound, where few or none are expected
-const FEW_CALLERS: f64 = 256.0; // connections that any server bears: where no more callers are, all stay open
-const GAP_BIN_MIDDLE: f64 = 0.75; // of a bin's upper bound
-const CONNECT_COST: f64 = 0.15; // of the time callers leave connections idle, for which one costs a new one
+const TRACKED_FACTOR: f64 = 4.0; // bound of the caller table, as a multiple of the expected callers
+const MIN_TRACKED: f64 = 4096.0; // smallest value of that bound, for few or no expected callers
+const FEW_CALLERS: f64 = 256.0; // connections that any server can hold: with no more callers, all stay open
+const GAP_BIN_MIDDLE: f64 = 0.75; // middle of a bin, as a fraction of its upper bound
+const CONNECT_COST: f64 = 0.15; // cost of a new connection, as part of the time callers leave one idle
 
 /// Tracks the callers of this server.
 pub(crate) struct CallerTracker {
@@ -19,15 +19,17 @@
         CallerTracker { config, table: CallerTable::new(now, config), idle_timeout: config.max_idle }
     }
 
-    /// Bounded: past its bound a new caller is not tracked, and the count stays there. On sockets no callers
-    /// are expected, which limited it to four: hence the minimum.
+    /// Counts a request of a caller. The table is bounded: past its bound a new caller is not tracked, and
+    /// the number of callers stays there. On sockets the settings name no expected callers, which limited the
+    /// table to four: hence `MIN_TRACKED`.
     pub(crate) fn count_request(&mut self, now: Time, caller: CallerId) {
         let max_tracked = (self.config.expected * TRACKED_FACTOR).max(MIN_TRACKED);
         self.table.count_request(now, caller, max_tracked);
     }
 
-    /// Departure: credit is for the callers that send here, where they say who they are. A front of many
-    /// callers that each come seldom (manila-main) was advised a thousandth of a request each: stay away.
+    /// Departure: credit is divided among the callers that send here, if they identify themselves. Divided
+    /// among all expected callers, the credit at a front tier whose many callers each send rarely
+    /// (manila-main) was a thousandth of a request each, which callers read as: send nothing.
     pub(crate) fn senders(&self) -> f64 {
         if self.table.len() == 0 {
             self.config.expected.max(1.0)
@@ -36,10 +38,11 @@
         }
     }
 
-    /// Departure: an idle connection stays as long as pays by the gaps seen: until its caller comes back, or
-    /// until it has cost what a new one costs. Covers any front of many callers that come back late: its idle
-    /// connections filled the table, which takes of the cores and gets callers rejected (finder-ro). Harms
-    /// where gaps grow soon after they were learned, by a new connection for each request until relearned.
+    /// Departure: an idle connection stays open for as long as that is worth its cost, by the observed gaps
+    /// between requests: until its caller returns, or until it has cost as much as a new connection. Covers
+    /// any front tier with many callers that return late: its idle connections filled the connection table,
+    /// which takes core time and gets callers rejected (finder-ro). Harms when gaps grow soon after
+    /// they were learned: each request then needs a new connection until the gaps are learned again.
     pub(crate) fn update_idle_timeout(&mut self, now: Time) -> Option<Time> {
         let CallerConfig { expected, max_idle, .. } = self.config;
         self.table.forget_old(now);
@@ -55,8 +58,8 @@
         let cost = |timeout_bin: usize| {
             let reused = |bin: usize| self.table.gaps.upper_bound(bin).as_f64() * GAP_BIN_MIDDLE;
             let closed = self.table.gaps.upper_bound(timeout_bin).as_f64() + connect_cost;
-            let of_gap = |bin: usize| if bin <= timeout_bin { reused(bin) } else { closed };
-            counts.iter().enumerate().map(|(bin, count)| count * of_gap(bin)).sum::<f64>()
+            let gap_cost = |bin: usize| if bin <= timeout_bin { reused(bin) } else { closed };
+            counts.iter().enumerate().map(|(bin, count)| count * gap_cost(bin)).sum::<f64>()
         };
         let cheapest = (0..GAP_BINS - 1).rev().min_by(|a, b| cost(*a).total_cmp(&cost(*b)));
         self.table.gaps.upper_bound(cheapest.unwrap_or(GAP_BINS - 2))
--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -1,23 +1,23 @@
-//! How many requests run.
+//! Limits how many requests run at once.
 use crate::{request_table::RequestTable, ConcurrencyConfig, LoadSample, Time};
 
-const FULL_UTILIZATION: f64 = 0.95; // of the cores, under which the limit grows and over which it shrinks
-const MIN_UTILIZATION: f64 = 0.1; // the minimum that is reckoned with
-const LIMIT_STEP: f64 = 0.2; // of a run, by which the limit changes
+const FULL_UTILIZATION: f64 = 0.95; // of the cores; below it the limit grows, above it the limit shrinks
+const MIN_UTILIZATION: f64 = 0.1; // smallest utilization that is assumed
+const LIMIT_STEP: f64 = 0.2; // fraction of a run by which the limit changes
 const GAUGE_DELAY: f64 = 0.3; // time at the limit with idle cores before it grows, part of a response target
-pub(crate) const SAMPLE_INTERVAL: f64 = 0.06; // between looks at the gauges, part of a response target
-const CEILING_FRACTION: f64 = 0.85; // part of the survivable concurrency that is used
-const OFF_CORE_FACTOR: f64 = 2.0; // multiple of it that may run where a gauge tells how many are on the cores
+pub(crate) const SAMPLE_INTERVAL: f64 = 0.06; // time between load samples, as a fraction of a response target
+const CEILING_FRACTION: f64 = 0.85; // fraction of the survivable concurrency that is used
+const OFF_CORE_FACTOR: f64 = 2.0; // multiple of the ceiling that may run if a gauge counts tasks on the cores
 
-/// How many requests run at once.
+/// The limit on the requests that run at once, and the ceiling that the server survives.
 pub(crate) struct ConcurrencyLimit {
     config: ConcurrencyConfig,
     pub(crate) cores: f64,
     pub(crate) started_at: Time,
     pub(crate) limit: f64,
-    pub(crate) utilization: f64,      // of the cores
-    limited_since: Time,              // since when the limit is reached and requests are queued
-    pub(crate) runnable: Option<f64>, // tasks on the cores by their gauge, and starts since
+    pub(crate) utilization: f64,      // fraction of the cores in use
+    limited_since: Time,              // since when the limit has been reached with requests queued
+    pub(crate) runnable: Option<f64>, // tasks on the cores by the gauge, plus starts since
 }
 
 impl ConcurrencyLimit {
@@ -27,34 +27,35 @@
         ConcurrencyLimit { config, cores, started_at: now, limit, utilization, limited_since, runnable }
     }
 
-    /// The fraction of its full speed that a cold server has surely reached.
+    /// The fraction of its full speed that a cold server has certainly reached.
     pub(crate) fn capacity(&self, now: Time) -> f64 {
         let ConcurrencyConfig { start_capacity, warm_within, .. } = self.config;
         let warm_fraction = (now - self.started_at).as_f64() / warm_within.as_f64().max(1.0);
         (start_capacity + (1.0 - start_capacity) * warm_fraction).min(1.0)
     }
 
-    /// How many on the cores the server survives.
+    /// How many runs on the cores the server survives, with a margin.
     pub(crate) fn ceiling(&self, now: Time) -> f64 {
         self.cores * (1.0 + (self.config.overload_factor - 1.0) * self.capacity(now)) * CEILING_FRACTION
     }
 
-    /// How many may run, on the cores or not. Departure: where a gauge counts what is on the cores, runs that
-    /// wait for the disk leave capacity past the ceiling for others that can be cancelled; with 1,080 ms of
-    /// disk wait the ceiling left fast cores half idle (manila-main).
+    /// How many requests may run, on the cores or not. Departure: if a gauge counts the tasks on the cores,
+    /// runs that wait for the disk leave capacity above the ceiling for other runs that can be cancelled;
+    /// with 1,080 ms of disk wait the ceiling left fast cores half idle (manila-main).
     pub(crate) fn max_running(&self, now: Time) -> f64 {
         let has_capacity = self.runnable.is_some_and(|runnable| runnable + 1.0 <= self.ceiling(now));
         self.ceiling(now) * if has_capacity { OFF_CORE_FACTOR } else { 1.0 }
     }
 
-    /// Departure: the cores' gauge, where there is one, tells how much of them the runs had; runs that wait
-    /// for the disk have the rest, so that a disk wait is not taken for work (manila-main).
+    /// The cores that the runs used. Departure: the CPU gauge, if there is one, shows them; the rest of the
+    /// cores counts as disk waits of the runs, so that a disk wait is not taken for work (manila-main).
     pub(crate) fn busy_cores(&self) -> f64 {
         (self.utilization.max(MIN_UTILIZATION) * self.cores).min(self.cores)
     }
 
-    /// The limit is the smallest that keeps the cores busy: more runs only slow each other. It grows after it
-    /// was reached for longer than the gauge looks back: idle cores then show disk waits, not recent starts.
+    /// Adjusts the limit to the smallest that keeps the cores busy: more runs only slow each other down. It
+    /// grows only after it was reached for longer than the gauge looks back: idle cores then show disk waits,
+    /// not recent starts.
     pub(crate) fn adjust(&mut self, now: Time, sample: LoadSample, requests: &RequestTable, target: Time) {
         let on_core = requests.on_core().count() as f64;
         self.utilization = sample.cpu_utilization.unwrap_or(on_core / self.cores);
--- a/crates/admission/src/policy/cost_estimator.rs
+++ b/crates/admission/src/policy/cost_estimator.rs
@@ -1,22 +1,22 @@
-//! What requests cost here.
+//! Estimates what requests cost on this server.
 use crate::{handler_cost::HandlerCost, request::RequestRecord, request_table::RequestTable};
 use crate::{AdmissionConfig, Handler, Time};
 
-const INITIAL_COST: f64 = 0.125; // of a request before any is known, part of its response target
-const MIN_SPEED: f64 = 0.1; // the minimum that a cold server is taken to have
-const MIN_REMAINING: f64 = 0.25; // of a request's cost, what a run that has had more is still taken to need
-const STALL_PRIOR: f64 = 4.0; // usual runs that the running ones must outweigh to show a stall
-pub(crate) const EWMA_WEIGHT: f64 = 0.1; // of the newest in running means
+const INITIAL_COST: f64 = 0.125; // cost of a request before any is known, as part of its response target
+const MIN_SPEED: f64 = 0.1; // lowest speed assumed of a cold server, as a fraction of full speed
+const MIN_REMAINING: f64 = 0.25; // part of its cost that a run which has had more is still assumed to need
+const STALL_PRIOR: f64 = 4.0; // number of usual runs that the running ones must outweigh to show a stall
+pub(crate) const EWMA_WEIGHT: f64 = 0.1; // weight of the newest value in running means
 
-/// What requests cost here: time on a core of its own, learned against the hint for each handler.
+/// The cost of requests on this server: time on a core of its own, learned per handler against the hint.
 pub(crate) struct CostEstimator {
-    pub(crate) core_clock: f64, // time that each request on the cores has had of a core
+    pub(crate) core_clock: f64, // core time that each request on the cores has had
     pub(crate) advanced_at: Time,
     handlers: Vec<HandlerCost>,
-    pub(crate) slowdown: f64, // multiple of their usual cost that the running requests show
+    pub(crate) slowdown: f64, // observed cost of the running requests, as a multiple of their usual cost
 }
 
-/// The hinted cost of a request, or what stands for it where there is no hint.
+/// The hinted cost of a request, or an assumed one if there is no hint.
 pub(crate) fn base_cost(handler: &Handler, hint: Option<Time>) -> f64 {
     hint.map_or(handler.response_target.as_f64() * INITIAL_COST, |hint| hint.as_f64().max(1.0))
 }
@@ -36,23 +36,24 @@
         &self.handlers[request.handler_index()]
     }
 
-    /// The cost while nothing stalls.
+    /// The expected cost of a request while nothing stalls.
     pub(crate) fn usual(&self, request: &RequestRecord) -> f64 {
         self.handler(request).expected(request)
     }
 
-    pub(crate) fn of(&self, request: &RequestRecord) -> f64 {
+    /// The expected cost of a request at the present slowdown.
+    pub(crate) fn current(&self, request: &RequestRecord) -> f64 {
         self.usual(request) * self.slowdown
     }
 
-    /// The core time that a run still needs.
+    /// The core time that a run is expected to still need.
     pub(crate) fn remaining(&self, request: &RequestRecord) -> f64 {
-        let cost = self.of(request);
+        let cost = self.current(request);
         (cost - request.core_time_at(self.core_clock)).max(cost * MIN_REMAINING)
     }
 
-    /// The runs shared `busy_cores` since the last input. Where they have had more than their cost, they
-    /// stall.
+    /// Accounts for the time since the last input, over which the runs shared `busy_cores`. Runs that have
+    /// had more than their cost show a stall.
     pub(crate) fn advance(&mut self, now: Time, busy_cores: f64, requests: &RequestTable) {
         let on_core = requests.on_core().count() as f64;
         self.core_clock += (now - self.advanced_at).as_f64() * (busy_cores / on_core.max(1.0)).min(1.0);
@@ -62,7 +63,8 @@
         self.slowdown = ((overruns + STALL_PRIOR) / (on_core + STALL_PRIOR)).max(1.0);
     }
 
-    /// Of an ended run, the time off the cores counts in full: calls, and disk waits that no event tells.
+    /// Learns from a run that ended. Its time off the cores counts in full: calls, and disk waits that no
+    /// event reports.
     pub(crate) fn learn_ended(&mut self, now: Time, request: &RequestRecord) {
         let core_time = request.core_time_at(self.core_clock);
         let off_core_time = request.off_core_time.max((now - request.started_at).as_f64() - core_time);
@@ -71,7 +73,7 @@
         handler.add_calls(request, EWMA_WEIGHT);
     }
 
-    /// A run that is cancelled counts once it has had more than usual.
+    /// Learns from a run that is cancelled, but only if it has had more core time than usual.
     pub(crate) fn learn_cancelled(&mut self, request: &RequestRecord) {
         let core_time = request.core_time_at(self.core_clock);
         if core_time > self.usual(request) {
--- a/crates/admission/src/policy/effects.rs
+++ b/crates/admission/src/policy/effects.rs
@@ -1,13 +1,13 @@
-//! What is done to a request: by the rule that fires for it, or when its call has ended.
+//! The effects on a request: of the rule that fires for it, or of the end of its call.
 use crate::controller::AdmissionController;
 use crate::request::{Phase, RequestRecord};
 use crate::{Actions, CallOutcome, Idempotency, Rejection, RequestId, Time};
 
-const MAX_ATTEMPTS: u32 = 3; // of one call
-const STALL_SLOWDOWN: f64 = 2.0; // multiple of their cost at which the running requests show a stall
+const MAX_ATTEMPTS: u32 = 3; // attempts of one call, the first included
+const STALL_SLOWDOWN: f64 = 2.0; // multiple of their usual cost at which running requests count as stalled
 
 impl AdmissionController {
-    /// Answers a request with a failure and cancels its run where it can be cancelled.
+    /// Answers a request with a failure, and cancels its run if it can be cancelled.
     pub(crate) fn terminate(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get_mut(id).filter(|r| !r.answered) else { return };
         request.answered = true;
@@ -25,7 +25,7 @@
         self.requests.remove_answered_unstarted();
     }
 
-    /// Answers a request that did not run with a rejection.
+    /// Rejects a request that has not been started.
     pub(crate) fn reject(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.remove(id) else { return };
         self.termination.losses.add_rejected(now);
@@ -35,8 +35,8 @@
             (self.advisor.config.max_retry_after, false)
         } else {
             let read_load = self.advisor.read_load(now, self.concurrency.cores);
-            let min_delay = self.costs.of(&request) / self.concurrency.cores;
-            let retry_after = self.advisor.retry_after(now, read_load, self.excess_burden(now), min_delay);
+            let min_delay = self.costs.current(&request) / self.concurrency.cores;
+            let retry_after = self.advisor.retry_after(now, read_load, self.excess_load(now), min_delay);
             (retry_after, self.advisor.discourages_retries(now, read_load))
         };
         let wait = self.slow_start_wait(now, &request);
@@ -44,7 +44,7 @@
         actions.reject.push(Rejection { id, retry_after, do_not_retry });
     }
 
-    /// Makes the call that a run waits for.
+    /// Makes the dependency call that a run waits for.
     pub(crate) fn call(&mut self, now: Time, id: RequestId, actions: &mut Actions) {
         let Some(timeout) = self.requests.get(id).map(|r| self.call_timeout(now, r)) else { return };
         if let Some(request) = self.requests.get_mut(id) {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// A call that may be made again is abandoned early: the next may succeed where this one hangs. One that
-    /// can be skipped leaves time for the rest of its request.
+    /// The timeout of the next attempt. A call that may be repeated is abandoned early: the next attempt may
+    /// succeed where this one hangs. A call that can be skipped leaves time for the rest of its run.
     fn call_timeout(&self, now: Time, request: &RequestRecord) -> Time {
         let (deadline, handler) = (self.deadline(request), self.priorities.handler(request));
         let may_skip = handler.skip_value > 0.0;
@@ -63,16 +63,17 @@
         let end = ends.into_iter().find(|end| *end > now).unwrap_or(deadline);
         let time_left = end.min(deadline) - now;
         let may_repeat = handler.idempotency == Idempotency::Idempotent
-            && self.calls.has_spare()
+            && self.calls.has_spare_capacity()
             && request.attempts + 1 < MAX_ATTEMPTS;
         let is_backed_off = may_skip && self.calls.limit < self.calls.cores;
-        let is_impatient = (may_repeat || is_backed_off) && self.calls.times.usual > 0.0;
-        let patience = if is_impatient { self.calls.patience(is_backed_off) } else { time_left };
-        let timeout = time_left.min(patience).min(self.calls.max_call_time(now));
+        let abandons_early = (may_repeat || is_backed_off) && self.calls.times.usual > 0.0;
+        let max_wait = if abandons_early { self.calls.early_timeout(is_backed_off) } else { time_left };
+        let timeout = time_left.min(max_wait).min(self.calls.max_call_time(now));
         timeout.max(self.schedule.resolution)
     }
 
-    /// A call is repeated where that is safe or it was never executed, and at once where it has ended.
+    /// Continues a run after its call. An unsuccessful call is repeated if that is safe or if it was never
+    /// executed, and at once if its slot is free.
     pub(crate) fn continue_after_call(
         &mut self, now: Time, id: RequestId, outcome: CallOutcome, actions: &mut Actions,
     ) {
@@ -80,12 +81,12 @@
         let handler = self.priorities.handler(request);
         let has_failed = matches!(outcome, CallOutcome::Failed | CallOutcome::Interrupted);
         let is_safe =
-            handler.idempotency == Idempotency::Idempotent && (has_failed || self.calls.has_spare());
+            handler.idempotency == Idempotency::Idempotent && (has_failed || self.calls.has_spare_capacity());
         let may_repeat = is_safe || outcome == CallOutcome::NotExecuted;
         let repeats = may_repeat && request.attempts < MAX_ATTEMPTS;
         let may_skip = handler.skip_value > 0.0 && !request.answered;
         let others_in_flight = self.requests.calling().count() - 1;
-        // One that failed has left its slot to the next; one whose connection broke may hold it still.
+        // A failed call has freed its slot for the next; one whose connection broke may still hold it.
         let has_slot = outcome == CallOutcome::Failed
             || outcome == CallOutcome::Interrupted && self.calls.may_call(now, others_in_flight);
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The idempotency key of a first request is retained for as long as its duplicates may arrive.
+    /// Retains the idempotency key of an original request for as long as its duplicates may arrive.
     pub(crate) fn retain_key(&mut self, now: Time, request: &RequestRecord, actions: &mut Actions) {
         let handler = self.priorities.handler(request);
         let expires_at = request.arrived_at + handler.dedup_window;
@@ -109,7 +110,8 @@
         }
     }
 
-    /// A cancellation while the cores are frozen has no effect: it is asked for again with each sample.
+    /// Runs to cancel again: a cancellation has no effect while the cores are frozen, so it is repeated with
+    /// each load sample.
     pub(crate) fn repeated_cancellations(&self) -> Vec<RequestId> {
         let answered = self.requests.on_core().filter(|r| r.answered && self.is_cancellable(r));
         answered.map(RequestRecord::id).collect()
--- a/crates/admission/src/policy/load_advisor.rs
+++ b/crates/admission/src/policy/load_advisor.rs
@@ -1,15 +1,15 @@
-//! What callers are advised: how much to send, and when a rejected one may come back.
+//! The advice to callers: how much to send, and when to come back after a rejection.
 use super::caller_tracker::CallerTracker;
 use super::cost_estimator::EWMA_WEIGHT;
 use crate::random::MultiplyWithCarry;
 use crate::windows::{LoadSums, LoadWindow};
 use crate::{AdviceFormat, Arrival, CallerConfig, Time};
 
-const ADVICE_STEP: f64 = 0.02; // least relative change of the advice that is passed on
-const EXPENSIVE_READING: f64 = 0.25; // part of the cores from which reading counts as expensive
-const MAX_RETRY_SHARE: f64 = 0.2; // of that part, what reading retries takes as rejections ask for no retry
+const MIN_ADVICE_CHANGE: f64 = 0.02; // smallest relative change of the advice that is sent
+const EXPENSIVE_READING: f64 = 0.25; // fraction of the cores from which reading counts as expensive
+const MAX_RETRY_SHARE: f64 = 0.2; // part of that for reading retries above which rejections discourage them
 
-/// Advises callers.
+/// Computes the advice to callers.
 pub(crate) struct LoadAdvisor {
     pub(crate) config: CallerConfig,
     pub(crate) callers: CallerTracker,
@@ -32,26 +32,27 @@
         }
     }
 
-    /// How long requests recently waited to be read.
+    /// How long recent requests waited to be read, on average.
     pub(crate) fn read_delay(&self, now: Time) -> f64 {
         let LoadSums { arrivals, observed_delay, .. } = self.load.sums(now);
         observed_delay / arrivals.max(1.0)
     }
 
-    /// What reading takes of the cores; from 1 it is expensive.
+    /// The load of the cores from reading requests; from 1 reading is expensive.
     pub(crate) fn read_load(&self, now: Time, cores: f64) -> f64 {
         self.load.sums(now).arrivals * self.load.read_time()
             / (self.load.duration() * EXPENSIVE_READING * cores)
     }
 
-    /// A further attempt costs its reading: where that is cheap it may still succeed elsewhere.
+    /// Whether rejections ask for no retry. A further attempt has to be read; where reading is cheap, it
+    /// may still succeed on another server.
     pub(crate) fn discourages_retries(&self, now: Time, read_load: f64) -> bool {
         let LoadSums { arrivals, retries, rejections, .. } = self.load.sums(now);
         retries.max(rejections - 1.0) * read_load > MAX_RETRY_SHARE * arrivals
     }
 
-    /// When a rejected caller may come back. Where no share can be advised, the time for one request of each
-    /// caller; else a random part of the `excess` work, and at least `min_delay`.
+    /// How long after a rejection a caller may come back. If callers read no advice, the time for one request
+    /// of each caller; else a random fraction of the `excess` work, and at least `min_delay`.
     pub(crate) fn retry_after(&mut self, now: Time, read_load: f64, excess: f64, min_delay: f64) -> Time {
         let LoadSums { arrivals, rejections, .. } = self.load.sums(now);
         let retry_after = if self.config.advice_format == AdviceFormat::Unused {
@@ -63,7 +64,8 @@
         Time(retry_after as i64).min(self.config.max_retry_after)
     }
 
-    /// The advice to pass on, if it has changed. `wanted`: the share of their traffic that is wanted.
+    /// The advice to send, if it has changed. `wanted` is the share of their traffic that callers are asked
+    /// to send.
     pub(crate) fn advise(&mut self, wanted: f64, concurrency_limit: f64) -> Option<f64> {
         let advice = match self.config.advice_format {
             AdviceFormat::Unused => return None,
@@ -71,7 +73,7 @@
             AdviceFormat::Credit => wanted * concurrency_limit / self.callers.senders(),
             AdviceFormat::Rank => 1.0 - wanted,
         };
-        let has_changed = |last: f64| (last - advice).abs() > ADVICE_STEP * advice.max(last);
+        let has_changed = |last: f64| (last - advice).abs() > MIN_ADVICE_CHANGE * advice.max(last);
         if !self.last_advice.is_none_or(has_changed) {
             return None;
         }
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,6 +1,7 @@
-//! The decisions of one server: which requests it admits, in which order it runs them, which it rejects, and
-//! what it advises its callers. After every input the rules in `rules::RULES` are gone through in order until
-//! none fires. docs/design.md tells what follows SERT, what departs from it, and when each departure acts.
+//! The admission policy of one server: which requests it admits, in which order it starts them, which it
+//! rejects, and what it advises its callers. After every input the rules in `AdmissionController::RULES` are
+//! evaluated in order until none fires. docs/design.md describes what follows SERT, what departs from it, and
+//! when each departure acts.
 pub(crate) mod call_limiter;
 pub(crate) mod caller_tracker;
 pub(crate) mod concurrency_limit;
--- a/crates/admission/src/policy/rules.rs
+++ b/crates/admission/src/policy/rules.rs
@@ -1,18 +1,18 @@
-//! The rules: each finds a request for which something is to be done now.
+//! The rules of the policy: the condition of each finds a request that needs its effect now.
 use crate::controller::AdmissionController;
 use crate::request::{Phase, RequestRecord};
 use crate::{Actions, RequestId, Rule, RuleFiring, Time};
 
-const FREE_UTILIZATION: f64 = 0.8; // part of the cores in use under which every request is admitted
-const TARGET_MARGIN: f64 = 0.8; // part of its response target by which an arrival must be predicted to finish
-const MEMORY_FRACTION: f64 = 0.9; // part of the memory that is used
-const MAX_CALL_WAIT: f64 = 0.04; // for a call, part of the time left to the target, before it is skipped
+const FREE_UTILIZATION: f64 = 0.8; // fraction of the cores in use below which every request is admitted
+const TARGET_MARGIN: f64 = 0.8; // fraction of its target within which an arrival must be predicted to finish
+const MEMORY_FRACTION: f64 = 0.9; // fraction of the memory limit that is used
+const MAX_CALL_WAIT: f64 = 0.04; // wait for a call before it is skipped, as part of the time to the target
 
 type Condition = fn(&AdmissionController, Time) -> Option<RequestId>;
 pub(crate) type Effect = fn(&mut AdmissionController, Time, RequestId, &mut Actions);
 
 impl AdmissionController {
-    /// Gone through from the top after every input until none fires; each firing settles one request.
+    /// Evaluated in this order after every input until none fires; each firing acts on one request.
     const RULES: [(Rule, Condition, Effect); 13] = [
         (Rule::UnstartedAtDeadline, Self::unstarted_at_deadline, Self::reject),
         (Rule::AtDeadline, Self::at_deadline, Self::terminate),
@@ -29,7 +29,7 @@
         (Rule::NextToCall, Self::next_to_call, Self::call),
     ];
 
-    /// The first rule that fires: the request it fires for, and what is done to it.
+    /// The first rule that fires, the request it fires for, and the effect on that request.
     pub(crate) fn next_firing(&self, now: Time) -> Option<(RuleFiring, Effect)> {
         Self::RULES.iter().find_map(|(rule, condition, effect)| {
             let id = condition(self, now)?;
@@ -41,7 +41,8 @@
         self.deadline(request) - self.schedule.resolution <= now
     }
 
-    /// No request is lost: one at its deadline is answered now, whatever runs; rejected where none of it ran.
+    /// No request is lost: at its deadline it is answered, whatever else is running. It is rejected if none
+    /// of it ran; that is not known of a duplicate, whose original may have run.
     fn unstarted_at_deadline(&self, now: Time) -> Option<RequestId> {
         let is_first = |r: &&RequestRecord| r.arrival.duplicate_of.is_none();
         self.requests.queued().filter(is_first).find(|r| self.is_at_deadline(r, now)).map(RequestRecord::id)
@@ -51,7 +52,8 @@
         self.requests.unanswered().find(|r| self.is_at_deadline(r, now)).map(RequestRecord::id)
     }
 
-    /// A duplicate takes the response of the request it repeats, unless that one waits for this one.
+    /// A duplicate takes the response of the request that it repeats, unless that request already waits for
+    /// the duplicate's own response.
     fn duplicate(&self, _: Time) -> Option<RequestId> {
         let coalesced = |id| self.requests.get(id).filter(|r| r.phase == Phase::Coalesced);
         let waits_for = |id, other| coalesced(id).is_some_and(|r| r.arrival.duplicate_of == Some(other));
@@ -59,36 +61,39 @@
         self.requests.queued().find(may_wait).map(RequestRecord::id)
     }
 
-    /// SERT: an idempotent run past the threshold is stopped for good, but not while it can end in time.
+    /// SERT: an idempotent run past the termination threshold is terminated for good, but not while it can
+    /// still finish within its response target.
     fn past_threshold(&self, now: Time) -> Option<RequestId> {
         let is_past = |r: &&RequestRecord| {
             let is_late = now > r.target_at;
-            is_late && now - r.started_at > self.termination.of(now, r, self.deadline(r))
+            is_late && now - r.started_at > self.termination.threshold(now, r, self.deadline(r))
         };
         let running = self.requests.started().filter(|r| !r.answered && r.phase != Phase::Calling);
         running.filter(|r| self.is_cancellable(r)).find(is_past).map(RequestRecord::id)
     }
 
-    /// Of the cancellable runs on the cores, the one that has had the least.
+    /// The most recently started of the cancellable runs on the cores: the one that has had the least.
     fn youngest_cancellable(&self) -> Option<RequestId> {
         let running = self.requests.on_core().filter(|r| !r.answered && self.is_cancellable(r));
         running.max_by_key(|r| (r.started_at, r.id())).map(RequestRecord::id)
     }
 
-    /// What is on the cores stays under what the server survives, cold or warm: seen past it, all that can be
-    /// cancelled is, until no more run than that.
+    /// Keeps the runs on the cores within the number that the server survives, cold or warm: once
+    /// more are seen, cancellable runs are terminated until no more run than that.
     fn over_survivable_concurrency(&self, now: Time) -> Option<RequestId> {
-        let stays = |r: &&RequestRecord| !(r.answered && self.is_cancellable(r));
-        let staying = self.requests.on_core().filter(stays).chain(self.requests.overdue()).count() as f64;
-        let runnable = self.concurrency.runnable.unwrap_or(staying);
-        self.youngest_cancellable().filter(|_| runnable.min(staying) > self.concurrency.ceiling(now))
+        let is_not_cancelled = |r: &&RequestRecord| !(r.answered && self.is_cancellable(r));
+        let not_cancelled =
+            self.requests.on_core().filter(is_not_cancelled).chain(self.requests.overdue()).count() as f64;
+        let runnable = self.concurrency.runnable.unwrap_or(not_cancelled);
+        self.youngest_cancellable().filter(|_| runnable.min(not_cancelled) > self.concurrency.ceiling(now))
     }
 
     fn is_over_memory(&self) -> bool {
         self.memory_used() > self.memory.limit * MEMORY_FRACTION
     }
 
-    /// Requests and idempotency keys stay within the memory: the last in the start order goes first.
+    /// Keeps requests and idempotency keys within the memory limit: the last request of the start order is
+    /// rejected first.
     fn over_memory_queued(&self, now: Time) -> Option<RequestId> {
         self.is_over_memory().then(|| self.start_order(now).last().map(|r| r.id()))?
     }
@@ -98,14 +103,15 @@
         self.youngest_cancellable().or_else(coalesced).filter(|_| self.is_over_memory())
     }
 
-    /// After the shutdown signal: what arrived past the grace does not run.
+    /// After the shutdown signal, requests that arrived past the drain grace are not run.
     fn past_drain_grace(&self, _: Time) -> Option<RequestId> {
         let last = self.drain?.started_at + self.drain_grace - self.schedule.resolution;
         self.requests.queued().find(|r| r.arrived_at > last).map(RequestRecord::id)
     }
 
-    /// Predictive admission, looked at again after every input: with the cores in use, a queued request that
-    /// will not finish within its target behind those before it is rejected while other servers may take it.
+    /// Predictive admission, evaluated again after every input: while the cores are in use, a queued request
+    /// that would not finish within its response target behind those ahead of it is rejected early enough for
+    /// another server to take it.
     fn unwinnable(&self, now: Time) -> Option<RequestId> {
         let on_core = self.requests.on_core().count() as f64;
         let runs_in_use = self.concurrency.utilization.max(on_core / self.concurrency.limit);
@@ -117,9 +123,10 @@
         let mut work_ahead: f64 = on_core.map(|r| self.costs.remaining(r)).sum();
         let mut calls_ahead = self.calls_of_runs();
         for request in self.start_order(now) {
-            let cost = self.costs.of(request);
+            let cost = self.costs.current(request);
             let calls = self.costs.handler(request).remaining_calls(request);
-            let call_wait = if calls > 0.0 { self.calls.wait(now, calls_ahead + calls - 1.0) } else { 0.0 };
+            let call_wait =
+                if calls > 0.0 { self.calls.expected_wait(now, calls_ahead + calls - 1.0) } else { 0.0 };
             let wait = (work_ahead / cores).max(call_wait);
             let finish = now.as_f64() + wait + cost + self.costs.handler(request).off_core_time;
             if finish > self.latest_finish(now, request).as_f64() {
@@ -131,22 +138,23 @@
         None
     }
 
-    /// The calls that runs have in flight, wait for, or will want.
+    /// The calls that runs have in flight, wait to make, or are expected to make later.
     fn calls_of_runs(&self) -> f64 {
         let at_call = |r: &RequestRecord| matches!(r.phase, Phase::AwaitingCall | Phase::Calling);
         let calls = |r: &RequestRecord| self.costs.handler(r).remaining_calls(r) + f64::from(at_call(r));
         self.requests.started().filter(|r| !r.answered).map(calls).sum()
     }
 
-    /// When a queued request must be predicted to finish: with a margin while it has just arrived.
+    /// The time by which a queued request must be predicted to finish, with a margin if it has just arrived.
     pub(crate) fn latest_finish(&self, now: Time, request: &RequestRecord) -> Time {
         let margin = if request.phase_since == now { TARGET_MARGIN } else { 1.0 };
         let target = request.target_at - request.arrived_at;
         (request.arrived_at + target.scaled(margin)).min(self.deadline(request))
     }
 
-    /// As many on the cores as keep them busy, within ceiling and memory. What cannot be cancelled is under
-    /// the ceiling by itself: all that waits for the disk may come back to the cores at once.
+    /// Starts as many requests as keep the cores busy, within the ceiling and the memory limit. The runs that
+    /// cannot be cancelled must by themselves stay within the ceiling, because all runs that wait for the
+    /// disk may return to the cores at once.
     fn next_to_start(&self, now: Time) -> Option<RequestId> {
         let on_core = self.requests.on_core().count() as f64;
         let running = self.requests.started().count() as f64;
@@ -155,19 +163,19 @@
         }
         let uncancellable = self.requests.started().filter(|r| !self.is_cancellable(r)).count() as f64;
         let fits_uncancellable = uncancellable + 1.0 <= self.concurrency.ceiling(now);
-        // Runs that would only queue to call stay queued here; what calls nothing goes past them.
-        let calls_flow = self.call_backlog() <= 1.0;
+        // Requests whose runs would only wait to call stay queued; those that make no calls overtake them.
+        let has_call_capacity = self.call_backlog() <= 1.0;
         let free_memory = self.memory.limit * MEMORY_FRACTION - self.memory_used();
         let may_start = |request: &&RequestRecord| {
             (fits_uncancellable || self.is_cancellable(request))
-                && (calls_flow || !self.priorities.handler(request).makes_calls)
+                && (has_call_capacity || !self.priorities.handler(request).makes_calls)
                 && self.memory.extra_to_start(request) <= free_memory
         };
         let first = self.start_order(now).into_iter().find(may_start);
         first.filter(|r| self.fits_slow_start(now, r)).map(RequestRecord::id)
     }
 
-    /// Where its value allows, a request that has waited long for its call goes on without it.
+    /// A run that has waited too long to call continues without the call, if a response without it has value.
     fn past_call_wait(&self, now: Time) -> Option<RequestId> {
         let may_skip = |r: &&RequestRecord| self.priorities.handler(r).skip_value > 0.0;
         let has_waited_long = |r: &&RequestRecord| {
@@ -177,11 +185,11 @@
         self.requests.awaiting_call().filter(may_skip).find(has_waited_long).map(RequestRecord::id)
     }
 
-    /// The oldest run that waits to call; one whose call failed has rested first.
+    /// The oldest run that waits to call. After an unsuccessful call it must have backed off first.
     fn next_to_call(&self, now: Time) -> Option<RequestId> {
         let backoff = |r: &RequestRecord| self.calls.times.usual * r.attempts as f64;
-        let is_rested = |r: &&RequestRecord| (now - r.phase_since).as_f64() >= backoff(r);
-        let waiting = self.requests.awaiting_call().filter(is_rested);
+        let has_backed_off = |r: &&RequestRecord| (now - r.phase_since).as_f64() >= backoff(r);
+        let waiting = self.requests.awaiting_call().filter(has_backed_off);
         let oldest = waiting.min_by_key(|r| (r.arrived_at, r.id())).map(RequestRecord::id);
         oldest.filter(|_| self.calls.may_call(now, self.requests.calling().count()))
     }
--- a/crates/admission/src/policy/slow_start.rs
+++ b/crates/admission/src/policy/slow_start.rs
@@ -1,35 +1,37 @@
-//! The budget of slow start: how much a cold server begins.
+//! The slow-start budget: how much work a cold server starts.
 use super::concurrency_limit::ConcurrencyLimit;
 use crate::Time;
 use cottondyke_types::SlidingWindow;
 use std::collections::VecDeque;
 
-const BUCKETS: usize = 8; // of the window over which offered work is counted
+const BUCKETS: usize = 8; // buckets of the window over which offered work is counted
 
-/// Work that was put on the cores.
+/// Work that was started on the cores.
 #[derive(Clone, Copy)]
-struct BegunWork {
+struct StartedWork {
     at: Time,
     work: f64, // time on one core at full speed, in tenths of a millisecond
 }
 
-/// The budget of slow start: over the window in which overload is judged, no more work is begun than the told
-/// speed does in that time. Guards against a server that all its callers keep busy as soon as it is back: the
-/// pool and the ceiling bound what runs at once, and short runs pass through them at any rate.
+/// The slow-start budget: over the window in which overload is judged, no more work is started than the
+/// server does in that time at the speed that the settings state. Guards against all callers keeping a server
+/// busy as soon as it is back: the concurrency limit and the ceiling bound only what runs at once, and short
+/// runs pass through them at any rate.
 pub(crate) struct SlowStartBudget {
-    window: Time,               // zero where the settings name none: no budget
-    begun: VecDeque<BegunWork>, // within the window, oldest first
-    total: f64,                 // their work
+    window: Time,                   // zero if the settings name none: no budget
+    started: VecDeque<StartedWork>, // work of the window, oldest first
+    total: f64,                     // the sum of their work
     offered: SlidingWindow<1, BUCKETS>,
 }
 
 impl SlowStartBudget {
     pub(crate) fn new(window: Time) -> Self {
         let offered = SlidingWindow::new(window.max(Time(1)));
-        SlowStartBudget { window, begun: VecDeque::new(), total: 0.0, offered }
+        SlowStartBudget { window, started: VecDeque::new(), total: 0.0, offered }
     }
 
-    /// The work that may be begun within a window that ends now, at the speed in its middle; none: no bound.
+    /// The work that may be started within a window that ends now, at the speed in its middle; `None` if
+    /// there is no bound.
     pub(super) fn allowed(&self, now: Time, concurrency: &ConcurrencyLimit) -> Option<f64> {
         if self.window == Time(0) || concurrency.capacity(now) >= 1.0 {
             return None;
@@ -38,23 +40,24 @@
         Some(concurrency.cores * concurrency.capacity(middle) * self.window.as_f64())
     }
 
-    /// Forgets what the window has passed.
+    /// Drops the work that has left the window.
     pub(crate) fn advance(&mut self, now: Time) {
-        while let Some(oldest) = self.begun.front().filter(|begun| begun.at + self.window <= now) {
+        while let Some(oldest) = self.started.front().filter(|started| started.at + self.window <= now) {
             self.total -= oldest.work;
-            self.begun.pop_front();
+            self.started.pop_front();
         }
     }
 
-    /// Nothing is kept where there is no bound: a warm server begins any number.
+    /// Records started work. Nothing is recorded if there is no bound: a warm server may start any number of
+    /// requests, and the record would grow with them.
     pub(crate) fn add_begun(&mut self, at: Time, work: f64, concurrency: &ConcurrencyLimit) {
         if self.allowed(at, concurrency).is_some() {
-            self.begun.push_back(BegunWork { at, work });
+            self.started.push_back(StartedWork { at, work });
             self.total += work;
         }
     }
 
-    /// The work that was offered over the window.
+    /// The work that was offered over the window, started or not.
     pub(super) fn offered(&self, now: Time) -> f64 {
         self.offered.sums(now)[0]
     }
@@ -63,18 +66,18 @@
         self.offered.add(now, 0, work);
     }
 
-    /// When so much more work fits. A request that is larger than the whole budget fits an empty window.
+    /// When `work` more fits the budget. A request that is larger than the whole budget fits an empty window.
     pub(super) fn fits_at(&self, now: Time, allowed: f64, work: f64) -> Time {
         let mut excess = self.total + work - allowed;
         let mut fits_at = now;
-        for begun in &self.begun {
+        for started in &self.started {
             if excess <= 0.0 {
                 break;
             }
-            excess -= begun.work;
-            fits_at = begun.at + self.window;
+            excess -= started.work;
+            fits_at = started.at + self.window;
         }
-        let overflows = excess > 0.0 && work > allowed && !self.begun.is_empty();
+        let overflows = excess > 0.0 && work > allowed && !self.started.is_empty();
         if overflows {
             fits_at.max(now + self.window)
         } else {
--- a/crates/admission/src/policy/termination_threshold.rs
+++ b/crates/admission/src/policy/termination_threshold.rs
@@ -1,19 +1,19 @@
-//! When a run is terminated: SERT, section 3.2 of the paper.
+//! When a run is terminated, after section 3.2 of the SERT paper.
 use crate::{histograms::RunTimeHistogram, request::RequestRecord, windows::LossWindow};
 use crate::{AdmissionConfig, Cancellation, Handler, Idempotency, Time};
 
 const LOW_WATERMARK: f64 = 0.05; // loss up to which the threshold stays at its upper bound
-const HIGH_WATERMARK: f64 = 0.15; // loss from which it is at its lower bound
-const ALPHA: f64 = 4.0; // bend of the threshold between the two
-const LOWER_BOUND_QUANTILE: f64 = 0.99; // of a handler's run times: the threshold's lower bound
-const RUN_TIME_WINDOW: f64 = 4.0; // over which run times count, times the client timeout
-const MIN_LOWER_BOUND: f64 = 0.1; // part of the client timeout
+const HIGH_WATERMARK: f64 = 0.15; // loss from which the threshold is at its lower bound
+const ALPHA: f64 = 4.0; // exponent of the threshold's curve between the two watermarks
+const LOWER_BOUND_QUANTILE: f64 = 0.99; // quantile of a handler's run times that is the lower bound
+const RUN_TIME_WINDOW: f64 = 4.0; // window over which run times count, as a multiple of the client timeout
+const MIN_LOWER_BOUND: f64 = 0.1; // smallest lower bound, as a fraction of the client timeout
 
-/// SERT's threshold between a learned lower bound and the client timeout.
+/// SERT's termination threshold, between a learned lower bound and the client timeout.
 pub(crate) struct TerminationThreshold {
     cancellation: Cancellation,
     pub(crate) losses: LossWindow,
-    run_times: Vec<RunTimeHistogram>, // of each handler
+    run_times: Vec<RunTimeHistogram>, // by handler
 }
 
 impl TerminationThreshold {
@@ -33,8 +33,8 @@
         self.run_times[request.handler_index()].record(now, now - request.started_at);
     }
 
-    /// The run time of `request` from which it is terminated; `deadline` is when it must be answered.
-    pub(crate) fn of(&self, now: Time, request: &RequestRecord, deadline: Time) -> Time {
+    /// The run time past which `request` is terminated; `deadline` is when it must be answered.
+    pub(crate) fn threshold(&self, now: Time, request: &RequestRecord, deadline: Time) -> Time {
         let run_times = &self.run_times[request.handler_index()];
         let lower_bound = run_times.quantile(now, LOWER_BOUND_QUANTILE, MIN_LOWER_BOUND);
         let upper_bound = deadline - request.started_at;
