--- a/crates/admission/tests/decide/admission.rs
+++ b/crates/admission/tests/decide/admission.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn rejects_an_unwinnable_queued_request_while_the_limit_is_shrunk() {
-    // With few runs on the cores, predictive admission once took a server that only read for idle.
+    // With few runs on the cores, predictive admission took a server for idle that was busy reading requests.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     arrive(&mut server, 3, Time(6500));
     server.cores_frozen = true;
@@ -43,7 +43,7 @@
 
 #[test]
 fn starts_another_tenant_first_when_a_tenant_has_filled_its_share() {
-    // One tenant sent three times its share, and as many of the others' requests were rejected as of its excess.
+    // When one tenant sent three times its share, as many requests of the other tenants were rejected as of its excess.
     let mut server = ServerModel::new(Setup {
         tells_client_wait: true,
         ..DEFAULT_SETUP
@@ -66,8 +66,9 @@
 
 #[test]
 fn rejects_an_unwinnable_request_with_a_retry_time_when_overloaded() {
-    // Queued until its client timeout, a lost request kept its caller from asking elsewhere and named no time; a
-    // server that rejected quickly and named no time drew the traffic of callers that pick the least busy.
+    // An unwinnable request that stayed queued until its client timeout kept its caller from trying another server, and
+    // gave it no retry time. A server that rejected quickly without a retry time attracted the traffic of callers that
+    // choose the least busy server.
     for advice_format in [
         AdviceFormat::Share,
         AdviceFormat::Credit,
--- a/crates/admission/tests/decide/advice.rs
+++ b/crates/admission/tests/decide/advice.rs
@@ -1,12 +1,12 @@
-//! What callers are told.
+//! The advice to callers.
 use crate::server_model::*;
 use crate::workloads::*;
 use cottondyke_admission::*;
 
 #[test]
 fn spreads_credit_over_the_callers_seen_when_callers_are_named() {
-    // With a thousand callers in its settings, a server advised a five-hundredth of a request each, which reads as:
-    // stay away; with one, as on sockets, the table of callers seen had no more than four.
+    // With a thousand callers in its settings, a server advised each to keep a five-hundredth of a request in flight,
+    // which callers read as: send nothing. With one, as on sockets, the table of callers seen held no more than four.
     for (expected_callers, callers, max, min) in [
         (1000.0, 2, 1.0, 0.5),
         (1000.0, 0, 0.01, 0.0),
@@ -26,7 +26,7 @@
     }
 }
 
-/// How many rejections discourage retries, and how many there are.
+/// The number of rejections that discourage retries, and of all rejections.
 fn count_rejections(server: &ServerModel) -> (usize, usize) {
     let discouraging = server.rejections.iter().filter(|r| r.do_not_retry);
     (discouraging.count(), server.rejections.len())
@@ -34,8 +34,9 @@
 
 #[test]
 fn discourages_retries_when_many_are_rejected_and_none_is_marked_as_a_retry() {
-    // Unmarked retries through a full fleet paid the reading at each server on their way, up to ten of them. Where
-    // reading is cheap a retry elsewhere may still succeed: marked retries alone ended every one there.
+    // Unmarked retries through an overloaded fleet were read by each server on their way, up to ten of them. Where
+    // reading is cheap, a retry on another server may still succeed: judged by marked retries alone, every retry was
+    // discouraged there.
     for (delay, is_expensive) in [(500, true), (1, false)] {
         let mut server = ServerModel::new(DEFAULT_SETUP);
         server.tick(1.0);
@@ -51,8 +52,9 @@
             "{discouraging} of {all}, delay {delay}"
         );
     }
-    // On sockets the first requests come where nothing is known yet, and count as not having waited: that taught
-    // that reading takes no time, for some 600 requests, and a rush that came before discouraged no retry.
+    // On sockets the first requests arrive before any delay is known, and count as not having waited. The server
+    // learned from them that reading takes no time, which lasted for some 600 requests, and a burst within these
+    // discouraged no retry.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     server.tick(1.0);
     arrive(&mut server, 3, Time(0));
@@ -60,24 +62,24 @@
     let (discouraging, all) = count_rejections(&server);
     assert!(
         all > 0 && discouraging * 2 > all,
-        "{discouraging} of {all} after requests that taught nothing"
+        "{discouraging} of {all} after requests without a known delay"
     );
-    // On a quiet day every rejection discouraged retries: one among four arrivals passed a fifth of them.
+    // At low load every rejection discouraged retries: one among four arrivals is more than a fifth of them.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     server.tick(1.0);
     for _ in 0..12 {
         arrive(&mut server, 1, Time(0));
         server.advance(Time(4000));
     }
-    let first = server.rejections.first().expect("no rejection at all");
+    let first = server.rejections.first().expect("at least one rejection");
     assert!(!first.do_not_retry, "{:?}", server.rejections);
 }
 
 #[test]
 fn sets_the_idle_timeout_by_the_gaps_seen_when_callers_are_many() {
-    // A thousand callers that each came seldom filled the table with idle connections, which took a third of
-    // the cores and got callers rejected; closing them all at once cost fronts whose callers come back soon.
-    // Few callers all stay, and those that do not say who they are: nothing is known of them.
+    // A thousand callers that each sent rarely filled the connection table with idle connections, which took a third
+    // of the cores and got callers rejected. Closing all connections at once harmed front tiers whose callers return
+    // soon. Few callers all stay connected, as do callers that do not identify themselves: nothing is known of them.
     for (expected_callers, callers, min, max) in [
         (1000.0, 1000, 0, 1000),
         (1000.0, 4, 5000, MAX_IDLE.0),
--- a/crates/admission/tests/decide/calls.rs
+++ b/crates/admission/tests/decide/calls.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn keeps_calls_in_flight_under_the_share_when_many_want_calls() {
-    // A mean over the window let twice the share out for moments, and the dependency fell over.
+    // A limit on the mean over the window allowed twice the share for short times, and the dependency failed.
     let mut server = ServerModel::new(Setup {
         call_share: Some(3.0),
         ..DEFAULT_SETUP
@@ -20,27 +20,27 @@
 
 #[test]
 fn counts_a_call_whose_connection_broke_for_as_long_as_it_may_go_on() {
-    // A broken connection passed for the end of its call, which was made again at once: the dependency held both, and
-    // at the rate of a network that breaks all connections nineteen times its share.
+    // A broken connection was taken for the end of its call, which was repeated at once: the dependency held both
+    // calls, and nineteen times its share when a network broke all connections.
     let mut server = ServerModel::new(Setup {
         call_share: Some(3.0),
         ..DEFAULT_SETUP
     });
     let id = server.arrive(0, Time(0), CLIENT_TIMEOUT, None);
     server.want_call(id);
-    // There is room for another beside it, and for no third.
+    // There is room for one call beside it, but not for a third.
     server.end_call(id, CallOutcome::Interrupted);
     assert_eq!(server.count(State::Calling), 1);
     server.end_call(id, CallOutcome::Interrupted);
     assert_eq!(server.count(State::Calling), 0);
     server.advance(Time(3_000));
-    assert_eq!(server.count(State::Calling), 1, "its place is free again");
+    assert_eq!(server.count(State::Calling), 1, "its slot is free again");
 }
 
 #[test]
 fn keeps_calls_within_a_share_below_one_when_they_hang() {
-    // The mean in flight was looked at as a call began; calls that then hung took it to three times the share. Only
-    // that callers obeyed and calls were abandoned early kept the shared dependency from falling over.
+    // The mean in flight was checked only when a call began, and calls that then hung raised it to three times the
+    // share. The shared dependency survived only because callers followed the advice and calls were abandoned early.
     let (share, linger) = (0.4, Time(2000));
     let mut server = ServerModel::new(Setup {
         call_share: Some(share),
@@ -63,7 +63,7 @@
     );
 }
 
-/// A server with a share of 0.8, whose calls took 25 times their usual time; and these slow calls.
+/// A server with a share of 0.8 whose latest calls took 25 times their usual time, and these slow calls.
 fn server_with_slow_calls() -> (ServerModel, Vec<CallSpan>) {
     let mut server = ServerModel::new(Setup {
         call_share: Some(0.8),
@@ -76,8 +76,8 @@
 
 #[test]
 fn calls_less_often_when_a_shared_dependency_is_slow() {
-    // Three hundred servers with one call each were ten times what the shared database had slots for; its calls took
-    // forty times their time and ten in eleven were abandoned, long after the fault had ended.
+    // Three hundred servers with one call each made ten times as many calls as the shared database had slots. Its calls
+    // took forty times their usual time and ten in eleven were abandoned, long after the fault had ended.
     let (server, slow) = server_with_slow_calls();
     let last = &slow[slow.len() / 2..];
     let times = last.iter().map(|s| (s.ended_at - s.began_at).as_f64());
@@ -91,7 +91,7 @@
 
 #[test]
 fn starts_requests_that_make_no_calls_while_calls_are_queued() {
-    // While calls queued nothing started, not even what never calls.
+    // While calls were queued nothing was started, not even requests that make no calls.
     let (mut server, _) = server_with_slow_calls();
     for id in server.in_state(State::AwaitingCall) {
         server.caller_gone(id);
@@ -107,8 +107,8 @@
 
 #[test]
 fn abandons_a_call_early_when_another_attempt_may_succeed() {
-    // Machines that were cut off, and single calls that were never answered, took all the time that a request
-    // had left. Where many calls to a shared dependency fail, the next would run there beside those abandoned.
+    // Calls to machines that were cut off, and single calls that were never answered, took all the time that a request
+    // had left. Where many calls to a shared dependency fail, the next attempt would run beside the abandoned ones.
     for (share, failed, early) in [
         (None, 4, true),
         (Some(30.0), 0, true),
@@ -154,7 +154,7 @@
 
 #[test]
 fn repeats_a_failed_call_at_once_when_the_request_is_idempotent() {
-    // Its reply was damaged on the way: nothing runs there any more, so its place is free, shared or not.
+    // Its reply was damaged in transit: nothing runs at the dependency any more, so its slot is free, shared or not.
     for (handler, calls) in [(0, 2), (1, 1)] {
         let mut server = ServerModel::new(Setup {
             call_share: Some(6.0),
@@ -172,7 +172,8 @@
 
 #[test]
 fn starts_nothing_while_refused_calls_are_queued() {
-    // A front tier grown past its lower tier ran requests up to calls that were refused, and failed them.
+    // A front tier with more capacity than the tier behind it ran requests up to calls that were refused, and then
+    // failed the requests.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     for _ in 0..20 {
         let id = server.arrive(0, Time(0), CLIENT_TIMEOUT, None);
@@ -200,7 +201,7 @@
 
 #[test]
 fn waits_for_an_unrepeatable_call_while_calls_succeed() {
-    // On a quiet day one answer in eight went out without its call.
+    // At low load one response in eight was sent without its call.
     let mut server = ServerModel::new(Setup {
         call_share: Some(3.0),
         skip_value: 0.5,
@@ -220,7 +221,7 @@
 
 #[test]
 fn leaves_time_for_the_rest_of_the_run_when_a_call_can_be_skipped() {
-    // A slow call was abandoned at the response target, and the response without it came late.
+    // A slow call was abandoned only at the response target, so the response without it was late.
     for (skip_value, leaves_time) in [(0.5, true), (0.0, false)] {
         let mut server = ServerModel::new(Setup {
             call_share: Some(3.0),
@@ -236,7 +237,8 @@
 
 #[test]
 fn skips_a_call_when_it_has_waited_long_for_it() {
-    // With a slow dependency each waited up to a quarter of its time and then came late without the call.
+    // With a slow dependency each request waited for up to a quarter of its time to call, and was then late without
+    // the call.
     let mut server = ServerModel::new(Setup {
         call_share: Some(3.0),
         skip_value: 0.5,
--- a/crates/admission/tests/decide/concurrency.rs
+++ b/crates/admission/tests/decide/concurrency.rs
@@ -1,11 +1,11 @@
-//! How many requests run.
+//! How many requests run at once.
 use crate::server_model::*;
 use crate::workloads::*;
 use cottondyke_admission::*;
 
 #[test]
 fn runs_fewer_requests_while_arrivals_wait_unread() {
-    // A slowed server went on to run requests that it read when nobody waited any more.
+    // A server that had slowed down ran requests that it read only after their clients had stopped waiting.
     for (delay, running) in [(0, CORES), (6500, 1)] {
         let mut server = ServerModel::new(DEFAULT_SETUP);
         arrive(&mut server, 4, Time(delay));
@@ -15,7 +15,7 @@
 
 #[test]
 fn raises_the_limit_when_runs_wait_for_the_disk_and_not_when_the_gauge_is_late() {
-    // The gauge looks back, so a rush on idle cores raised the limit to runs that slow each other.
+    // The gauge reports past utilization, so a burst on idle cores raised the limit until runs slowed each other down.
     for (count, grows) in [(6, false), (40, true)] {
         let mut server = ServerModel::new(DEFAULT_SETUP);
         arrive(&mut server, 6, Time(0));
@@ -30,9 +30,9 @@
 
 #[test]
 fn runs_cancellable_requests_past_the_ceiling_while_others_wait_for_the_disk() {
-    // No more ran than may be on the cores at once: with long waits for the disk fast cores stood half idle.
+    // When no more requests ran than may be on the cores at once, long disk waits left fast cores half idle.
     let ceiling = (CORES as f64 * OVERLOAD_FACTOR * 0.85) as usize;
-    for (handler, runnable_tasks, passes) in [
+    for (handler, runnable_tasks, exceeds_ceiling) in [
         (0, Some(1.0), true),
         (0, None, false),
         (2, Some(1.0), false),
@@ -48,14 +48,14 @@
         let running = server.count(State::Running);
         assert_eq!(
             running > ceiling,
-            passes,
+            exceeds_ceiling,
             "{running} of handler {handler}, runnable {runnable_tasks:?}"
         );
         assert!(
             running >= ceiling,
             "{running} of handler {handler}, runnable {runnable_tasks:?}"
         );
-        // All come back to the cores: at the next sample those past the ceiling are cancelled.
+        // All runs return to the cores: at the next sample those above the ceiling are cancelled.
         server.runnable_tasks = runnable_tasks.map(|_| running as f64);
         tick_repeatedly(&mut server, 1, RESPONSE_TARGET.scaled(0.06), 1.0);
         assert_eq!(
@@ -68,7 +68,7 @@
 
 #[test]
 fn admits_arrivals_while_runs_wait_for_the_disk() {
-    // A run whose cores stood idle was taken for work: two waits for the disk got all arrivals rejected.
+    // Runs that waited for the disk on idle cores were counted as work: two of them got all arrivals rejected.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     for _ in 0..8 {
         run_all(&mut server, &[0, 0], 12, Time(500), 0.1);
@@ -82,7 +82,7 @@
         "an arrival beside two runs at the disk was rejected: {:?}",
         server.rejections
     );
-    // They passed for use of the cores: one handler, its runs once slow, was rejected for good.
+    // Disk waits counted as use of the cores: a handler whose runs had been slow once was rejected permanently.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     for _ in 0..8 {
         run_all(&mut server, &[0; 4], 17, Time(500), 0.2);
@@ -99,8 +99,9 @@
 }
 
 #[test]
-fn counts_overdue_runs_among_what_the_server_survives_and_not_in_the_pool() {
-    // Runs that hang were taken off the books long after their callers gave up: others were put beside them without end.
+fn counts_overdue_runs_against_the_ceiling_and_not_against_the_concurrency_limit() {
+    // Runs that hung were dropped from the count long after their callers had given up, so others were started beside
+    // them without end.
     let ceiling = (CORES as f64 * OVERLOAD_FACTOR * 0.85) as usize;
     let mut server = ServerModel::new(DEFAULT_SETUP);
     for round in 1..=8 {
@@ -114,7 +115,7 @@
             server.run_overdue(id);
         }
     }
-    // Each end makes room for one.
+    // Each run that ends makes room for one.
     let first = server.in_state(State::Running)[0];
     server.end_run(first, RunOutcome::Completed);
     server.arrive(2, Time(0), CLIENT_TIMEOUT, None);
--- a/crates/admission/tests/decide/termination.rs
+++ b/crates/admission/tests/decide/termination.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn admits_requests_again_after_its_work_hung() {
+fn admits_requests_again_after_its_runs_hung() {
     let mut server = ServerModel::new(DEFAULT_SETUP);
     arrive(&mut server, 3, Time(0));
     server.cores_frozen = true;
@@ -39,7 +39,7 @@
 
 #[test]
 fn repeats_cancellations_after_the_cores_were_frozen() {
-    // A cancellation while the cores are frozen has no effect; the run would keep its core for ever.
+    // A cancellation has no effect while the cores are frozen: unless it is repeated, the run keeps its core for ever.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     let id = server.arrive(0, Time(0), CLIENT_TIMEOUT, None);
     server.cores_frozen = true;
@@ -52,7 +52,7 @@
 
 #[test]
 fn terminates_no_run_before_its_target_when_loss_is_high() {
-    // While much was rejected, four of five terminated runs were terminated before their response target.
+    // While many requests were rejected, four in five terminated runs were terminated before their response target.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     for _ in 0..20 {
         let id = server.arrive(0, Time(0), CLIENT_TIMEOUT, None);
