--- a/crates/server/tests/connection_close.rs
+++ b/crates/server/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! Closing a connection while something crosses it. Real connections, with the test in the place of the dispatcher: it says
-//! when what was read is taken, and when the connection is to close, so that every order comes each time.
+//! Closing a connection while data is in transit. The tests use real connections and act as the dispatcher: they decide
+//! when events are processed and when the connection is to close, so that each interleaving is reproducible.
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -17,30 +17,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long the sidecar may take nothing.
+/// How long the sidecar may read nothing before it is cut off.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One connection, its sidecar and its dispatcher; `capacity` is what may wait for the dispatcher.
+/// One connection with its sidecar and the dispatcher's ends of its channels.
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
     sidecar: FakeSidecar,
-    dispatcher: Receiver<Event>,
+    events: Receiver<Event>,
     outgoing: Sender<Outgoing>,
-    /// The connection's handling.
-    ended: Task<()>,
+    /// The task that serves the connection.
+    serving: Task<()>,
 }
 
 impl Rig {
-    /// Runs `test` beside the handling of one connection, whose sidecar takes `buffer` bytes at once.
+    /// Runs `test` concurrently with the task that serves one connection. At most `capacity` events are queued for the
+    /// dispatcher; `receive_buffer` is the size of the sidecar's receive buffer.
     fn run<F: std::future::Future<Output = ()>>(
         capacity: usize,
-        buffer: Option<usize>,
+        receive_buffer: Option<usize>,
         test: impl FnOnce(Rig) -> F,
     ) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-        if let Some(buffer) = buffer {
-            set_socket_recv_buffer_size(&socket, buffer).unwrap();
+        if let Some(size) = receive_buffer {
+            set_socket_recv_buffer_size(&socket, size).unwrap();
         }
         connect(&socket, &listener.local_addr().unwrap()).unwrap();
         let sidecar = FakeSidecar(TcpStream::from(socket));
@@ -52,37 +53,37 @@
             tenants: Vec::new(),
             max_client_timeout_ms: 2_000.0,
         };
-        let (to_dispatcher, dispatcher) = async_channel::bounded(capacity);
+        let (event_sender, events) = async_channel::bounded(capacity);
         let context = ConnectionContext {
             names: Rc::new(names),
             limits: ResourceLimits::new(8, 1 << 20),
-            events: to_dispatcher,
+            events: event_sender,
             write_timeout: WRITE_TIMEOUT,
         };
         let executor = Rc::new(LocalExecutor::new());
-        let ended =
+        let serving =
             executor.spawn(async move { reader::serve(ConnectionId(0), stream, &context).await });
         async_io::block_on(executor.clone().run(async move {
-            let Ok(Event::Opened(_, outgoing)) = dispatcher.recv().await else {
-                panic!("no connection")
+            let Ok(Event::Opened(_, outgoing)) = events.recv().await else {
+                panic!("the connection was not reported as opened")
             };
             test(Rig {
                 executor,
                 sidecar,
-                dispatcher,
+                events,
                 outgoing,
-                ended,
+                serving,
             })
             .await;
         }));
     }
 
-    fn ask(&mut self, stream: u32) {
-        self.sidecar.0.write_all(&asked(stream)).unwrap();
+    fn send_request(&mut self, stream: u32) {
+        self.sidecar.0.write_all(&request_frame(stream)).unwrap();
     }
 
-    /// The reply to a request, as the dispatcher would hand it over.
-    fn reply(&self, stream: u32, body: &[u8]) {
+    /// Queues the response to a request, as the dispatcher does.
+    fn respond(&self, stream: u32, body: &[u8]) {
         let bytes = frame(2, stream, &[vec![1], payload(&[], body)].concat());
         self.outgoing
             .try_send(Outgoing::Response {
@@ -92,31 +93,37 @@
             .unwrap();
     }
 
-    fn close(&self, taken: u64) {
-        self.outgoing.try_send(Outgoing::Close { taken }).unwrap();
+    /// Asks for the close, as the dispatcher does once it has processed so many events.
+    fn close(&self, events_processed: u64) {
+        self.outgoing
+            .try_send(Outgoing::Close {
+                taken: events_processed,
+            })
+            .unwrap();
     }
 
-    /// Lets the connection do all that it can do now.
-    async fn settle(&self) {
+    /// Runs the connection's task until it can make no further progress.
+    async fn run_until_stalled(&self) {
         for _ in 0..100 {
             future::yield_now().await;
             while self.executor.try_tick() {}
         }
     }
 
-    async fn taken(&self) -> u32 {
-        match self.dispatcher.recv().await {
+    /// Takes the next event, which must be a request, and returns its stream.
+    async fn next_request(&self) -> u32 {
+        match self.events.recv().await {
             Ok(Event::Request(_, request)) => request.stream.0,
             _ => panic!("expected a request"),
         }
     }
 
     fn is_open(&self) -> bool {
-        !self.ended.is_finished() && !self.outgoing.is_closed()
+        !self.serving.is_finished() && !self.outgoing.is_closed()
     }
 }
 
-fn asked(stream: u32) -> Vec<u8> {
+fn request_frame(stream: u32) -> Vec<u8> {
     let (id, at) = (format!("{stream:016x}"), unix_ms().to_string());
     let fields = [
         ("class", "greet"),
@@ -128,36 +135,38 @@
     frame(1, stream, &payload(&fields, b""))
 }
 
-/// Guards what crosses a close: a request that was read and is not taken yet, bytes that lie unread while the reader waits
-/// for the dispatcher, half a frame. The connection stays open, and each request is answered on it.
+/// Guards against losing requests that are in transit when the server closes an idle connection: a request that was
+/// read but not yet processed, bytes that are unread because the reader waits for the dispatcher, or half a frame. The
+/// connection must stay open, and each request must be answered on it.
 #[test]
-fn keeps_the_connection_when_a_request_crosses_its_close() {
-    let (one, two, three) = (asked(1), asked(2), asked(3));
+fn keeps_the_connection_open_when_a_request_is_in_transit() {
+    let (one, two, three) = (request_frame(1), request_frame(2), request_frame(3));
     let (half, rest) = one.split_at(one.len() / 2);
-    // What may wait for the dispatcher, what is read, what comes just before the close, inputs taken then, what comes after.
+    // Capacity of the event queue, bytes that are read, bytes sent just before the close, events processed by then,
+    // bytes sent after the close, number of requests.
     let rows = [
         (8, one.clone(), vec![], 0, vec![], 1),
-        // The first waits at the dispatcher, the second for a place there; no more is read meanwhile.
+        // The first request fills the event queue and the second waits for room, so the third stays unread.
         (1, [one.clone(), two].concat(), three, 2, vec![], 3),
         (8, half.to_vec(), vec![], 0, rest.to_vec(), 1),
     ];
-    for (capacity, read, before, taken, after, requests) in rows {
+    for (capacity, read, before, processed, after, requests) in rows {
         Rig::run(capacity, None, |mut rig| async move {
             rig.sidecar.0.write_all(&read).unwrap();
-            while rig.dispatcher.is_empty() && after.is_empty() {
+            while rig.events.is_empty() && after.is_empty() {
                 future::yield_now().await;
             }
-            rig.settle().await;
+            rig.run_until_stalled().await;
             rig.sidecar.0.write_all(&before).unwrap();
-            rig.close(taken);
-            rig.settle().await;
+            rig.close(processed);
+            rig.run_until_stalled().await;
             assert!(rig.is_open());
             rig.sidecar.0.write_all(&after).unwrap();
             for stream in 1..=requests {
-                assert_eq!(rig.taken().await, stream);
-                rig.reply(stream, &[stream as u8]);
+                assert_eq!(rig.next_request().await, stream);
+                rig.respond(stream, &[stream as u8]);
             }
-            rig.settle().await;
+            rig.run_until_stalled().await;
             for stream in 1..=requests {
                 assert_eq!(rig.sidecar.receive().unwrap().body, [stream as u8]);
             }
@@ -165,23 +174,24 @@
     }
 }
 
-/// Guards answers that the sidecar has not taken yet: what it sends after the close is read and handed to nobody, and
-/// does not reset the connection under them.
+/// Guards against a reset that destroys responses which the sidecar has not read yet. The kernel resets a connection
+/// that is closed with unread input, so what the sidecar sends after the close must be read and discarded.
 #[test]
 fn discards_what_comes_after_a_close_without_resetting_responses() {
     Rig::run(8, Some(4_096), |mut rig| async move {
         let body = vec![7; 200_000];
-        rig.ask(1);
-        assert_eq!(rig.taken().await, 1);
-        rig.reply(1, &body);
+        rig.send_request(1);
+        assert_eq!(rig.next_request().await, 1);
+        rig.respond(1, &body);
         rig.close(1);
-        // Written whole to the system, which holds most of it back for a sidecar that takes little.
+        // Until the response is written to the kernel, which holds most of it back because the sidecar's receive
+        // buffer is small.
         while !rig.outgoing.is_closed() {
             future::yield_now().await;
         }
-        rig.settle().await;
-        rig.ask(2);
-        rig.settle().await;
+        rig.run_until_stalled().await;
+        rig.send_request(2);
+        rig.run_until_stalled().await;
         assert_eq!(rig.sidecar.receive().unwrap().body, body);
         let mut rest = Vec::new();
         assert_eq!(
@@ -189,17 +199,17 @@
             Ok::<_, ErrorKind>(0)
         );
         drop(rig.sidecar);
-        rig.ended.await;
+        rig.serving.await;
         assert!(
-            rig.dispatcher.try_recv().is_err(),
-            "nothing was read after the half-close and sent on"
+            rig.events.try_recv().is_err(),
+            "input after the half-close was passed to the dispatcher"
         );
     });
 }
 
-/// Guards the other way round: a connection on which nothing crosses is closed at once, in order.
+/// The counterpart of the tests above: an idle connection without data in transit is closed at once, without a reset.
 #[test]
-fn closes_the_connection_when_it_is_quiet() {
+fn closes_the_connection_when_nothing_is_in_transit() {
     Rig::run(8, None, |mut rig| async move {
         rig.close(0);
         while !rig.outgoing.is_closed() {
@@ -207,29 +217,30 @@
         }
         assert_eq!(rig.sidecar.0.read(&mut [0]).unwrap(), 0);
         drop(rig.sidecar);
-        rig.ended.await;
+        rig.serving.await;
     });
 }
 
-/// Guards slow links: a sidecar that goes on taking what is written to it is not cut off, however long all takes.
+/// Guards sidecars on slow links: a sidecar that keeps reading is not cut off, even if the whole response takes longer
+/// than the write timeout.
 #[test]
 fn keeps_the_connection_when_the_sidecar_reads_slowly() {
     Rig::run(8, Some(1 << 17), |mut rig| async move {
-        rig.ask(1);
-        assert_eq!(rig.taken().await, 1);
+        rig.send_request(1);
+        assert_eq!(rig.next_request().await, 1);
         let body = vec![7; 16 << 20];
-        let whole = frame(2, 1, &[vec![1], payload(&[], &body)].concat()).len();
-        rig.reply(1, &body);
-        let (start, mut taken, mut piece) = (Instant::now(), 0, vec![0; 1 << 19]);
+        let total = frame(2, 1, &[vec![1], payload(&[], &body)].concat()).len();
+        rig.respond(1, &body);
+        let (start, mut received, mut chunk) = (Instant::now(), 0, vec![0; 1 << 19]);
         let sidecar = Async::new(rig.sidecar.0.try_clone().unwrap()).unwrap();
-        while taken < whole {
-            let least = piece.len().min(whole - taken);
+        while received < total {
+            let count = chunk.len().min(total - received);
             (&mut &sidecar)
-                .read_exact(&mut piece[..least])
+                .read_exact(&mut chunk[..count])
                 .await
-                .expect("it is not cut off");
-            taken += least;
-            // A piece at a time, until all of it took longer than the write_timeout.
+                .expect("the sidecar was cut off");
+            received += count;
+            // Reads slowly until the transfer has taken longer than the write timeout.
             if start.elapsed() < WRITE_TIMEOUT * 2 {
                 Timer::after(WRITE_TIMEOUT / 15).await;
             }
@@ -238,21 +249,25 @@
     });
 }
 
-/// Guards a sidecar that has as many requests open as it may: with the first answer that it has it may send the next,
-/// though the server still writes the others of the batch.
+/// Guards a sidecar at its limit of requests in flight: as soon as it has received one response it may send the next
+/// request, although the server is still writing the other responses of the batch.
 #[test]
 fn accepts_the_next_request_when_a_response_is_being_written() {
     Rig::run(64, Some(4_096), |mut rig| async move {
-        (1..=32).for_each(|stream| rig.ask(stream));
+        (1..=32).for_each(|stream| rig.send_request(stream));
         for stream in 1..=32 {
-            assert_eq!(rig.taken().await, stream);
+            assert_eq!(rig.next_request().await, stream);
         }
-        rig.reply(1, b"first");
-        // More than the system takes from the writer at once.
-        rig.reply(2, &vec![7; 16 << 20]);
-        rig.settle().await;
+        rig.respond(1, b"first");
+        // More than the kernel accepts from the writer at once.
+        rig.respond(2, &vec![7; 16 << 20]);
+        rig.run_until_stalled().await;
         assert_eq!(rig.sidecar.receive().unwrap().body, b"first");
-        rig.ask(33);
-        assert_eq!(rig.taken().await, 33, "it is no surplus");
+        rig.send_request(33);
+        assert_eq!(
+            rig.next_request().await,
+            33,
+            "the request was counted as excess"
+        );
     });
 }
--- a/crates/server/tests/connection_table.rs
+++ b/crates/server/tests/connection_table.rs
@@ -1,4 +1,4 @@
-//! Which connections are evicted, and when.
+//! Tests of which connections are evicted, and when.
 use cottondyke::connection::table::ConnectionTable;
 use cottondyke::event::{ConnectionId, Outgoing};
 use cottondyke::protocol::sidecar::{Response, StreamId};
@@ -9,42 +9,47 @@
     ConnectionCount { open, target }
 }
 
-/// Guards sidecars against connections that send nothing: of those that must go they are first, the young ones not.
+/// Guards active sidecars against connections that send nothing: those are evicted first, except for ones that were
+/// opened only just now.
 #[test]
 fn evicts_silent_connections_first() {
     let mut connections = ConnectionTable::default();
-    let conns: Vec<_> = (0..5).map(|_| async_channel::bounded(4)).collect();
+    let channels: Vec<_> = (0..5).map(|_| async_channel::bounded(4)).collect();
     for (n, at) in [(0, 0), (1, 10), (2, 20), (3, 5_000), (4, 5_000)] {
-        connections.opened(Time(at), ConnectionId(n), conns[n as usize].0.clone());
+        connections.opened(Time(at), ConnectionId(n), channels[n as usize].0.clone());
     }
     connections.record_request(Time(10), ConnectionId(0));
     connections.send(Time(10), ConnectionId(0), &Response::Failed(StreamId(1)));
-    // What each connection was handed since the last look: replies, and whether it is to close.
-    let handed = || -> Vec<(usize, bool)> {
-        let of = |outgoing: &async_channel::Receiver<Outgoing>| {
+    // What was sent to each connection's writer since the last call: the number of responses, and whether to close.
+    let sent = || -> Vec<(usize, bool)> {
+        let summarize = |outgoing: &async_channel::Receiver<Outgoing>| {
             let all: Vec<_> = std::iter::from_fn(|| outgoing.try_recv().ok()).collect();
             let closes = all
                 .iter()
-                .filter(|p| matches!(p, Outgoing::Close { .. }))
+                .filter(|message| matches!(message, Outgoing::Close { .. }))
                 .count();
             (all.len() - closes, closes > 0)
         };
-        conns.iter().map(|(_, outgoing)| of(outgoing)).collect()
+        channels
+            .iter()
+            .map(|(_, outgoing)| summarize(outgoing))
+            .collect()
     };
     connections.evict_excess(Time(5_500), count(5, 3));
     assert_eq!(
-        handed(),
+        sent(),
         [(1, false), (1, true), (1, true), (0, false), (0, false)]
     );
-    // Closing ones count as going already; the idle one is told, and closed after what may cross.
+    // Closing connections count as evicted already. The idle one is sent go-away, and closed after the delay for
+    // requests in transit.
     connections.evict_excess(Time(5_500), count(5, 3));
-    assert_eq!(handed(), [(0, false); 5]);
+    assert_eq!(sent(), [(0, false); 5]);
     (1..=2).for_each(|n| connections.closed(ConnectionId(n)));
     connections.evict_excess(Time(5_600), count(3, 2));
-    assert_eq!((connections.count(), handed()[0]), (3, (1, false)));
+    assert_eq!((connections.count(), sent()[0]), (3, (1, false)));
     connections.evict_excess(Time(7_000), count(3, 2));
     assert_eq!(
-        handed(),
+        sent(),
         [(0, true), (0, false), (0, false), (0, false), (0, false)]
     );
 }
--- a/crates/server/tests/listener.rs
+++ b/crates/server/tests/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting, without the rest of the server.
+//! Tests of accepting connections, without the rest of the server.
 use async_executor::LocalExecutor;
 use async_io::Async;
 use cottondyke::connection::reader::ConnectionContext;
@@ -10,7 +10,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Guards the server against a panic in one connection's handling: it ends there.
+/// Guards the server against a panic in the handler of one connection: only that connection ends.
 #[test]
 fn ends_only_its_connection_when_a_handler_panics() {
     future::block_on(contain_panic(ConnectionId(1), async {
@@ -18,8 +18,9 @@
     }));
 }
 
-/// Guards connections that the machine had accepted when the server stopped listening: looking at the end
-/// again after it was seen panicked here, and one past the limit was dropped with what it had sent.
+/// Guards connections that are in the listen queue when the server stops listening. Two faults occurred here: polling
+/// the stop future again after it had completed panicked, and a connection past the connection limit was dropped
+/// together with what it had sent.
 #[test]
 fn accepts_the_backlog_when_listening_stops() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
--- a/crates/server/tests/protocol.rs
+++ b/crates/server/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocols' decoders, fed every split and fuzzed bytes; and their encoders.
+//! Tests of the protocols' decoders, with input split at every position and with fuzzed input, and of their encoders.
 
 use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, EngineStart};
 use cottondyke::protocol::http;
@@ -12,7 +12,7 @@
 use std::fmt::Debug;
 use std::rc::Rc;
 
-/// What the engine says of itself when it was starting.
+/// The hello of an engine that was starting up.
 const COLD_HELLO: EngineMessage = EngineMessage::Hello {
     start: EngineStart::Cold,
     age_ms: 12.5,
@@ -27,78 +27,82 @@
     })
 }
 
-/// What each protocol's decoder makes of bytes that come in pieces.
-trait Parser: Sized {
-    type Out: Debug + PartialEq;
-    fn fresh() -> Self;
-    fn take(&mut self, bytes: &[u8]) -> Vec<Result<Self::Out, ()>>;
+/// The decoder of any of the protocols, fed with bytes in pieces.
+trait PieceDecoder: Sized {
+    type Message: Debug + PartialEq;
+    fn new_decoder() -> Self;
+    fn decode(&mut self, bytes: &[u8]) -> Vec<Result<Self::Message, ()>>;
 
-    fn all(pieces: &[&[u8]]) -> Vec<Result<Self::Out, ()>> {
-        let mut parser = Self::fresh();
-        let mut out = Vec::new();
+    fn decode_pieces(pieces: &[&[u8]]) -> Vec<Result<Self::Message, ()>> {
+        let mut decoder = Self::new_decoder();
+        let mut messages = Vec::new();
         for piece in pieces {
-            out.extend(parser.take(piece));
-            if out.last().is_some_and(Result::is_err) {
+            messages.extend(decoder.decode(piece));
+            if messages.last().is_some_and(Result::is_err) {
                 break;
             }
         }
-        out
+        messages
     }
 }
 
-macro_rules! parser {
-    ($decoder:ty, $fresh:expr, $out:ty, $next:ident) => {
-        impl Parser for $decoder {
-            type Out = $out;
-            fn fresh() -> Self {
-                $fresh
+macro_rules! piece_decoder {
+    ($decoder:ty, $new:expr, $message:ty, $next:ident) => {
+        impl PieceDecoder for $decoder {
+            type Message = $message;
+            fn new_decoder() -> Self {
+                $new
             }
-            fn take(&mut self, bytes: &[u8]) -> Vec<Result<Self::Out, ()>> {
+            fn decode(&mut self, bytes: &[u8]) -> Vec<Result<Self::Message, ()>> {
                 self.feed(bytes);
-                let mut out = Vec::new();
-                while out.last().is_none_or(Result::is_ok) {
+                let mut messages = Vec::new();
+                while messages.last().is_none_or(Result::is_ok) {
                     match self.$next() {
-                        Ok(Some(one)) => out.push(Ok(one)),
+                        Ok(Some(message)) => messages.push(Ok(message)),
                         Ok(None) => break,
-                        Err(_) => out.push(Err(())),
+                        Err(_) => messages.push(Err(())),
                     }
                 }
-                out
+                messages
             }
         }
     };
 }
 
-parser!(
+piece_decoder!(
     sidecar::Decoder,
     sidecar::Decoder::new(names()),
     Frame,
     next_frame
 );
-parser!(
+piece_decoder!(
     engine::Decoder,
     engine::Decoder::default(),
     EngineMessage,
     next_message
 );
-parser!(
+piece_decoder!(
     http::Decoder,
     http::Decoder::default(),
     http::Response,
     next_response
 );
 
-/// The same comes of the bytes whole, in two pieces at every place, and one by one.
-fn splits<P: Parser>(bytes: &[u8]) -> Vec<Result<P::Out, ()>> {
-    let whole = P::all(&[bytes]);
+/// Decodes `bytes` at once and checks that the result is the same for two pieces split at any position and for single
+/// bytes.
+fn decode_with_all_splits<P: PieceDecoder>(bytes: &[u8]) -> Vec<Result<P::Message, ()>> {
+    let whole = P::decode_pieces(&[bytes]);
     for at in 0..=bytes.len() {
         assert_eq!(
-            P::all(&[&bytes[..at], &bytes[at..]]),
+            P::decode_pieces(&[&bytes[..at], &bytes[at..]]),
             whole,
             "split at {at}"
         );
     }
-    assert_eq!(P::all(&bytes.chunks(1).collect::<Vec<_>>()), whole);
+    assert_eq!(
+        P::decode_pieces(&bytes.chunks(1).collect::<Vec<_>>()),
+        whole
+    );
     whole
 }
 
@@ -119,7 +123,7 @@
     let mut bytes = frame(1, 1, &payload(&FIELDS, b"\x00\r\n\xff"));
     bytes.extend(frame(4, 7, &payload(&[("deep", "1")], b"")));
     bytes.extend(frame(1, 2, &payload(&FIELDS[1..], b"")));
-    let out = splits::<sidecar::Decoder>(&bytes);
+    let out = decode_with_all_splits::<sidecar::Decoder>(&bytes);
     let Ok(Frame::Request(req)) = &out[0] else {
         panic!("{out:?}")
     };
@@ -152,23 +156,26 @@
     );
 }
 
-/// Guards links between instances: words come through any split; a length or a tag that no word has ends the link
-/// before anything is kept for it.
+/// Guards connections between instances: messages are decoded however they are split, and an invalid length, kind or
+/// stream is an error before any memory is reserved for the frame.
 #[test]
 fn decodes_the_same_peer_messages_when_split_anywhere() {
     use cottondyke::protocol::peers::{encode, Decoder};
-    let words = [vec![], vec![7; 1], vec![9; 3_000]];
-    let bytes: Vec<u8> = words.iter().flat_map(|word| encode(word)).collect();
-    for cut in [1, 2, 7, 1_000, bytes.len()] {
+    let messages = [vec![], vec![7; 1], vec![9; 3_000]];
+    let bytes: Vec<u8> = messages
+        .iter()
+        .flat_map(|message| encode(message))
+        .collect();
+    for chunk_size in [1, 2, 7, 1_000, bytes.len()] {
         let mut decoder = Decoder::default();
-        let mut heard = Vec::new();
-        for piece in bytes.chunks(cut) {
+        let mut decoded = Vec::new();
+        for piece in bytes.chunks(chunk_size) {
             decoder.feed(piece);
-            while let Some(word) = decoder.next_message().unwrap() {
-                heard.push(word);
+            while let Some(message) = decoder.next_message().unwrap() {
+                decoded.push(message);
             }
         }
-        assert_eq!(heard, words, "cut every {cut}");
+        assert_eq!(decoded, messages, "chunks of {chunk_size} bytes");
     }
     for bad in [
         &[0, 0, 0, 4][..],
@@ -182,38 +189,47 @@
     }
 }
 
-/// Guards against waiting for a frame that cannot come: its length is judged from the first four bytes.
+/// Guards against waiting for a frame that can never be complete: its length is checked as soon as the length field has
+/// been read.
 #[test]
 fn refuses_a_length_out_of_bounds_before_the_frame_comes() {
-    for (length, fits) in [
+    for (length, is_valid) in [
         (4u32, false),
         (5, true),
         (262_144, true),
         (262_145, false),
         (u32::MAX, false),
     ] {
-        let out = sidecar::Decoder::all(&[&length.to_be_bytes()]);
-        assert_eq!(out.is_empty(), fits, "{length}");
+        let out = sidecar::Decoder::decode_pieces(&[&length.to_be_bytes()]);
+        assert_eq!(out.is_empty(), is_valid, "{length}");
     }
 }
 
-/// Guards streams against a second use, in whatever order their numbers come, and the notes on them against growth.
+/// Guards against a stream number that is used twice, in whatever order the numbers come, and against unbounded memory
+/// for used numbers: past a limit, the lowest unused numbers count as used.
 #[test]
 fn refuses_a_stream_that_is_used_twice() {
-    let used = |numbers: &[u32]| {
+    let is_accepted = |numbers: &[u32]| {
         let frames: Vec<_> = numbers
             .iter()
             .map(|n| frame(1, *n, &payload(&[], b"")))
             .collect();
-        sidecar::Decoder::all(&frames.iter().map(Vec::as_slice).collect::<Vec<_>>())
+        sidecar::Decoder::decode_pieces(&frames.iter().map(Vec::as_slice).collect::<Vec<_>>())
             .last()
             .unwrap()
             .is_ok()
     };
-    assert!(used(&[1, 2, 3]) && used(&[2, 1, 5, 4, 3]) && used(&[1, u32::MAX]));
-    assert!(!used(&[1, 1]) && !used(&[3, 1, 3]) && !used(&[0]) && !used(&[5, 6, 2, 1, 2]));
+    assert!(
+        is_accepted(&[1, 2, 3]) && is_accepted(&[2, 1, 5, 4, 3]) && is_accepted(&[1, u32::MAX])
+    );
+    assert!(
+        !is_accepted(&[1, 1])
+            && !is_accepted(&[3, 1, 3])
+            && !is_accepted(&[0])
+            && !is_accepted(&[5, 6, 2, 1, 2])
+    );
     let odd: Vec<u32> = (0..5_000).map(|n| n * 2 + 1).collect();
-    assert!(used(&odd) && !used(&[&odd[..], &[3]].concat()));
+    assert!(is_accepted(&odd) && !is_accepted(&[&odd[..], &[3]].concat()));
 }
 
 #[test]
@@ -221,7 +237,7 @@
     let bytes = b"HELLO starting 12.5\r\nNOTE 1 odd DONE 3\r\nNEED 2 9b1f03aa5c7e2d41 4\r\n\r\n\r\n\r\n\
         DONE 3 9b1f03aa5c7e2d41 broken_off 8 0\r\n\r\nSTATS 7 0.5 1 3\r\nTESTED 8 fault\r\nNO RUN zz\r\nNEWS 1\r\n";
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
-    let out: Vec<_> = splits::<engine::Decoder>(bytes)
+    let out: Vec<_> = decode_with_all_splits::<engine::Decoder>(bytes)
         .into_iter()
         .map(Result::unwrap)
         .collect();
@@ -262,7 +278,7 @@
         "HELLO a -1\r\n",
     ] {
         assert_eq!(
-            splits::<engine::Decoder>(bad.as_bytes()).last(),
+            decode_with_all_splits::<engine::Decoder>(bad.as_bytes()).last(),
             Some(&Err(())),
             "{bad}"
         );
@@ -292,20 +308,24 @@
 
 #[test]
 fn decodes_the_same_http_responses_when_split_anywhere() {
-    let ok = |bytes: &str| splits::<http::Decoder>(bytes.as_bytes()).remove(0).unwrap();
+    let ok = |bytes: &str| {
+        decode_with_all_splits::<http::Decoder>(bytes.as_bytes())
+            .remove(0)
+            .unwrap()
+    };
     let plain =
         ok("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-LENGTH: 4\r\n\r\n\r\n\r\n");
     assert_eq!(
         (plain.status, plain.body.as_slice()),
         (200, &b"\r\n\r\n"[..])
     );
-    let away = ok("HTTP/1.1 503 No\r\nOp-Not-Begun: 1\r\nContent-Length: 9\r\n\r\n");
+    let unavailable = ok("HTTP/1.1 503 No\r\nOp-Not-Begun: 1\r\nContent-Length: 9\r\n\r\n");
     assert!(
-        away.not_executed && away.status == 503,
-        "only the body of a 200 is waited for"
+        unavailable.not_executed && unavailable.status == 503,
+        "only the body of a 200 is decoded"
     );
-    let chunks = ok("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nab\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n");
-    assert_eq!(chunks.body, b"ab0123456789");
+    let chunked = ok("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b\r\nab\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n");
+    assert_eq!(chunked.body, b"ab0123456789");
     assert_eq!(ok("HTTP/1.1 204 No Content\r\n\r\n").body, b"");
     let huge = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
     for bad in [
@@ -317,16 +337,16 @@
         huge,
     ] {
         assert_eq!(
-            splits::<http::Decoder>(bad.as_bytes()).last(),
+            decode_with_all_splits::<http::Decoder>(bad.as_bytes()).last(),
             Some(&Err(())),
             "{bad}"
         );
     }
 }
 
-/// Bytes near to real messages: one with some places changed.
-fn corrupted(good: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
-    let mut bytes = good.to_vec();
+/// A valid message with some bytes changed.
+fn corrupted(valid: &[u8], changes: &[(usize, u8)]) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     for (at, byte) in changes {
         let at = at % bytes.len();
         bytes[at] = *byte;
@@ -334,37 +354,43 @@
     bytes
 }
 
-fn steady<P: Parser>(bytes: &[u8], cut: usize) -> TestResult {
+/// Checks that splitting `bytes` at one position does not change what is decoded.
+fn is_unchanged_by_split<P: PieceDecoder>(bytes: &[u8], cut: usize) -> TestResult {
     let cut = cut % (bytes.len() + 1);
-    TestResult::from_bool(P::all(&[bytes]) == P::all(&[&bytes[..cut], &bytes[cut..]]))
+    TestResult::from_bool(
+        P::decode_pieces(&[bytes]) == P::decode_pieces(&[&bytes[..cut], &bytes[cut..]]),
+    )
 }
 
 quickcheck! {
-    /// Nothing panics on any bytes, and a split changes nothing.
+    /// No input makes a decoder panic, and no split changes the result.
     fn decodes_the_same_when_any_bytes_are_split(bytes: Vec<u8>, cut: usize) -> bool {
-        ![steady::<sidecar::Decoder>(&bytes, cut), steady::<engine::Decoder>(&bytes, cut),
-            steady::<http::Decoder>(&bytes, cut)].iter().any(TestResult::is_failure)
+        ![is_unchanged_by_split::<sidecar::Decoder>(&bytes, cut),
+            is_unchanged_by_split::<engine::Decoder>(&bytes, cut),
+            is_unchanged_by_split::<http::Decoder>(&bytes, cut)].iter().any(TestResult::is_failure)
     }
 
     fn decodes_the_same_when_corrupt_frames_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
-        steady::<sidecar::Decoder>(&corrupted(&frame(1, 1, &payload(&FIELDS, b"body")).repeat(2), &changes), cut)
+        is_unchanged_by_split::<sidecar::Decoder>(
+            &corrupted(&frame(1, 1, &payload(&FIELDS, b"body")).repeat(2), &changes), cut)
     }
 
     fn decodes_the_same_when_corrupt_engine_messages_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
-        let good = b"NEED 2 9b1f03aa5c7e2d41 4\r\nbody\r\nDONE 3 9b1f03aa5c7e2d41 fine 8 2\r\nok\r\n";
-        steady::<engine::Decoder>(&corrupted(good, &changes), cut)
+        let valid = b"NEED 2 9b1f03aa5c7e2d41 4\r\nbody\r\nDONE 3 9b1f03aa5c7e2d41 fine 8 2\r\nok\r\n";
+        is_unchanged_by_split::<engine::Decoder>(&corrupted(valid, &changes), cut)
     }
 
     fn decodes_the_same_when_corrupt_http_responses_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
-        let good = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        steady::<http::Decoder>(&corrupted(good, &changes), cut)
+        let valid = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
+        is_unchanged_by_split::<http::Decoder>(&corrupted(valid, &changes), cut)
     }
 
-    /// What the server says can be read back by the sidecar's rules, whatever the body.
-    fn encodes_complete_frames_whatever_the_body(stream: u32, body: Vec<u8>, say: Option<u16>) -> bool {
+    /// Encoded responses equal the frames of the test's own sidecar codec, whatever the body.
+    fn encodes_complete_frames_whatever_the_body(stream: u32, body: Vec<u8>, advice: Option<u16>) -> bool {
         let mut bytes = Vec::new();
-        Response::Completed(StreamId(stream), RunOutput::complete(body.clone())).encode(say.map(f64::from), &mut bytes);
-        let fields = say.map(|s| ("say", s.to_string()));
+        Response::Completed(StreamId(stream), RunOutput::complete(body.clone()))
+            .encode(advice.map(f64::from), &mut bytes);
+        let fields = advice.map(|advice| ("say", advice.to_string()));
         let fields: Vec<_> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
         bytes == frame(2, stream, &[vec![1], payload(&fields, &body)].concat())
     }
--- a/crates/server/tests/serve/connections.rs
+++ b/crates/server/tests/serve/connections.rs
@@ -1,22 +1,23 @@
-//! Connections of sidecars that are slow, rude, idle or too many.
+//! Sidecar connections that are slow, malformed, idle or too numerous.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::io::Write;
 
-/// Guards the server's other connections: what cannot be decoded is told and closed, after the open requests.
+/// Guards the server's other connections against one that sends a malformed frame: the sidecar is sent the error, and
+/// the connection is closed once the requests in flight on it are answered.
 #[test]
 fn closes_a_connection_after_a_malformed_frame_once_requests_are_answered() {
     let rig = Rig::start();
     let (mut link, _other) = rig.ready();
-    let bad = [
+    let malformed = [
         frame(1, 0, &payload(&[], b"")),
         frame(77, 9, b""),
         vec![0, 0, 0, 4, 1, 0, 0, 0],
         vec![0, 4, 0, 1, 1, 0, 0, 0],
         frame(1, 1, &payload(&[], b"")),
     ];
-    for (n, bytes) in bad.iter().enumerate() {
+    for (n, bytes) in malformed.iter().enumerate() {
         let mut sidecar = rig.sidecar();
         let id = id(n as u64 + 50);
         let at = unix_ms().to_string();
@@ -30,26 +31,27 @@
         sidecar.send(1, 1, &fields, b"").unwrap();
         let run = expect_start(&mut link);
         sidecar.0.write_all(bytes).unwrap();
-        let told = sidecar.receive().unwrap();
-        assert_eq!((told.kind, told.stream), (2, 0), "{bytes:?}");
+        let error = sidecar.receive().unwrap();
+        assert_eq!((error.kind, error.stream), (2, 0), "{bytes:?}");
         link.send_line_with_body(&format!("DONE {} {run} fine 1", n + 1), b"r")
             .unwrap();
         assert_eq!(sidecar.receive().unwrap().body, b"r");
-        assert!(sidecar.receive().is_err(), "then it is closed");
+        assert!(sidecar.receive().is_err(), "the connection was not closed");
     }
 }
 
-/// Guards the dispatcher against a connection that is gone: its run is settled, with nobody to tell.
+/// Guards the dispatcher against a connection that is lost while its request runs: the run's result is discarded and
+/// other connections are served.
 #[test]
 fn serves_others_when_a_connection_is_reset() {
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
-    let mut gone = rig.sidecar();
-    send_request(&mut gone, 1, READ, &[], b"");
+    let mut lost = rig.sidecar();
+    send_request(&mut lost, 1, READ, &[], b"");
     let run = expect_start(&mut link);
-    // Half a frame, then the end.
-    gone.0.write_all(&[0, 0]).unwrap();
-    drop(gone);
+    // An incomplete frame, then the end of the connection.
+    lost.0.write_all(&[0, 0]).unwrap();
+    drop(lost);
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
         .unwrap();
     send_request(&mut other, 2, READ, &[], b"");
@@ -57,33 +59,35 @@
     assert_eq!(other.receive().unwrap().body, b"fine");
 }
 
-/// Guards against a sidecar that asks and never reads: it is cut off, the others are served.
+/// Guards against a sidecar that sends and never reads: its connection is dropped, and others are served.
 #[test]
 fn drops_the_connection_of_a_sidecar_that_reads_nothing() {
     let rig = Rig::start();
     let (mut link, mut other) = rig.ready();
-    let mut rude = rig.sidecar();
-    rude.0
+    let mut stalled = rig.sidecar();
+    stalled
+        .0
         .set_write_timeout(Some(std::time::Duration::from_secs(1)))
         .unwrap();
     let checks: Vec<u8> = (0..4_096)
         .flat_map(|_| frame(4, 0, &payload(&[], b"")))
         .collect();
-    while rude.0.write_all(&checks).is_ok() {}
+    while stalled.0.write_all(&checks).is_ok() {}
     rig.wait_for_log("sidecar reads too slowly");
     expect_served(&mut link, &mut other, 1, READ, &[]);
 }
 
-/// Guards memory: a length is no reason to take room, and frames in part have one bound for all.
+/// Guards memory: none is reserved for a frame's announced length, and the incomplete frames of all connections share
+/// one limit.
 #[test]
 fn takes_no_memory_for_frames_that_are_only_announced() {
     let rig = Rig::start();
     let (_link, mut other) = rig.ready();
-    let half: Vec<u8> = [0, 4, 0, 0].into_iter().chain([1; 200_000]).collect();
+    let incomplete: Vec<u8> = [0, 4, 0, 0].into_iter().chain([1; 200_000]).collect();
     let mut many: Vec<_> = (0..200).map(|_| rig.sidecar()).collect();
     assert!(
         many.iter_mut()
-            .filter_map(|sidecar| sidecar.0.write_all(&half).ok())
+            .filter_map(|sidecar| sidecar.0.write_all(&incomplete).ok())
             .count()
             > 100
     );
@@ -91,8 +95,8 @@
     assert_eq!(check_health(&mut other), 1);
 }
 
-/// Guards sidecars against connections that hold on: near the budget of descriptors the longest idle is told and
-/// closed, what has a request open stays, and accepting does not stop.
+/// Guards against idle connections that keep new ones out: near the limit on descriptors the longest idle connection is
+/// sent go-away and closed, one with a request in flight stays open, and new connections are accepted.
 #[test]
 fn evicts_the_longest_idle_connection_when_full() {
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(100));
@@ -111,64 +115,67 @@
     assert_eq!(busy.receive().unwrap().body, b"kept");
 }
 
-/// Guards descriptors against a connection that sends nothing, or stops within a frame: it is told and closed.
+/// Guards descriptors against a connection that sends nothing or stops in the middle of a frame: it is sent an error
+/// and closed.
 #[test]
 fn closes_a_connection_without_a_complete_frame_in_time() {
     let rig = Rig::start();
-    let (_link, mut good) = rig.ready();
-    let (mut silent, mut half) = (rig.sidecar(), rig.sidecar());
-    assert_eq!(check_health(&mut half), 1);
-    half.0.write_all(&frame(4, 0, b"\0")[..7]).unwrap();
-    for rude in [&mut silent, &mut half] {
-        let told = rude.receive().unwrap();
-        assert_eq!((told.kind, told.stream), (2, 0));
-        assert!(rude.receive().is_err());
+    let (_link, mut other) = rig.ready();
+    let (mut silent, mut incomplete) = (rig.sidecar(), rig.sidecar());
+    assert_eq!(check_health(&mut incomplete), 1);
+    incomplete.0.write_all(&frame(4, 0, b"\0")[..7]).unwrap();
+    for sidecar in [&mut silent, &mut incomplete] {
+        let error = sidecar.receive().unwrap();
+        assert_eq!((error.kind, error.stream), (2, 0));
+        assert!(sidecar.receive().is_err());
     }
     assert_eq!(
-        check_health(&mut good),
+        check_health(&mut other),
         1,
-        "idle between frames is no fault"
+        "a connection that is idle between frames was closed"
     );
 }
 
-/// Guards the word why: what a peer sends at full speed after it is read and thrown away, not reset.
+/// Guards the error frame that is sent before a connection is closed: what a peer keeps sending at full speed is read
+/// and discarded, because closing with unread input would reset the connection and destroy the frame.
 #[test]
-fn tells_why_when_a_message_does_not_end() {
+fn sends_the_error_when_the_peer_keeps_sending_an_oversized_frame() {
     let rig = Rig::start();
     let (_link, _other) = rig.ready();
-    let mut rude = rig.sidecar();
+    let mut sidecar = rig.sidecar();
     let body = vec![7; 1 << 20];
-    rude.0.write_all(&[3, 0x93, 0x87, 0]).unwrap();
-    (0..60).for_each(|_| rude.0.write_all(&body).unwrap());
-    let told = rude.receive().unwrap();
-    assert_eq!((told.kind, told.stream), (2, 0));
-    assert!(rude.receive().is_err());
+    sidecar.0.write_all(&[3, 0x93, 0x87, 0]).unwrap();
+    (0..60).for_each(|_| sidecar.0.write_all(&body).unwrap());
+    let error = sidecar.receive().unwrap();
+    assert_eq!((error.kind, error.stream), (2, 0));
+    assert!(sidecar.receive().is_err());
 }
 
-/// Guards capacity: the run of a request whose connection was reset is stopped.
+/// Guards capacity: the run of a request whose connection was reset is cancelled.
 #[test]
 fn cancels_runs_when_their_connection_is_lost() {
     let rig = Rig::start();
-    let (mut link, mut gone) = rig.ready();
-    send_request(&mut gone, 1, READ, &[], b"");
+    let (mut link, mut lost) = rig.ready();
+    send_request(&mut lost, 1, READ, &[], b"");
     let run = expect_start(&mut link);
-    // Closing with an answer unread resets the connection.
-    gone.send(4, 0, &[], b"").unwrap();
-    while gone.0.peek(&mut [0]).unwrap() == 0 {}
-    drop(gone);
+    // Closing with an unread response resets the connection.
+    lost.send(4, 0, &[], b"").unwrap();
+    while lost.0.peek(&mut [0]).unwrap() == 0 {}
+    drop(lost);
     assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
 }
 
-/// Guards serving and reporting against a control plane that closes, answers oddly or says nothing.
+/// Guards serving and reporting against a control plane that closes the connection, sends invalid responses or sends
+/// nothing.
 #[test]
 fn goes_on_reporting_whatever_the_control_plane_does() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let report = |reply: &str| {
         let mut service = FakeService::accept(&rig.control).unwrap();
-        let asked = service.receive_request().unwrap();
-        assert_eq!(asked.line, "PUT /v2/endpoints/toy HTTP/1.1");
-        let body = String::from_utf8(asked.body).unwrap();
+        let request = service.receive_request().unwrap();
+        assert_eq!(request.line, "PUT /v2/endpoints/toy HTTP/1.1");
+        let body = String::from_utf8(request.body).unwrap();
         assert!(
             [r#"{"condition":"Ready"}"#, r#"{"condition":"NotReady"}"#].contains(&body.as_str())
         );
--- a/crates/server/tests/serve/main.rs
+++ b/crates/server/tests/serve/main.rs
@@ -1,4 +1,4 @@
-//! The real binary against small fakes on loopback.
+//! Tests of the server's binary against fake peers on loopback.
 mod aggregations;
 mod connections;
 mod engine;
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -1,4 +1,4 @@
-//! The real binary on loopback, with fakes whose ports the system picks.
+//! Starts the server's binary on loopback, with fakes on ports that the system picks.
 use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read};
@@ -10,29 +10,31 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Makes the names of temporary files unique within the test process.
+static NEXT_FILE_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 pub(crate) const READ: &str = "greet"; // replayable, its call can be skipped
 pub(crate) const BUY: &str = "order"; // uniqued
 pub(crate) const PAY: &str = "pay"; // non-replayable
 pub(crate) const BRIEF: &str = "brief"; // replayable, a client timeout of 600 ms
 
+/// The example configuration with the handlers `PAY` and `BRIEF` added.
 pub(crate) fn settings() -> Value {
     let mut conf: Value =
         serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
-    let class = |name: &str, effect: &str, timeout: f64| {
+    let handler = |name: &str, effect: &str, timeout: f64| {
         json!({ "name": name, "effect": effect, "credit": 1.0, "late_value": 0.2, "aim_ms": timeout / 2.0,
             "deadline_ms": timeout, "dedup_window_ms": 2500.0 })
     };
     let classes = conf["settings"]["classes"].as_array_mut().unwrap();
     classes.extend([
-        class(PAY, "once", 2_000.0),
-        class(BRIEF, "repeatable", 600.0),
+        handler(PAY, "once", 2_000.0),
+        handler(BRIEF, "repeatable", 600.0),
     ]);
     conf
 }
 
-/// Settings with fakes for engine, records service and control plane, on ports that the system picks.
+/// A configuration with fakes for engine, records service and control plane, on ports that the system picks.
 pub(crate) fn with_peers() -> (Value, [TcpListener; 3]) {
     let mut conf = settings();
     conf["listen"] = json!("127.0.0.1:0");
@@ -44,48 +46,50 @@
     (conf, peers)
 }
 
-/// A configuration in a file of its own.
+/// Writes a configuration to a new temporary file.
 pub(crate) fn temporary_file(conf: &str) -> PathBuf {
     let name = format!(
         "cottondyke-{}-{}.json",
         std::process::id(),
-        NEXT.fetch_add(1, Ordering::Relaxed)
+        NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed)
     );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, conf).unwrap();
     path
 }
 
-pub(crate) fn program(words: &[&str]) -> Command {
+/// A command that runs the server's binary with these arguments.
+pub(crate) fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottondyke"));
     command
-        .args(words)
+        .args(args)
         .env_remove("GW_CONFIG")
         .stderr(Stdio::piped())
         .stdout(Stdio::piped());
     command
 }
 
-/// The program with a file of its own, both of which end with it.
+/// A running server and its configuration file. Dropping it kills the process and removes the file.
 pub(crate) struct Process {
-    option: &'static str,
+    /// The option that the configuration file is passed with.
+    config_flag: &'static str,
     path: PathBuf,
     child: Child,
     log: Receiver<String>,
 }
 
 impl Process {
-    pub(crate) fn start(option: &'static str, path: PathBuf) -> Self {
-        let (child, log) = spawned(option, &path);
+    pub(crate) fn start(config_flag: &'static str, path: PathBuf) -> Self {
+        let (child, log) = spawn_server(config_flag, &path);
         Process {
-            option,
+            config_flag,
             path,
             child,
             log,
         }
     }
 
-    /// Where it listens, once it serves.
+    /// Waits until the server is listening and returns its address.
     pub(crate) fn listen_addr(&self) -> SocketAddr {
         self.wait_for_log("listen=")
             .split_once("listen=")
@@ -108,54 +112,57 @@
             .success());
     }
 
-    /// Replaces the file and has it read again.
+    /// Replaces the configuration file, sends SIGHUP and waits for the log line `logged`.
     pub(crate) fn reload(&self, text: &str, logged: &str) {
         std::fs::write(&self.path, text).unwrap();
         self.signal("-HUP");
         self.wait_for_log(logged);
     }
 
-    /// Kills the program and starts it again with the file as it is then.
+    /// Kills the process and starts it again with `text` as the configuration.
     pub(crate) fn restart(&mut self, text: &str) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         std::fs::write(&self.path, text).unwrap();
-        (self.child, self.log) = spawned(self.option, &self.path);
+        (self.child, self.log) = spawn_server(self.config_flag, &self.path);
     }
 
-    /// How many descriptors the program holds.
+    /// Number of descriptors that the process has open.
     pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// For how many descriptors the kernel has room without enlarging the program's table.
+    /// Size of the process's descriptor table in the kernel: descriptors that fit without enlarging the table.
     pub(crate) fn descriptor_slots(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let size = status.lines().find_map(|line| line.strip_prefix("FDSize:"));
         size.unwrap().trim().parse().unwrap()
     }
 
-    /// How the program ended, and how long that took.
+    /// Waits for the process to exit and returns its exit status and how long that took.
     pub(crate) fn wait_for_exit(&mut self) -> (ExitStatus, Duration) {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return (status, start.elapsed());
             }
-            assert!(start.elapsed() < IO_TIMEOUT, "the server does not end");
+            assert!(
+                start.elapsed() < IO_TIMEOUT,
+                "the server did not exit in time"
+            );
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// The next line of its log with these words.
-    pub(crate) fn wait_for_log(&self, words: &str) -> String {
-        let until = Instant::now() + IO_TIMEOUT;
+    /// Waits for the next log line that contains `text`.
+    pub(crate) fn wait_for_log(&self, text: &str) -> String {
+        let deadline = Instant::now() + IO_TIMEOUT;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).expect(words);
-            if line.contains(words) {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let line = self.log.recv_timeout(remaining).expect(text);
+            if line.contains(text) {
                 return line;
             }
         }
@@ -170,9 +177,9 @@
     }
 }
 
-/// The program with this file, and what it logs.
-fn spawned(option: &str, path: &Path) -> (Child, Receiver<String>) {
-    let mut child = program(&["serve", option, path.to_str().unwrap()])
+/// Starts the server with this configuration file; returns the process and its log lines.
+fn spawn_server(config_flag: &str, path: &Path) -> (Child, Receiver<String>) {
+    let mut child = program(&["serve", config_flag, path.to_str().unwrap()])
         .spawn()
         .unwrap();
     let (lines, log) = channel();
@@ -186,7 +193,7 @@
     (child, log)
 }
 
-/// The program on its own, with a script.
+/// A running server without an engine, configured by an operator's script.
 pub(crate) struct Alone {
     process: Process,
     pub addr: SocketAddr,
@@ -202,6 +209,7 @@
     }
 }
 
+/// A running server with listeners in the place of its engine, records service and control plane.
 pub(crate) struct Rig {
     process: Process,
     pub conf: Value,
@@ -211,16 +219,16 @@
     pub control: TcpListener,
 }
 
-/// What holds a process is used as one.
-macro_rules! process {
-    ($of:ty) => {
-        impl Deref for $of {
+/// Lets a type with a field `process` be used as its [`Process`].
+macro_rules! deref_to_process {
+    ($type:ty) => {
+        impl Deref for $type {
             type Target = Process;
             fn deref(&self) -> &Process {
                 &self.process
             }
         }
-        impl DerefMut for $of {
+        impl DerefMut for $type {
             fn deref_mut(&mut self) -> &mut Process {
                 &mut self.process
             }
@@ -228,14 +236,15 @@
     };
 }
 
-process!(Alone);
-process!(Rig);
+deref_to_process!(Alone);
+deref_to_process!(Rig);
 
 impl Rig {
     pub(crate) fn start() -> Self {
         Self::with(|_| {})
     }
 
+    /// Starts a server after `change` was applied to its configuration.
     pub(crate) fn with(change: impl FnOnce(&mut Value)) -> Self {
         let (mut conf, [engine, records, control]) = with_peers();
         change(&mut conf);
@@ -250,23 +259,28 @@
         }
     }
 
-    /// A link past its hello and the question that fences it off from the link before.
+    /// Accepts the server's engine connection as [`Rig::hello`] does.
     pub(crate) fn link(&self, last: u64) -> FakeEngine {
         Self::hello(&self.engine, last)
     }
 
+    /// Accepts an engine connection, which must ask for the messages after number `last`, and completes the handshake:
+    /// the engine's hello, then the load query whose answer shows that all messages of earlier connections were read.
     pub(crate) fn hello(engine: &TcpListener, last: u64) -> FakeEngine {
         let mut link = FakeEngine::accept(engine).unwrap();
         assert_eq!(link.command().unwrap().0, ["ATTACH", &last.to_string()]);
         link.send_line("HELLO running 5.0").unwrap();
         let (words, _) = link.command().unwrap();
-        assert_eq!(words[0], "STAT", "the fence comes first");
+        assert_eq!(
+            words[0], "STAT",
+            "the first command is the load query of the handshake"
+        );
         link.send_line(&format!("STATS {} 0.5 1 0.1 3", words[1]))
             .unwrap();
         link
     }
 
-    /// Both, once the server has seen the engine.
+    /// Connects a fake engine and a fake sidecar, and waits until the server reports that it is healthy.
     pub(crate) fn ready(&self) -> (FakeEngine, FakeSidecar) {
         let (link, mut sidecar) = (self.link(0), self.sidecar());
         while check_health(&mut sidecar) != 1 {}
@@ -277,7 +291,7 @@
         FakeSidecar::connect(self.addr).unwrap()
     }
 
-    /// Kills the program and starts it again under its address.
+    /// Kills the process and starts it again with the same listen address.
     pub(crate) fn restart_at_same_address(&mut self) {
         self.conf["listen"] = json!(self.addr.to_string());
         let text = self.conf.to_string();
@@ -286,20 +300,20 @@
     }
 }
 
-/// The code that a health check hears.
+/// Performs a deep health check and returns the result code.
 pub(crate) fn check_health(sidecar: &mut FakeSidecar) -> u8 {
     sidecar.send(4, 0, &[("deep", "1")], b"").unwrap();
-    let heard = sidecar.receive().unwrap();
-    assert_eq!(heard.kind, 5);
-    heard.code
+    let status = sidecar.receive().unwrap();
+    assert_eq!(status.kind, 5);
+    status.code
 }
 
-/// An id that differs for each number.
+/// The request id for a number.
 pub(crate) fn id(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// Sends a request whose stream and id are `number`.
+/// Sends a request whose stream and id are derived from `number`, with `more` fields added.
 pub(crate) fn send_request(
     sidecar: &mut FakeSidecar,
     number: u32,
@@ -319,23 +333,23 @@
     sidecar.send(1, number, &fields, body).unwrap();
 }
 
-/// The engine's side of a run that is told to start now.
+/// Takes the engine's next command, which must start a run, and returns the run's id.
 pub(crate) fn expect_start(link: &mut FakeEngine) -> String {
     let (words, _) = link.receive_command().unwrap();
     assert_eq!(words[0], "RUN", "{words:?}");
     words[1].clone()
 }
 
-/// The engine's side of a whole run: told to start, done with this result.
-pub(crate) fn run_through(link: &mut FakeEngine, notice: u64, result: &[u8]) {
+/// Acts as the engine for one run: expects its start and sends its result as message `message`.
+pub(crate) fn run_through(link: &mut FakeEngine, message: u64, result: &[u8]) {
     let run = expect_start(link);
-    link.send_line_with_body(&format!("DONE {notice} {run} fine 1"), result)
+    link.send_line_with_body(&format!("DONE {message} {run} fine 1"), result)
         .unwrap();
 }
 
-/// What the program says of a configuration, and its exit code.
-pub(crate) fn run_to_exit(words: &[&str]) -> (Option<i32>, String) {
-    let mut child = program(words).spawn().unwrap();
+/// Runs the binary with these arguments to its end; returns the exit code and standard error.
+pub(crate) fn run_to_exit(args: &[&str]) -> (Option<i32>, String) {
+    let mut child = program(args).spawn().unwrap();
     let status = child.wait().unwrap();
     let mut text = String::new();
     child
@@ -347,7 +361,7 @@
     (status.code(), text)
 }
 
-/// The next request is served: what is still said of runs before it is passed over.
+/// Checks that the next request is served, ignoring cancellations of earlier runs.
 pub(crate) fn expect_served(
     link: &mut FakeEngine,
     sidecar: &mut FakeSidecar,
@@ -363,7 +377,7 @@
     complete_run(link, sidecar, number);
 }
 
-/// The run of a request ends, and its result is heard.
+/// Completes the run of a request and checks that the sidecar receives the result.
 pub(crate) fn complete_run(link: &mut FakeEngine, sidecar: &mut FakeSidecar, number: u32) {
     let result = format!("result {number}");
     link.send_line_with_body(
@@ -371,9 +385,9 @@
         result.as_bytes(),
     )
     .unwrap();
-    let heard = sidecar.receive().unwrap();
+    let response = sidecar.receive().unwrap();
     assert_eq!(
-        (heard.stream, heard.code, heard.body),
+        (response.stream, response.code, response.body),
         (number, 1, result.into_bytes())
     );
 }
