--- a/crates/admission/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the controller asks for after an input.
+//! The actions that the controller returns for an input.
 
 use cottondyke_types::{RequestId, Time};
 
@@ -7,45 +7,45 @@
 pub struct Rejection {
     /// The rejected request.
     pub id: RequestId,
-    /// When the caller may come back; zero names no time.
+    /// How long the caller should wait before it retries; zero if no time is given.
     pub retry_after: Time,
-    /// Asks the caller not to try another server either.
+    /// Asks the caller not to retry on another server either.
     pub do_not_retry: bool,
 }
 
-/// A rule of the policy, in the order in which the rules are gone through.
+/// A rule of the policy. The variants are in the order in which the rules are evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Rejected: its deadline came before it was started.
+    /// Rejected: its deadline was reached before it was started.
     UnstartedAtDeadline,
-    /// Failed: its deadline came while it ran.
+    /// Failed: its deadline was reached while it ran.
     AtDeadline,
     /// Coalesced with the request that it repeats.
     Duplicate,
-    /// Failed: its run went past the termination threshold.
+    /// Failed: its run exceeded the termination threshold.
     PastThreshold,
-    /// Failed: more runs on the cores than the server survives.
+    /// Failed: more requests run on the cores than the server survives.
     OverSurvivableConcurrency,
     /// Rejected: requests and idempotency keys take too much memory.
     OverMemoryQueued,
-    /// Failed: the same, with nothing queued.
+    /// Failed: requests and idempotency keys take too much memory, with nothing queued.
     OverMemoryRunning,
-    /// Rejected: it arrived past the drain grace.
+    /// Rejected: it arrived after the grace period of the drain.
     PastDrainGrace,
-    /// Rejected: the budget of slow start lets it begin too late for its response target.
+    /// Rejected: the slow-start budget would let it start too late for its response target.
     OverSlowStartBudget,
-    /// Rejected: it cannot finish within its response target.
+    /// Rejected: it is predicted not to finish within its response target.
     Unwinnable,
     /// Started.
     NextToStart,
-    /// Goes on without the call that it waited for.
+    /// Continues without the call that it waited for.
     PastCallWait,
     /// Its call is made.
     NextToCall,
 }
 
 impl Rule {
-    /// The name that log lines use.
+    /// The name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Rule::UnstartedAtDeadline => "unstarted_at_deadline",
@@ -74,8 +74,8 @@
     pub id: RequestId,
 }
 
-/// What to do after an input. The lists are carried out in the order in which they stand here: what frees resources
-/// comes before what takes them.
+/// What to do after an input. The lists must be carried out in the order of the fields: actions that free resources
+/// come before actions that take them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
     /// Runs to cancel.
@@ -94,16 +94,16 @@
     pub coalesce: Vec<RequestId>,
     /// Calls to make for these requests, and their timeouts.
     pub call: Vec<(RequestId, Time)>,
-    /// Requests that go on without their call.
+    /// Requests that continue without their call.
     pub skip_call: Vec<RequestId>,
-    /// A change of what health checks are answered.
+    /// The new answer to health checks, if it changes.
     pub health: Option<bool>,
-    /// New load advice, in the format that callers read.
+    /// New load advice, in the format that callers read, if it changes.
     pub advice: Option<f64>,
-    /// From now on connections idle for this long are closed.
+    /// The new idle timeout of connections, if it changes.
     pub idle_timeout: Option<Time>,
-    /// Call `tick` after this time; earlier requests for a tick stand.
+    /// Call `tick` after this time. Ticks that were asked for earlier remain due.
     pub next_tick: Option<Time>,
-    /// The rules that fired, in their order.
+    /// The rules that fired, in the order in which they fired.
     pub firings: Vec<RuleFiring>,
 }
--- a/crates/admission/src/arrival.rs
+++ b/crates/admission/src/arrival.rs
@@ -1,31 +1,31 @@
-//! What the controller is told: arrivals, outcomes and load samples.
+//! Inputs of the controller: arrivals, outcomes and load samples.
 
 use cottondyke_types::{CallerId, HandlerId, RequestId, TenantId, Time};
 
-/// A request as it is read.
+/// A request at the time it is read.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The number of the request on this server.
+    /// The id of the request on this server.
     pub id: RequestId,
-    /// The handler that it is for.
+    /// The handler that it is addressed to.
     pub handler: HandlerId,
-    /// The tenant that it belongs to, where known.
+    /// The tenant that it belongs to, if known.
     pub tenant: Option<TenantId>,
-    /// Who sent it, where known.
+    /// The caller that sent it, if known.
     pub caller: Option<CallerId>,
-    /// The expected work, as time on a standard core.
+    /// The expected work, as time on a standard core, if the request carries a hint.
     pub cost_hint: Option<Time>,
     /// Whether the caller marked it as a retry.
     pub is_retry: bool,
-    /// The request with the same idempotency key that it repeats.
+    /// The request with the same idempotency key that it repeats, if it is a duplicate.
     pub duplicate_of: Option<RequestId>,
     /// The memory that it takes while queued, in kilobytes.
     pub memory_kb: f64,
-    /// The time since it reached the machine.
+    /// The time between its arrival at the machine and its being read.
     pub queueing_delay: Time,
-    /// The part of that time that is believed to show how long requests wait to be read.
+    /// The part of `queueing_delay` that is trusted to show how long requests wait to be read; zero if none is.
     pub observed_delay: Time,
-    /// How long the client still waits, where told.
+    /// How much longer the client waits, if known.
     pub client_wait: Option<Time>,
 }
 
@@ -36,9 +36,9 @@
     Completed,
     /// With an error.
     Failed,
-    /// Cancelled, or ended at a call because nobody waits for it.
+    /// Cancelled, or ended at a call because no caller waits for its response.
     Cancelled,
-    /// Nothing started.
+    /// The run never started.
     NotStarted,
 }
 
@@ -51,17 +51,17 @@
     NotExecuted,
     /// With an error or an unusable reply; it may have had its effect.
     Failed,
-    /// It may have had its effect, and may still be running.
+    /// With an unknown result: it may have had its effect, and may still be running.
     Indeterminate,
-    /// Its connection broke, which proves nothing: it may have had its effect, and may still be running.
+    /// With a broken connection, so that its result is unknown: it may have had its effect, and may still be running.
     Interrupted,
 }
 
-/// What the server's own gauges read.
+/// A reading of the server's own load gauges.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadSample {
     /// The fraction of the cores in use.
     pub cpu_utilization: Option<f64>,
-    /// How many tasks want a core now: runs and everything else.
+    /// The number of tasks that want a core now: runs of requests and all others.
     pub runnable_tasks: Option<f64>,
 }
--- a/crates/admission/src/call_occupancy.rs
+++ b/crates/admission/src/call_occupancy.rs
@@ -1,20 +1,20 @@
-//! How much of a dependency's share of calls is used.
+//! How much of this server's share of calls to a dependency is used.
 
 use crate::windows::BUCKETS;
 use cottondyke_types::{SlidingWindow, Time};
 
 /// The calls that occupy a dependency over a window: those in flight, and abandoned ones that may still be running.
 pub(crate) struct CallOccupancy {
-    /// Number of calls, multiplied by the time that they took.
+    /// The number of calls integrated over time, in tenths of a millisecond.
     call_time: SlidingWindow<1, BUCKETS>,
     abandoned_linger: Time,
     abandoned_until: Vec<Time>,
 }
 
 impl CallOccupancy {
-    /// `abandoned_linger`: how long an abandoned call goes on.
+    /// `abandoned_linger`: how long an abandoned call keeps running.
     pub(crate) fn new(window: Time, abandoned_linger: Time) -> Self {
-        // The oldest bucket is partly expired: the rest spans the window however much of it is.
+        // The oldest bucket is partly expired, so the other buckets alone must cover the window.
         let window = window.scaled(BUCKETS as f64 / (BUCKETS - 1) as f64);
         CallOccupancy {
             call_time: SlidingWindow::new(window),
@@ -38,12 +38,12 @@
         self.abandoned_until.len()
     }
 
-    /// How long an abandoned call goes on, in tenths of a millisecond.
+    /// How long an abandoned call keeps running, in tenths of a millisecond.
     pub(crate) fn linger(&self) -> f64 {
         self.abandoned_linger.as_f64()
     }
 
-    /// Number of calls, multiplied by the time that they took, over the window.
+    /// The number of calls integrated over the window, in tenths of a millisecond.
     pub(crate) fn call_time(&self, now: Time) -> f64 {
         self.call_time.sums(now)[0]
     }
--- a/crates/admission/src/call_times.rs
+++ b/crates/admission/src/call_times.rs
@@ -1,23 +1,23 @@
-//! How long calls take.
+//! Mean durations of calls.
 
-/// Exponentially weighted means of the time of calls, in tenths of a millisecond; 0 before the first.
+/// Exponentially weighted means of the durations of calls, in tenths of a millisecond; 0 before the first call.
 #[derive(Default)]
 pub(crate) struct CallTimes {
-    /// Over many calls.
+    /// The mean over many calls.
     pub(crate) usual: f64,
-    /// Over the last few.
+    /// The mean over the last few calls.
     pub(crate) recent: f64,
 }
 
 impl CallTimes {
-    /// Adds a call, with these weights of the newest. The first sets the means.
+    /// Adds a call. Each weight is that of the newest call in its mean; the first call sets both means.
     pub(crate) fn record(&mut self, time: f64, usual_weight: f64, recent_weight: f64) {
-        update(&mut self.usual, time, usual_weight);
-        update(&mut self.recent, time, recent_weight);
+        update_mean(&mut self.usual, time, usual_weight);
+        update_mean(&mut self.recent, time, recent_weight);
     }
 }
 
-fn update(mean: &mut f64, time: f64, weight: f64) {
+fn update_mean(mean: &mut f64, time: f64, weight: f64) {
     let weight = if *mean > 0.0 { weight } else { 1.0 };
     *mean += (time - *mean) * weight;
 }
--- a/crates/admission/src/caller_table.rs
+++ b/crates/admission/src/caller_table.rs
@@ -5,10 +5,10 @@
 use cottondyke_types::{CallerId, Time};
 use std::collections::BTreeMap;
 
-/// Over which gaps count, as a multiple of the time that callers leave connections idle.
-const GAP_WINDOW: f64 = 2.0;
+/// The window over which gaps count, as a multiple of the time that callers keep idle connections open.
+const GAP_WINDOW_FACTOR: f64 = 2.0;
 
-/// When each caller was last seen, and the gaps between their requests.
+/// When each caller was last seen, and the gaps between requests of the same caller.
 pub(crate) struct CallerTable {
     config: CallerConfig,
     started_at: Time,
@@ -23,7 +23,7 @@
             config,
             started_at: now,
             last_seen: BTreeMap::new(),
-            gaps: GapHistogram::new(config.max_idle, config.max_idle.scaled(GAP_WINDOW)),
+            gaps: GapHistogram::new(config.max_idle, config.max_idle.scaled(GAP_WINDOW_FACTOR)),
             recent: 0,
         }
     }
@@ -32,13 +32,14 @@
         self.last_seen.len()
     }
 
-    /// The callers seen within the lifetime of advice, as of the last call of `forget_old`, and those seen since.
+    /// The number of callers seen within the advice lifetime as of the last call of `forget_old`, and of those seen
+    /// since.
     pub(crate) fn recent(&self) -> usize {
         self.recent
     }
 
-    /// Notes that a caller was seen. A new one is not tracked past `max_tracked`. The gap before a caller's first
-    /// request is taken to be the mean gap of all expected callers.
+    /// Records a request of a caller. A new caller is ignored if the table would exceed `max_tracked`. The gap before
+    /// a caller's first request is taken to be the mean gap of all expected callers.
     pub(crate) fn count_request(&mut self, now: Time, caller: CallerId, max_tracked: f64) {
         let has_capacity = self.last_seen.len() as f64 + 1.0 <= max_tracked;
         if !has_capacity && !self.last_seen.contains_key(&caller) {
@@ -53,7 +54,7 @@
             .record(now, previous.map_or(mean_gap, |at| now - at));
     }
 
-    /// Forgets the callers that heed no advice and have no connection any more, and counts the recent ones anew.
+    /// Removes the callers that no longer follow advice and no longer keep a connection, and recounts the recent ones.
     pub(crate) fn forget_old(&mut self, now: Time) {
         let CallerConfig {
             max_idle,
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,13 +1,13 @@
-//! What a controller is built from.
+//! The configuration of a controller.
 
 use crate::handler::Handler;
 use crate::memory::MemoryLimits;
 use cottondyke_types::Time;
 
-/// How running work can be cancelled.
+/// Whether and how a run can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// It cannot.
+    /// Runs cannot be cancelled.
     Never,
     /// The run is discarded.
     Drop,
@@ -15,102 +15,102 @@
     Suspend,
 }
 
-/// How callers read the load advice.
+/// How callers interpret the load advice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdviceFormat {
-    /// They do not.
+    /// They ignore it.
     Unused,
-    /// The probability that a caller does not pass this server by, from 0 to 1.
+    /// The probability that a caller does not skip this server, from 0 to 1.
     Share,
     /// The maximum number of requests that a caller keeps in flight here.
     Credit,
-    /// The lowest rank that callers still send, from 0 to 1.
+    /// The lowest rank of requests that callers still send, from 0 to 1.
     Rank,
 }
 
-/// What the goal of the fleet weighs.
+/// The weights of the terms of the fleet's goal.
 #[derive(Clone, Copy, Debug)]
 pub struct GoalWeights {
-    /// Weight of the total value won.
+    /// Weight of the total value earned.
     pub total: f64,
-    /// Weight of the fraction won for the handler that is served worst.
+    /// Weight of the fraction of the offered value that is earned for the worst-served handler.
     pub worst_handler: f64,
-    /// Weight of the fraction won for the tenant that is served worst.
+    /// Weight of the fraction of the offered value that is earned for the worst-served tenant.
     pub worst_tenant: f64,
-    /// The fraction of its value that a request past its tenant's quota has.
+    /// The fraction of its value that a request over its tenant's quota keeps.
     pub over_quota: f64,
     /// Whether value is counted per unit of work, not per request.
     pub by_work: bool,
 }
 
-/// The cores, and how many requests on them the server survives.
+/// The cores, and how many concurrent requests on them the server survives.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyConfig {
     /// The number of cores.
     pub cores: usize,
-    /// The number of requests a core that a warm server survives.
+    /// The number of concurrent requests per core that a warm server survives.
     pub overload_factor: f64,
-    /// The fraction of its speed at which the server starts; 1 for a warm one.
+    /// The fraction of its full speed at which the server starts; 1 for a warm server.
     pub start_capacity: f64,
-    /// How long after its start a cold server is warm at the latest.
+    /// The longest time that a cold server takes to become warm after its start.
     pub warm_within: Time,
-    /// The time over which overload is judged; zero where it is not told.
+    /// The window over which overload is measured; zero if the settings name none.
     pub overload_window: Time,
 }
 
 /// Calls to a dependency.
 #[derive(Clone, Copy, Debug)]
 pub struct CallConfig {
-    /// The mean number in flight over `window` that is this server's, where told.
+    /// This server's share, if it has one: the mean number of calls in flight over `window`.
     pub share: Option<f64>,
-    /// The time over which the share holds.
+    /// The window over which the share is averaged.
     pub window: Time,
-    /// How long an abandoned call goes on.
+    /// How long an abandoned call keeps running.
     pub abandoned_linger: Time,
 }
 
-/// The callers, and what they heed.
+/// The callers, and how they respond to advice and retry delays.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerConfig {
-    /// How many there are by the settings.
+    /// The number of callers according to the settings.
     pub expected: f64,
-    /// How long they leave a connection idle.
+    /// How long they keep an idle connection open.
     pub max_idle: Time,
-    /// How they read the load advice.
+    /// How they interpret the load advice.
     pub advice_format: AdviceFormat,
-    /// How long they heed it.
+    /// How long they follow it.
     pub advice_lifetime: Time,
-    /// The longest time to come back that they heed; 0 where they heed none.
+    /// The longest retry delay that they follow; 0 if they follow none.
     pub max_retry_after: Time,
 }
 
-/// What a controller is built from.
+/// The configuration of an [`AdmissionController`](crate::AdmissionController).
 #[derive(Clone, Debug)]
 pub struct AdmissionConfig {
     /// The shortest time between two inputs.
     pub resolution: Time,
-    /// The handlers, by their ids.
+    /// The handlers, indexed by their ids.
     pub handlers: Vec<Handler>,
-    /// Requests a second inside each tenant's share, over the fleet.
+    /// The quota of each tenant over the whole fleet, in requests per second.
     pub quotas: Vec<f64>,
-    /// The number of servers of the fleet.
+    /// The number of servers in the fleet.
     pub fleet_size: f64,
-    /// What the goal weighs.
+    /// The weights of the fleet's goal.
     pub goal: GoalWeights,
-    /// The cores.
+    /// The cores, and what the server survives on them.
     pub concurrency: ConcurrencyConfig,
-    /// How running work can be cancelled.
+    /// Whether and how a run can be cancelled.
     pub cancellation: Cancellation,
-    /// The time over which rejected and terminated requests count as loss.
+    /// The window over which rejected and terminated requests count as loss.
     pub loss_window: Time,
-    /// The memory of requests and idempotency keys.
+    /// The memory limits of requests and idempotency keys.
     pub memory: MemoryLimits,
     /// Calls to a dependency.
     pub calls: CallConfig,
-    /// The time after the shutdown signal in which arrivals may still run.
+    /// How long after the shutdown signal requests that arrive may still run.
     pub drain_grace: Time,
     /// The callers.
     pub callers: CallerConfig,
-    /// Of the pseudo-random spread of times to come back.
+    /// The seed of the pseudo-random jitter of retry delays.
     pub seed: u64,
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! The state of one server's admission control, and its parts.
+//! The state of one server's admission control.
 
 use crate::config::AdmissionConfig;
 use crate::memory::MemoryLimits;
@@ -16,8 +16,8 @@
 use std::collections::BTreeMap;
 
 /// Decides for one server which requests it admits, runs, rejects and terminates. Call `tick` once first, then
-/// one method for each input; carry out the returned [`Actions`](crate::Actions) and call `tick` when they ask for it. Nothing
-/// here reads a clock: `now` is passed in and never goes back.
+/// one method for each input; carry out the returned [`Actions`](crate::Actions) and call `tick` when they ask for it.
+/// The controller reads no clock: `now` is passed in and must never go back.
 ///
 /// ```
 /// use cottondyke_admission::*;
@@ -119,7 +119,7 @@
 }
 
 impl AdmissionController {
-    /// A controller of a server that started at `now`, without requests.
+    /// Creates the controller of a server that started at `now` and has no requests yet.
     pub fn new(now: Time, config: &AdmissionConfig) -> Self {
         let concurrency = ConcurrencyLimit::new(now, config.concurrency);
         AdmissionController {
@@ -143,7 +143,7 @@
         request.deadline_during(self.drain)
     }
 
-    /// What all requests and idempotency keys take, in kilobytes.
+    /// The memory that all requests and idempotency keys take, in kilobytes.
     pub(crate) fn memory_used(&self) -> f64 {
         self.memory.used(&self.requests, self.dedup_keys.len())
     }
--- a/crates/admission/src/handler.rs
+++ b/crates/admission/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the start-up settings say of a handler.
+//! The settings of a handler.
 
 use cottondyke_types::{Idempotency, Time};
 
@@ -15,12 +15,12 @@
     pub client_timeout: Time,
     /// The value of a response within the target.
     pub value: f64,
-    /// The fraction of the value left after the response target.
+    /// The fraction of the value that remains after the response target.
     pub late_value: f64,
     /// How long after a keyed request its duplicates may arrive.
     pub dedup_window: Time,
     /// Whether its runs may call a dependency.
     pub makes_calls: bool,
-    /// The fraction of the value left when a call was skipped; 0 forbids skipping.
+    /// The fraction of the value that remains when a call was skipped; 0 forbids skipping.
     pub skip_value: f64,
 }
--- a/crates/admission/src/handler_cost.rs
+++ b/crates/admission/src/handler_cost.rs
@@ -1,4 +1,4 @@
-//! What the runs of a handler were seen to take.
+//! The cost of the runs of a handler, learned from past runs.
 
 use crate::request::RequestRecord;
 
@@ -10,7 +10,7 @@
     base_cost: f64,
     /// Mean time of a run off the cores, in tenths of a millisecond.
     pub(crate) off_core_time: f64,
-    /// Mean number of calls that a run wants.
+    /// Mean number of calls that a run makes.
     calls: f64,
 }
 
@@ -24,17 +24,17 @@
         }
     }
 
-    /// The core time to expect of a request, by its hinted cost.
+    /// The expected core time of a request, in proportion to its hinted cost.
     pub(crate) fn expected(&self, request: &RequestRecord) -> f64 {
         request.base_cost * self.core_time / self.base_cost.max(1.0)
     }
 
-    /// The calls that a request will still want.
+    /// The expected number of calls that a request has still to make.
     pub(crate) fn remaining_calls(&self, request: &RequestRecord) -> f64 {
         (self.calls - request.calls_wanted).max(0.0)
     }
 
-    /// Adds a run to the sums, with this weight of the newest.
+    /// Adds a run to the sums and to the mean time off the cores; `weight` is that of the newest run.
     pub(crate) fn add_run(
         &mut self,
         request: &RequestRecord,
@@ -47,7 +47,7 @@
         self.off_core_time += (off_core_time - self.off_core_time) * weight;
     }
 
-    /// Adds the calls of a run to their mean.
+    /// Adds the number of calls of a run to its mean.
     pub(crate) fn add_calls(&mut self, request: &RequestRecord, weight: f64) {
         self.calls += (request.calls_wanted - self.calls) * weight;
     }
--- a/crates/admission/src/histograms.rs
+++ b/crates/admission/src/histograms.rs
@@ -3,9 +3,9 @@
 use crate::windows::BUCKETS;
 use cottondyke_types::{SlidingWindow, Time};
 
-/// Bins of a histogram of run times, as fractions of the client timeout.
+/// Number of bins of a histogram of run times; each covers an equal fraction of the client timeout.
 const RUN_TIME_BINS: usize = 20;
-/// Bins of a histogram of gaps, each twice as wide as the one before.
+/// Number of bins of a histogram of gaps, each twice as wide as the one before.
 pub(crate) const GAP_BINS: usize = 10;
 
 /// Run times of a handler, as a histogram over a window.
@@ -28,7 +28,7 @@
         self.bins.add(now, bin.min(RUN_TIME_BINS - 1), 1.0);
     }
 
-    /// The run time under which `quantile` of the runs stay, but no less than `min_fraction` of the client timeout.
+    /// The run time below which `quantile` of the runs stay, but no less than `min_fraction` of the client timeout.
     pub(crate) fn quantile(&self, now: Time, quantile: f64, min_fraction: f64) -> Time {
         let bin = self.bins.quantile(now, quantile);
         let bins = bin.unwrap_or(RUN_TIME_BINS - 1) + 1;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The longest gap of a bin.
+    /// The longest gap that a bin counts.
     pub(crate) fn upper_bound(&self, bin: usize) -> Time {
         Time(self.longest.0 >> (GAP_BINS - 2).saturating_sub(bin))
     }
--- a/crates/admission/src/inputs.rs
+++ b/crates/admission/src/inputs.rs
@@ -1,4 +1,4 @@
-//! The inputs of the controller: each is recorded, then the rules of the policy are fired until none fires.
+//! The inputs of the controller: each is recorded, then the rules of the policy are evaluated until none fires.
 
 use crate::actions::Actions;
 use crate::arrival::{Arrival, CallOutcome, LoadSample, RunOutcome};
@@ -10,7 +10,7 @@
 use cottondyke_types::{RequestId, Time};
 
 impl AdmissionController {
-    /// A request was read. One for an unknown handler is ignored.
+    /// A request was read. A request for an unknown handler is ignored.
     pub fn arrival(&mut self, now: Time, arrival: Arrival) -> Actions {
         self.advance(now);
         let mut actions = Actions::default();
@@ -30,7 +30,7 @@
         self.slow_start.add_offered(now, work);
         self.retain_key(now, &request, &mut actions);
         self.requests.insert(request);
-        self.settle(now, actions)
+        self.apply_rules(now, actions)
     }
 
     /// The run of a request ended.
@@ -49,11 +49,12 @@
                 self.priorities.count_completed(now, &request);
             }
         }
-        self.settle(now, Actions::default())
+        self.apply_rules(now, Actions::default())
     }
 
-    /// A run has shown no end long after its request was answered. It takes no place of the pool any longer, so that others
-    /// run beside it; but it is on the machine, and counts among what that survives until its end is known.
+    /// A run has not ended long after its request was answered. It no longer counts against the concurrency limit, so
+    /// that other requests can run. It may still occupy the machine, so it counts towards the survivable concurrency
+    /// until its end is reported.
     pub fn run_overdue(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
@@ -61,16 +62,16 @@
                 request.phase = Phase::Overdue;
             }
         }
-        self.settle(now, Actions::default())
+        self.apply_rules(now, Actions::default())
     }
 
-    /// A run wants to call a dependency and waits for it.
+    /// A run wants to call a dependency and waits until the call is made or skipped.
     pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
             request.want_call(now, self.costs.core_clock);
         }
-        self.settle(now, Actions::default())
+        self.apply_rules(now, Actions::default())
     }
 
     /// The call of a run ended.
@@ -86,20 +87,20 @@
             self.calls.call_ended(now, call_time, outcome);
             self.continue_after_call(now, id, outcome, &mut actions);
         }
-        self.settle(now, actions)
+        self.apply_rules(now, actions)
     }
 
-    /// Nobody waits for the response of a request any more.
+    /// The caller no longer waits for the response to a request.
     pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
             request.answered = true;
         }
         self.requests.remove_answered_unstarted();
-        self.settle(now, Actions::default())
+        self.apply_rules(now, Actions::default())
     }
 
-    /// The server is to shut down within `time_left`.
+    /// The server must shut down within `time_left`.
     pub fn drain(&mut self, now: Time, time_left: Time) -> Actions {
         self.advance(now);
         let answer_by = now + time_left.scaled(ANSWER_FRACTION) - self.schedule.resolution;
@@ -107,7 +108,7 @@
             started_at: now,
             answer_by,
         });
-        self.settle(
+        self.apply_rules(
             now,
             Actions {
                 health: Some(false),
@@ -116,10 +117,10 @@
         )
     }
 
-    /// Time has passed. The first tick starts the server; `sample` is used when the gauges are due to be read.
+    /// Time has passed. The first tick starts the server; `sample` is used when a load sample is due.
     pub fn tick(&mut self, now: Time, sample: LoadSample) -> Actions {
         self.advance(now);
-        self.schedule.ticked(now);
+        self.schedule.record_tick(now);
         let health = self.schedule.is_first_tick().then_some(true);
         let mut actions = Actions {
             health,
@@ -128,7 +129,7 @@
         if now >= self.schedule.next_sample_at {
             self.sample_load(now, sample, &mut actions);
         }
-        self.settle(now, actions)
+        self.apply_rules(now, actions)
     }
 
     fn sample_load(&mut self, now: Time, sample: LoadSample, actions: &mut Actions) {
@@ -152,8 +153,8 @@
         self.dedup_keys.retain(|_, expires_at| *expires_at > now);
     }
 
-    /// Fires rules until none fires, then advises callers and asks for the next tick.
-    fn settle(&mut self, now: Time, mut actions: Actions) -> Actions {
+    /// Evaluates the rules until none fires, then updates the load advice and schedules the next tick.
+    fn apply_rules(&mut self, now: Time, mut actions: Actions) -> Actions {
         while let Some((firing, effect)) = self.next_firing(now) {
             effect(self, now, firing.id, &mut actions);
             actions.firings.push(firing);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission control for one server: what it admits, in which order it runs it, what it rejects or terminates, and what
-//! it advises its callers. It does no I/O and reads no clock: each input is a method of [`AdmissionController`] that
-//! takes the time and returns the [`Actions`] to carry out.
+//! Admission control for one server: which requests it admits, in which order it runs them, which it rejects or
+//! terminates, and what load advice it gives its callers. It does no I/O and reads no clock: each input is a method of
+//! [`AdmissionController`] that takes the time and returns the [`Actions`] to carry out.
 //!
-//! All decisions lie in the folder `policy`; the other modules keep records and sums for it.
+//! All decisions are made in the module `policy`; the other modules keep its records and sums.
 
 mod actions;
 mod arrival;
@@ -16,7 +16,7 @@
 mod histograms;
 mod inputs;
 mod memory;
-// The policy has a `rustfmt.toml` of its own beside it; `.ci/run` checks it with that.
+// The policy is formatted with the `rustfmt.toml` in its own folder; `.ci/run` checks it with that.
 #[rustfmt::skip]
 mod policy;
 mod random;
--- a/crates/admission/src/random.rs
+++ b/crates/admission/src/random.rs
@@ -1,6 +1,6 @@
 //! Pseudo-random numbers, the same on every machine for the same seed.
 
-/// A multiply-with-carry generator (Marsaglia) of 32 bits.
+/// A 32-bit multiply-with-carry generator (Marsaglia).
 pub(crate) struct MultiplyWithCarry(u64);
 
 impl MultiplyWithCarry {
@@ -10,7 +10,7 @@
         MultiplyWithCarry(seed % 0xffff_fffe + 1)
     }
 
-    /// From 0 to just under 1.
+    /// Returns the next number, from 0 inclusive to 1 exclusive.
     pub(crate) fn draw(&mut self) -> f64 {
         self.0 = (self.0 & 0xffff_ffff) * Self::MULTIPLIER + (self.0 >> 32);
         (self.0 & 0xffff_ffff) as f64 / 4_294_967_296.0
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,28 +1,28 @@
-//! What is recorded of a request from its arrival to its end.
+//! The record of a request from its arrival to its end.
 
 use crate::arrival::Arrival;
 use crate::handler::Handler;
 use cottondyke_types::{RequestId, Time};
 
-/// Where a request is between its arrival and its end.
+/// The phase of a request between its arrival and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Queued,
     /// Waits for the response of the request it repeats.
     Coalesced,
     Running,
-    /// Put on the cores, answered, and long past its deadline: whether it has a core is not known.
+    /// Started and answered, but long past its deadline without an end: whether it still uses a core is unknown.
     Overdue,
     /// Waits to make a call.
     AwaitingCall,
     Calling,
 }
 
-/// The server is shutting down.
+/// The shutdown of the server, once it has begun.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Drain {
     pub(crate) started_at: Time,
-    /// All requests are answered by then.
+    /// When all requests must be answered.
     pub(crate) answer_by: Time,
 }
 
@@ -33,7 +33,7 @@
     /// The hinted cost in tenths of a millisecond, or an estimate where there is no hint.
     pub(crate) base_cost: f64,
     pub(crate) arrived_at: Time,
-    /// The end of its response target.
+    /// When its response target ends.
     pub(crate) target_at: Time,
     /// When the client stops waiting.
     pub(crate) deadline: Time,
@@ -41,13 +41,13 @@
     pub(crate) answered: bool,
     pub(crate) started_at: Time,
     pub(crate) phase_since: Time,
-    /// The cost estimator's clock at the start of the present phase.
+    /// The cost estimator's clock at the start of the current phase.
     pub(crate) core_clock: f64,
-    /// Core time before the present phase.
+    /// Core time before the current phase.
     pub(crate) core_time: f64,
-    /// Time at calls before the present phase.
+    /// Time spent waiting for and making calls before the current phase.
     pub(crate) off_core_time: f64,
-    /// Attempts of the present call.
+    /// Attempts of the current call.
     pub(crate) attempts: u32,
     /// Calls wanted since the start.
     pub(crate) calls_wanted: f64,
@@ -86,12 +86,12 @@
         self.arrival.handler.0
     }
 
-    /// Whether it waits for its response in this phase.
+    /// Whether it is in this phase and not yet answered.
     pub(crate) fn is_unanswered_in(&self, phase: Phase) -> bool {
         self.phase == phase && !self.answered
     }
 
-    /// The core time that it has had, by the cost estimator's clock.
+    /// The core time that it has used, by the cost estimator's clock.
     pub(crate) fn core_time_at(&self, core_clock: f64) -> f64 {
         let is_on_core = self.phase == Phase::Running;
         self.core_time
@@ -137,7 +137,7 @@
         call_time
     }
 
-    /// When it must be answered, with the server's shutdown taken into account.
+    /// When it must be answered, taking the server's shutdown into account.
     pub(crate) fn deadline_during(&self, drain: Option<Drain>) -> Time {
         drain.map_or(self.deadline, |drain| self.deadline.min(drain.answer_by))
     }
--- a/crates/admission/src/request_table.rs
+++ b/crates/admission/src/request_table.rs
@@ -4,7 +4,7 @@
 use cottondyke_types::RequestId;
 use std::collections::BTreeMap;
 
-/// All requests that have not ended. Iterators go in the order of the ids.
+/// All requests that have not ended. Iterators yield them in the order of their ids.
 #[derive(Default)]
 pub(crate) struct RequestTable(BTreeMap<RequestId, RequestRecord>);
 
@@ -25,7 +25,7 @@
         self.0.remove(&id)
     }
 
-    /// Forgets what is answered and never ran: no end of a run will be reported for it.
+    /// Removes the requests that are answered and never started: no end of a run will be reported for them.
     pub(crate) fn remove_answered_unstarted(&mut self) {
         self.0.retain(|_, r| !r.answered || is_started(r));
     }
@@ -46,7 +46,7 @@
         self.in_phase(Phase::Coalesced)
     }
 
-    /// On the cores, overdue or at a call, answered or not.
+    /// On the cores, overdue, or waiting for or making a call; answered or not.
     pub(crate) fn started(&self) -> impl Iterator<Item = &RequestRecord> {
         self.iter().filter(|r| is_started(r))
     }
@@ -56,7 +56,7 @@
         self.in_phase(Phase::Running)
     }
 
-    /// Put on the cores, and long past their deadlines.
+    /// Started and answered, but long past their deadlines without an end.
     pub(crate) fn overdue(&self) -> impl Iterator<Item = &RequestRecord> {
         self.in_phase(Phase::Overdue)
     }
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -1,4 +1,4 @@
-//! What a controller tells of its state, for logs.
+//! A summary of a controller's state, for logs.
 
 use crate::controller::AdmissionController;
 use cottondyke_types::Time;
@@ -6,11 +6,11 @@
 /// The state of a controller at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionStatus {
-    /// The fraction of its full speed that the server has surely reached; under 1 it is in slow start.
+    /// The fraction of its full speed that the server has reached for certain; below 1 it is in slow start.
     pub capacity: f64,
     /// How many requests may be on the cores.
     pub concurrency_limit: f64,
-    /// How many on the cores the server survives, with the margin that is kept.
+    /// How many requests on the cores the server survives, less a safety margin.
     pub ceiling: f64,
     /// The fraction of the cores in use at the last sample.
     pub utilization: f64,
@@ -18,7 +18,7 @@
     pub queued: usize,
     /// Requests on the cores.
     pub on_core: usize,
-    /// Runs on the machine that have shown no end long after their requests were answered.
+    /// Runs that have not ended long after their requests were answered.
     pub overdue: usize,
     /// Requests that wait to make a call.
     pub awaiting_call: usize,
@@ -26,7 +26,7 @@
     pub calling: usize,
     /// Abandoned calls that may still be running.
     pub abandoned_calls: usize,
-    /// The fraction of the memory that requests and idempotency keys take.
+    /// The fraction of the memory limit that requests and idempotency keys take.
     pub memory_used: f64,
 }
 
--- a/crates/admission/src/tick_schedule.rs
+++ b/crates/admission/src/tick_schedule.rs
@@ -1,15 +1,15 @@
-//! When the controller is to be ticked.
+//! The schedule of the controller's ticks and load samples.
 
 use cottondyke_types::Time;
 
-/// The ticks that are asked for, and when the load is sampled.
+/// The next pending tick, and when the load is sampled next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TickSchedule {
     /// The shortest time between two inputs.
     pub(crate) resolution: Time,
     /// The first tick from this time on samples the load.
     pub(crate) next_sample_at: Time,
-    /// The earliest tick that is asked for and still to come.
+    /// The earliest pending tick.
     scheduled_at: Option<Time>,
 }
 
@@ -27,13 +27,13 @@
         self.next_sample_at == Time(i64::MIN)
     }
 
-    /// Notes a tick: what was asked for up to `now` has come.
-    pub(crate) fn ticked(&mut self, now: Time) {
+    /// Records a tick: ticks scheduled up to `now` are no longer pending.
+    pub(crate) fn record_tick(&mut self, now: Time) {
         self.scheduled_at = self.scheduled_at.filter(|at| *at > now);
     }
 
-    /// The time until the next tick, if an earlier one is needed than was asked for. `earliest_deadline` is the first at
-    /// which a request must be answered.
+    /// Returns the time until the next tick, if it must come before the pending one. `earliest_deadline` is the
+    /// earliest time at which a request must be answered.
     pub(crate) fn schedule(&mut self, now: Time, earliest_deadline: Option<Time>) -> Option<Time> {
         let at = earliest_deadline
             .unwrap_or(Time::MAX)
--- a/crates/admission/src/transitions.rs
+++ b/crates/admission/src/transitions.rs
@@ -1,4 +1,4 @@
-//! Effects of rules that only carry out what was decided: a request enters its next phase.
+//! Effects of rules that decide nothing themselves: they move a request to its next phase.
 
 use crate::actions::Actions;
 use crate::controller::AdmissionController;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Lets a run go on without the call that it waits for.
+    /// Lets a run continue without the call that it waits for.
     pub(crate) fn skip_call(&mut self, _: Time, id: RequestId, actions: &mut Actions) {
         if let Some(request) = self.requests.get_mut(id) {
             request.resume(self.costs.core_clock);
--- a/crates/admission/src/value_ledger.rs
+++ b/crates/admission/src/value_ledger.rs
@@ -1,12 +1,12 @@
-//! The value offered and won recently, by handler and by tenant.
+//! The value offered and earned recently, by handler and by tenant.
 
 use crate::request::RequestRecord;
 use crate::windows::{ValueSums, ValueWindow};
 use cottondyke_types::Time;
 
-/// The value offered and won over a window, by handler and by tenant.
+/// The value offered and earned over a window, by handler and by tenant.
 pub(crate) struct ValueLedger {
-    /// The window, in tenths of a millisecond.
+    /// The length of the window, in tenths of a millisecond.
     pub(crate) duration: f64,
     by_handler: Vec<ValueWindow>,
     by_tenant: Vec<ValueWindow>,
@@ -35,17 +35,17 @@
 
     fn windows(&mut self, request: &RequestRecord) -> impl Iterator<Item = &mut ValueWindow> {
         let tenant = request.arrival.tenant;
-        let of_tenant = tenant.and_then(|tenant| self.by_tenant.get_mut(tenant.0));
-        let of_handler = &mut self.by_handler[request.handler_index()];
-        of_tenant.into_iter().chain([of_handler])
+        let tenant_window = tenant.and_then(|tenant| self.by_tenant.get_mut(tenant.0));
+        let handler_window = &mut self.by_handler[request.handler_index()];
+        tenant_window.into_iter().chain([handler_window])
     }
 
-    /// The sums of each handler.
+    /// The sums of each handler, in the order of the handlers.
     pub(crate) fn by_handler(&self, now: Time) -> Vec<ValueSums> {
         self.by_handler.iter().map(|w| w.sums(now)).collect()
     }
 
-    /// The sums of each tenant.
+    /// The sums of each tenant, in the order of the tenants.
     pub(crate) fn by_tenant(&self, now: Time) -> Vec<ValueSums> {
         self.by_tenant.iter().map(|w| w.sums(now)).collect()
     }
--- a/crates/admission/src/windows.rs
+++ b/crates/admission/src/windows.rs
@@ -1,12 +1,12 @@
-//! Sums over sliding windows, by name.
+//! Sliding windows with named sums.
 
 use crate::arrival::Arrival;
 use cottondyke_types::{SlidingWindow, Time};
 
-/// Buckets of each sliding window.
+/// Number of buckets of each sliding window.
 pub(crate) const BUCKETS: usize = 8;
 
-/// Value offered and won over a window.
+/// Value offered and earned over a window.
 #[derive(Clone)]
 pub(crate) struct ValueWindow(SlidingWindow<4, BUCKETS>);
 
@@ -20,7 +20,7 @@
 }
 
 impl ValueSums {
-    /// The fraction of the offered value that was won.
+    /// The fraction of the offered value that was earned.
     pub(crate) fn served_fraction(&self) -> f64 {
         if self.offered > 0.0 {
             self.completed / self.offered
@@ -43,7 +43,7 @@
         self.0.add_all(now, [0.0, value, 0.0, 1.0]);
     }
 
-    /// The window, in tenths of a millisecond.
+    /// The length of the window, in tenths of a millisecond.
     pub(crate) fn duration(&self) -> f64 {
         self.0.span()
     }
@@ -93,14 +93,15 @@
 /// Arrivals and rejections over a window, and the time that reading a request takes.
 pub(crate) struct LoadWindow {
     counts: SlidingWindow<4, BUCKETS>,
-    /// The shortest known time between the arrival of a request and its being read, which slowly grows.
+    /// The shortest known time between the arrival of a request and its being read; it slowly grows until a shorter
+    /// one is seen.
     min_read_time: f64,
 }
 
 /// The sums of a [`LoadWindow`].
 pub(crate) struct LoadSums {
     pub(crate) arrivals: f64,
-    /// Marked retries among the arrivals.
+    /// Arrivals that are marked as retries.
     pub(crate) retries: f64,
     /// The time that the arrivals waited to be read, in tenths of a millisecond.
     pub(crate) observed_delay: f64,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// A request that is not known to have waited unread tells nothing of the time that reading takes; that time grows
-    /// by the factor `read_time_growth` with each arrival until a shorter one is seen.
+    /// Adds an arrival. One without an observed delay says nothing about the time that reading takes. The shortest
+    /// known read time grows by the factor `read_time_growth` with each arrival until a shorter one is seen.
     pub(crate) fn add_arrival(&mut self, now: Time, arrival: &Arrival, read_time_growth: f64) {
         let delay = arrival.observed_delay.as_f64();
         let amounts = [1.0, f64::from(arrival.is_retry), delay, 0.0];
@@ -130,12 +131,12 @@
         self.counts.add(now, 3, 1.0);
     }
 
-    /// The window, in tenths of a millisecond.
+    /// The length of the window, in tenths of a millisecond.
     pub(crate) fn duration(&self) -> f64 {
         self.counts.span()
     }
 
-    /// The time that reading a request takes by itself, in tenths of a millisecond; 0 where it is not known.
+    /// The time that reading a request takes by itself, in tenths of a millisecond; 0 if it is unknown.
     pub(crate) fn read_time(&self) -> f64 {
         if self.min_read_time < f64::MAX {
             self.min_read_time
--- a/crates/admission/tests/decide/config.rs
+++ b/crates/admission/tests/decide/config.rs
@@ -1,11 +1,11 @@
-//! Settings of any scale.
+//! Settings of any scale, from zero to very large numbers.
 use crate::server_model::*;
 use cottondyke_admission::*;
 
 const STARTED_AT: Time = Time(0);
 const REQUESTS: u32 = 40;
 
-/// All numbers and durations of this scale.
+/// A configuration whose numbers and durations are all of this scale.
 fn config(scale: f64, advice_format: AdviceFormat) -> AdmissionConfig {
     let duration = Time(scale as i64);
     AdmissionConfig {
@@ -68,7 +68,7 @@
     }
 }
 
-/// All actions of a server to which requests arrive that each want a call.
+/// Returns all actions of a controller whose requests each want a call.
 fn run(scale: f64, advice_format: AdviceFormat) -> Vec<Actions> {
     let mut controller = AdmissionController::new(STARTED_AT, &config(scale, advice_format));
     let mut actions = vec![controller.tick(STARTED_AT, LoadSample::default())];
@@ -91,7 +91,7 @@
 
 #[test]
 fn answers_every_request_when_settings_are_of_any_scale() {
-    // Nothing, one of each, and far more than any fleet: every request is answered and all advice is finite.
+    // At zero, one, and far more than any fleet has, every request is answered and all advice is finite.
     for scale in [0.0, 1.0, 1e9] {
         for advice_format in [
             AdviceFormat::Share,
--- a/crates/admission/tests/decide/invariants.rs
+++ b/crates/admission/tests/decide/invariants.rs
@@ -1,10 +1,10 @@
-//! Seeded random runs that check the four rules (nothing lost, no effect twice, no fall-over, a clean drain) after every
-//! step.
+//! Seeded random runs that check four invariants after every step: no request is lost, no effect happens twice, the
+//! server is not overloaded, and it drains cleanly.
 use crate::server_model::*;
 use cottondyke_admission::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// What is done, and two numbers that say how.
+/// The kind of a step, and two numbers that parametrize it.
 type Step = (u8, u16, u16);
 
 pub(crate) fn setup(choice: u16) -> Setup {
@@ -98,24 +98,24 @@
     }
 }
 
-fn keeps_rules(choice: u16, steps: Vec<Step>) -> bool {
+fn upholds_invariants(choice: u16, steps: Vec<Step>) -> bool {
     let mut server = ServerModel::new(setup(choice));
-    for one in steps {
-        step(&mut server, one);
+    for random_step in steps {
+        step(&mut server, random_step);
     }
-    // Whatever is still unanswered is answered in time.
+    // Requests that are still unanswered are answered in time.
     let draining = server.draining;
     let rest = draining.map_or(Time(40_000), |(_, stop)| stop - server.now - Time(1));
     server.advance(rest.max(Time(0)));
-    // The rules that fire are bounded: each firing moves one request one phase on.
+    // The number of rules that fire is bounded: each firing moves one request to its next phase.
     server.max_rules_fired <= 2 * server.requests.len() + 2
 }
 
 #[test]
-fn keeps_the_rules_when_steps_are_random() {
+fn upholds_the_invariants_when_steps_are_random() {
     let rng = Gen::from_size_and_seed(160, 1);
     QuickCheck::new()
         .rng(rng)
         .tests(1000)
-        .quickcheck(keeps_rules as fn(u16, Vec<Step>) -> bool);
+        .quickcheck(upholds_invariants as fn(u16, Vec<Step>) -> bool);
 }
--- a/crates/admission/tests/decide/main.rs
+++ b/crates/admission/tests/decide/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, on a model of a server that carries them out.
+//! Tests of the decisions, on a model of a server that carries out the controller's actions.
 
 mod admission;
 mod advice;
--- a/crates/admission/tests/decide/server_model.rs
+++ b/crates/admission/tests/decide/server_model.rs
@@ -1,5 +1,5 @@
-//! A small honest model of a server: what is queued, runs, calls and is answered, and which idempotency keys are retained.
-//! It carries out actions in their documented order and fails the test at the first broken rule.
+//! A small model of a server: which requests are queued, run, make calls and are answered, and which idempotency keys
+//! are retained. It carries out actions in their documented order and fails the test at the first violated invariant.
 use cottondyke_admission::*;
 use std::collections::BTreeMap;
 
@@ -38,9 +38,9 @@
     pub(crate) skip_value: f64,
     pub(crate) memory_limit_kb: f64,
     pub(crate) expected_callers: f64,
-    /// Over which overload is judged; zero has no budget of slow start.
+    /// The window over which overload is measured; zero disables the slow-start budget.
     pub(crate) overload_window: Time,
-    /// Whether requests tell their work.
+    /// Whether requests carry a cost hint.
     pub(crate) has_hints: bool,
 }
 
@@ -62,7 +62,7 @@
 pub(crate) const CLIENT_TIMEOUT: Time = Time(30_000);
 pub(crate) const DRAIN_GRACE: Time = Time(10_000);
 pub(crate) const MAX_IDLE: Time = Time(80_000);
-/// The work of each request on a core at full speed, where it is told.
+/// The work of each request on a core at full speed, if it carries a cost hint.
 pub(crate) const FULL_SPEED_WORK: Time = Time(1_250);
 pub(crate) const WARM_WITHIN: Time = Time(100_000);
 const STARTED_AT: Time = Time(50_000);
@@ -71,10 +71,10 @@
 const MEMORY_KB: f64 = 10.0;
 const RUNNING_MEMORY_FACTOR: f64 = 8.0;
 const KEY_MEMORY_KB: f64 = 5.0;
-/// How late an answer may be in the model: its ticks come in steps.
+/// How late an answer may be in the model, because its ticks come in steps.
 const DEADLINE_SLACK: Time = Time(400);
 
-/// The handlers, one of each kind.
+/// The idempotency of each handler: one handler of each kind.
 const IDEMPOTENCIES: [Idempotency; 3] = [
     Idempotency::Idempotent,
     Idempotency::Keyed,
@@ -91,22 +91,22 @@
     pub(crate) draining: Option<(Time, Time)>,
     pub(crate) ticks: Vec<Time>,
     pub(crate) rejections: Vec<Rejection>,
-    /// Nothing moves on the cores: runs do not end and cannot be cancelled.
+    /// Whether the cores make no progress: runs do not end and cannot be cancelled.
     pub(crate) cores_frozen: bool,
-    /// What a gauge counts on the cores, where there is one; the other runs wait for the disk.
+    /// The gauge of runs on the cores, if there is one; the other runs wait for the disk.
     pub(crate) runnable_tasks: Option<f64>,
     pub(crate) max_rules_fired: usize,
     pub(crate) advice: f64,
     pub(crate) call_timeouts: Vec<Time>,
-    /// All actions in their order.
+    /// All actions so far, in order.
     pub(crate) actions: Vec<Actions>,
     pub(crate) idle_timeout: Time,
-    /// Whose requests arrive; else each tenant's in turn.
+    /// The tenant of the requests that arrive; if none, the tenants take turns.
     pub(crate) tenant: Option<usize>,
-    /// Who sends them, where told.
+    /// The caller of the requests that arrive, if known.
     pub(crate) caller: Option<CallerId>,
-    /// When runs were begun.
-    begun: Vec<Time>,
+    /// When runs were started, in order.
+    run_starts: Vec<Time>,
     next_id: u32,
 }
 
@@ -189,15 +189,15 @@
             idle_timeout: MAX_IDLE,
             tenant: None,
             caller: None,
-            begun: vec![],
+            run_starts: vec![],
             next_id: 1,
         };
         server.tick(0.0);
         server
     }
 
-    /// A request for one of the three handlers arrives that has waited `queueing_delay` to be read, and whose client waits
-    /// `client_wait` longer.
+    /// Lets a request for one of the three handlers arrive. It has waited `queueing_delay` to be read, and its client
+    /// waits `client_wait` longer.
     pub(crate) fn arrive(
         &mut self,
         handler: usize,
@@ -248,8 +248,8 @@
         id
     }
 
-    /// The newest request with this idempotency key. A duplicate is known by the key that was retained when it reached the
-    /// machine.
+    /// Finds the newest request with this idempotency key. A duplicate is recognized only if the key was still retained
+    /// when it reached the machine.
     fn original(&self, idempotency_key: Option<u32>, arrived_at: Time) -> Option<RequestId> {
         let is_retained = |id: &RequestId| {
             let expires_at = self.retained_keys.get(id);
@@ -272,7 +272,7 @@
         self.apply(actions);
     }
 
-    /// A run that was answered has shown no end for long.
+    /// Reports that the run of an answered request has not ended for a long time.
     pub(crate) fn run_overdue(&mut self, id: RequestId) {
         let actions = self.controller.run_overdue(self.now, id);
         self.apply(actions);
@@ -290,7 +290,7 @@
         self.apply(actions);
     }
 
-    /// All running requests want a call.
+    /// Lets all running requests want a call.
     pub(crate) fn all_want_calls(&mut self) {
         for id in self.in_state(State::Running) {
             self.want_call(id);
@@ -390,7 +390,11 @@
         for id in actions.coalesce {
             let request = self.requests.get_mut(&id).unwrap();
             let state = request.state;
-            assert_eq!(state, State::Queued, "coalesced what is not queued");
+            assert_eq!(
+                state,
+                State::Queued,
+                "coalesced a request that is not queued"
+            );
             request.state = State::Coalesced;
         }
         for (id, timeout) in actions.call {
@@ -399,7 +403,7 @@
         for id in actions.skip_call {
             let request = self.requests.get_mut(&id).unwrap();
             let may_skip = self.setup.skip_value > 0.0 && request.state == State::AwaitingCall;
-            assert!(may_skip, "a skip that is not allowed");
+            assert!(may_skip, "skipped a call that must not be skipped");
             request.state = State::Running;
         }
         self.advice = actions.advice.unwrap_or(self.advice);
@@ -412,19 +416,19 @@
         }
     }
 
-    /// Returns the request if its run ends by that.
+    /// Returns the request if its run ends as a result.
     fn cancel(&mut self, id: RequestId) -> Option<RequestId> {
         let request = self.requests.get_mut(&id).unwrap();
         let cancellation = self.setup.cancellation;
         assert_ne!(
             cancellation,
             Cancellation::Never,
-            "a cancellation where none is possible"
+            "cancelled a run although runs cannot be cancelled"
         );
         assert_eq!(
             request.idempotency,
             Idempotency::Idempotent,
-            "effect twice: a run that may not repeat was cancelled"
+            "duplicate effect: cancelled a run that must not be repeated"
         );
         if request.state != State::Running || self.cores_frozen {
             return None;
@@ -437,10 +441,10 @@
         Some(id)
     }
 
-    /// Returns the request if its run ends by that.
+    /// Returns the request if its run ends as a result.
     fn fail(&mut self, id: RequestId) -> Option<RequestId> {
         let request = self.requests.get_mut(&id).unwrap();
-        assert!(!request.answered, "lost: {id:?} answered twice");
+        assert!(!request.answered, "lost request: {id:?} answered twice");
         request.answered = true;
         match request.state {
             State::AwaitingCall | State::Calling => return Some(id),
@@ -452,10 +456,13 @@
 
     fn reject(&mut self, rejection: Rejection) {
         let request = self.requests.get_mut(&rejection.id).unwrap();
-        assert!(!request.answered, "lost: {rejection:?} answered twice");
+        assert!(
+            !request.answered,
+            "lost request: {rejection:?} answered twice"
+        );
         assert!(
             !request.was_started && request.state == State::Queued,
-            "a request that ran was rejected"
+            "rejected a request that ran"
         );
         request.answered = true;
         request.state = State::Ended;
@@ -464,43 +471,58 @@
 
     fn start(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        assert_eq!(request.state, State::Queued, "started what is not queued");
-        assert!(!request.was_started, "effect twice: {id:?} started again");
+        assert_eq!(
+            request.state,
+            State::Queued,
+            "started a request that is not queued"
+        );
+        assert!(
+            !request.was_started,
+            "duplicate effect: {id:?} started again"
+        );
         let in_grace = |(at, _): (Time, Time)| request.arrived_at <= at + DRAIN_GRACE;
         assert!(
             self.draining.is_none_or(in_grace),
-            "drain: ran what came late"
+            "drain: started a request that arrived after the grace period"
         );
-        let is_twin = |other: &&ModelRequest| {
+        let is_duplicate = |other: &&ModelRequest| {
             other.was_started
                 && other.idempotency_key.is_some()
                 && other.idempotency_key == request.idempotency_key
         };
-        let twin = self.requests.values().find(is_twin);
-        let is_clear = twin.is_none_or(|t| request.arrived_at - t.arrived_at > DEDUP_WINDOW);
+        let duplicate = self.requests.values().find(is_duplicate);
+        let is_past_window =
+            duplicate.is_none_or(|d| request.arrived_at - d.arrived_at > DEDUP_WINDOW);
         assert!(
-            is_clear || request.idempotency != Idempotency::Keyed,
-            "effect twice: a duplicate ran within its window"
+            is_past_window || request.idempotency != Idempotency::Keyed,
+            "duplicate effect: a duplicate ran within the dedup window"
         );
         let request = self.requests.get_mut(&id).unwrap();
         request.state = State::Running;
         request.was_started = true;
-        self.begun.push(self.now);
+        self.run_starts.push(self.now);
     }
 
     fn call(&mut self, id: RequestId, timeout: Time) {
         let request = self.requests.get_mut(&id).unwrap();
         let state = request.state;
-        assert_eq!(state, State::AwaitingCall, "a call that nothing waits for");
+        assert_eq!(
+            state,
+            State::AwaitingCall,
+            "made a call that no request waits for"
+        );
         assert!(timeout > Time(0));
         self.call_timeouts.push(timeout);
         let is_safe = request.idempotency == Idempotency::Idempotent || !request.call_may_have_run;
-        assert!(is_safe, "effect twice: a call made again that may have run");
+        assert!(
+            is_safe,
+            "duplicate effect: repeated a call that may have run"
+        );
         request.state = State::Calling;
     }
 }
 
-/// The rules.
+/// The invariants.
 impl ServerModel {
     fn check_invariants(&self) {
         self.check_answers();
@@ -509,15 +531,15 @@
         self.check_slow_start();
     }
 
-    /// Over any window a server in slow start begins no more than its budget, with a margin for chance.
+    /// Over any window a server in slow start starts no more runs than its budget allows, with a statistical margin.
     fn check_slow_start(&self) {
         let window = self.setup.overload_window;
         let capacity = self.capacity();
         if window == Time(0) || capacity >= 1.0 {
             return;
         }
-        let begun = self.begun.iter().rev();
-        let begun = begun.take_while(|at| **at + window > self.now).count() as f64;
+        let started = self.run_starts.iter().rev();
+        let started = started.take_while(|at| **at + window > self.now).count() as f64;
         let expected = CORES as f64 * capacity * window.as_f64() / FULL_SPEED_WORK.as_f64();
         let margin = if expected < 30.0 {
             3.0 * expected.sqrt() + 3.0
@@ -525,12 +547,12 @@
             2.0 * expected.sqrt() + 2.0
         };
         assert!(
-            begun <= expected + margin,
-            "fall-over: {begun} begun in slow start, {expected} expected"
+            started <= expected + margin,
+            "overload: {started} started in slow start, {expected} expected"
         );
     }
 
-    /// The fraction of its speed that the settings let the server have reached.
+    /// The fraction of its full speed that the server has reached according to the settings.
     fn capacity(&self) -> f64 {
         let warm_fraction = if self.setup.is_cold {
             (self.now - STARTED_AT).as_f64() / WARM_WITHIN.as_f64()
@@ -546,7 +568,7 @@
         for (id, request) in &self.requests {
             assert!(
                 request.answered || request.deadline + DEADLINE_SLACK >= now,
-                "lost: {id:?} {request:?} at {now:?}"
+                "lost request: {id:?} {request:?} at {now:?}"
             );
             assert!(
                 request.answered || now < stop,
@@ -561,29 +583,32 @@
         let on_core = self.runnable_tasks.unwrap_or(f64::MAX).min(running);
         assert!(
             on_core <= CORES as f64 * ceiling,
-            "fall-over: {on_core} on the cores"
+            "overload: {on_core} on the cores"
         );
-        // A shared dependency dies when the shares add up; one call may pass a share below one.
+        // A shared dependency fails when servers exceed their shares together; a share below one still allows one call.
         let calling = self.count(State::Calling) as f64;
         let share = self.setup.call_share;
         assert!(
             share.is_none_or(|share| calling <= share.max(1.0)),
-            "fall-over: {calling} calls in flight"
+            "overload: {calling} calls in flight"
         );
     }
 
     fn check_memory(&self) {
-        let of_request = |request: &ModelRequest| match request.state {
+        let memory_of = |request: &ModelRequest| match request.state {
             State::Ended => 0.0,
             State::Queued | State::Coalesced => request.memory_kb,
             State::Running | State::Paused | State::AwaitingCall | State::Calling => {
                 request.memory_kb * RUNNING_MEMORY_FACTOR
             }
         };
-        let requests = self.requests.values().map(of_request).sum::<f64>();
+        let requests = self.requests.values().map(memory_of).sum::<f64>();
         let expirations = self.retained_keys.values();
         let keys = expirations.filter(|at| **at > self.now).count();
         let used = requests + keys as f64 * KEY_MEMORY_KB;
-        assert!(used <= self.setup.memory_limit_kb, "fall-over: {used} kB");
+        assert!(
+            used <= self.setup.memory_limit_kb,
+            "overload: {used} kB of memory"
+        );
     }
 }
--- a/crates/admission/tests/decide/workloads.rs
+++ b/crates/admission/tests/decide/workloads.rs
@@ -9,14 +9,14 @@
     pub(crate) ended_at: Time,
 }
 
-/// So many requests for the idempotent handler arrive, each after waiting `queueing_delay` to be read.
+/// Lets `count` requests for the idempotent handler arrive, each after waiting `queueing_delay` to be read.
 pub(crate) fn arrive(server: &mut ServerModel, count: usize, queueing_delay: Time) {
     for _ in 0..count {
         server.arrive(0, queueing_delay, CLIENT_TIMEOUT, None);
     }
 }
 
-/// So many ticks, each `interval` after the one before.
+/// Ticks `count` times, each `interval` after the one before.
 pub(crate) fn tick_repeatedly(
     server: &mut ServerModel,
     count: usize,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Runs of these handlers that take so many ticks, with so little of the cores.
+/// Runs one request for each of `handlers` for `ticks` ticks, while the cores are used to `cpu_utilization`.
 pub(crate) fn run_all(
     server: &mut ServerModel,
     handlers: &[usize],
@@ -45,7 +45,7 @@
     }
 }
 
-/// Requests of so many callers in turn; of none that says who it is where `callers` is 0.
+/// Runs `count` requests one after the other, of `callers` callers in turn; callers are unknown if that is 0.
 pub(crate) fn run_in_turn(server: &mut ServerModel, callers: u64, count: u64, run_time: Time) {
     for turn in 0..count {
         server.caller = (callers > 0).then(|| CallerId(turn % callers));
@@ -53,7 +53,7 @@
     }
 }
 
-/// Calls one after the other for `duration`, each as long as `call_time` or as it may be.
+/// Makes calls one after the other for `duration`, each as long as `call_time` or its timeout, whichever is shorter.
 pub(crate) fn calls_in_a_row(
     server: &mut ServerModel,
     call_time: Time,
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,18 +1,18 @@
-//! Ids of requests and of those they belong to.
+//! Ids of requests, handlers, tenants and callers, and the idempotency of handlers.
 
-/// A request on this server, numbered as it is read.
+/// The id of a request on this server; requests are numbered in the order in which they are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u32);
 
-/// A handler, by its index in the list given at start.
+/// The id of a handler: its index in the list of handlers in the start-up settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HandlerId(pub usize);
 
-/// A tenant, by its index in the list given at start.
+/// The id of a tenant: its index in the list of tenants in the start-up settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Who sent a request: a sidecar, or a connection where sidecars do not say who they are.
+/// The id of the sender of a request: a sidecar, or a connection if sidecars do not identify themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Values that every other package speaks in: points in time and durations, the ids of requests, handlers, tenants and
+//! Basic types that other packages share: points in time and durations, the ids of requests, handlers, tenants and
 //! callers, whether a handler may run twice, and sums over a sliding window. No I/O, no clock, no decisions.
 
 mod ids;
--- a/crates/types/src/sliding_window.rs
+++ b/crates/types/src/sliding_window.rs
@@ -2,8 +2,8 @@
 
 use crate::Time;
 
-/// `K` sums over the last `window`, kept in `BUCKETS` buckets of equal width that are reused as a ring. What is older
-/// than the window drops out a bucket at a time.
+/// `K` sums over the last `window`, kept in `BUCKETS` buckets of equal width that are reused as a ring. Amounts
+/// older than the window expire one bucket at a time.
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<const K: usize, const BUCKETS: usize> {
     bucket_width: i64,
@@ -13,7 +13,7 @@
 }
 
 impl<const K: usize, const BUCKETS: usize> SlidingWindow<K, BUCKETS> {
-    /// An empty window of this duration.
+    /// Creates an empty window of this duration.
     pub fn new(window: Time) -> Self {
         SlidingWindow {
             bucket_width: (window.0 / BUCKETS as i64).max(1),
@@ -42,7 +42,8 @@
         })
     }
 
-    /// With the sums read as a histogram, the first bin up to which `fraction` of the total lies; `None` if it is empty.
+    /// Treats the sums as the bins of a histogram and returns the first bin up to which `fraction` of the total lies;
+    /// `None` if the histogram is empty.
     pub fn quantile(&self, now: Time, fraction: f64) -> Option<usize> {
         let sums = self.sums(now);
         let total = sums.iter().sum::<f64>();
