--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,22 +1,22 @@
-//! From the wire's values to the controller's.
+//! Decodes values of the wire format into inputs of the controller.
 
 use crate::error::AdapterError;
 use cottondyke_admission::{
     Arrival, CallOutcome, CallerId, HandlerId, LoadSample, RequestId, RunOutcome, TenantId, Time,
 };
-use cottondyke_settings::{maybe_number, number, present, text, unsigned, WireNames};
+use cottondyke_settings::{number, optional_number, present, text, unsigned, WireNames};
 use serde_json::Value;
 
 /// Tenths of a millisecond in one millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
-/// The longest time that is read, in tenths of a millisecond.
+/// The longest time, in tenths of a millisecond; longer ones are shortened to it.
 const MAX_TIME: f64 = 1e15;
-/// The flag of an arrival whose cost hint counts.
+/// The flag of an arrival whose cost hint is valid.
 const HAS_COST_HINT: u64 = 1;
 /// The flag of an arrival that is a retry.
 const IS_RETRY: u64 = 2;
 
-/// Rounded down, so that no deadline is lengthened.
+/// Converts milliseconds, rounded down so that no deadline is extended.
 fn rounded_down(milliseconds: f64) -> Time {
     let tenths = (milliseconds * TENTHS_PER_MS).floor();
     Time(tenths.clamp(-MAX_TIME, MAX_TIME) as i64)
@@ -44,7 +44,7 @@
 pub(crate) fn arrival(event: &Value, handlers: usize) -> Result<Arrival, AdapterError> {
     let flags = present(event, "flags").and_then(Value::as_u64);
     let flags = flags.unwrap_or(0);
-    let hint = maybe_number(event, "cost_ms")?;
+    let hint = optional_number(event, "cost_ms")?;
     let hint = hint.filter(|ms| flags & HAS_COST_HINT != 0 && *ms > 0.0);
     let duplicate_of = duplicate_of(event)?;
     let handler = handler(event, handlers)?;
@@ -59,16 +59,16 @@
         cost_hint: hint.map(rounded_down),
         is_retry: flags & IS_RETRY != 0,
         duplicate_of: duplicate_of.map(checked_duplicate).transpose()?,
-        memory_kb: maybe_number(event, "mem_kb")?.unwrap_or(0.0),
+        memory_kb: optional_number(event, "mem_kb")?.unwrap_or(0.0),
         queueing_delay,
         observed_delay: queueing_delay,
-        client_wait: maybe_number(event, "grace_ms")?
+        client_wait: optional_number(event, "grace_ms")?
             .filter(|ms| *ms > 0.0)
             .map(rounded_down),
     })
 }
 
-/// The number of the request that this one repeats; 0 stands for none.
+/// The id of the request that this one repeats; 0 on the wire stands for none.
 fn duplicate_of(event: &Value) -> Result<Option<u64>, AdapterError> {
     let key = "same_as";
     let number = present(event, key).map(|_| unsigned(event, key));
@@ -89,9 +89,10 @@
     Ok(HandlerId(category))
 }
 
-/// Rounded up, while the client's wait is rounded down, so that both ends of a deadline come early.
+/// Rounded up, while the client's remaining wait is rounded down: either makes the deadline that is computed from it
+/// earlier, never later.
 fn queueing_delay(event: &Value) -> Result<Time, AdapterError> {
-    let milliseconds = maybe_number(event, "lay_ms")?.unwrap_or(0.0);
+    let milliseconds = optional_number(event, "lay_ms")?.unwrap_or(0.0);
     let tenths = (milliseconds * TENTHS_PER_MS).ceil();
     Ok(Time(tenths.clamp(0.0, MAX_TIME) as i64))
 }
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,16 +1,16 @@
-//! From the controller's actions to the wire's commands, in the documented order of the actions.
+//! Encodes the controller's actions as commands of the wire format, in the documented order of the actions.
 
 use cottondyke_admission::{Actions, RequestId, Time};
 use serde_json::{json, Value};
 
-/// The shortest idle timeout that the wire takes.
+/// The shortest idle timeout that the wire format allows.
 const MIN_IDLE_TIMEOUT_MS: f64 = 10.0;
 
 fn milliseconds(time: Time) -> f64 {
     time.0 as f64 / 10.0
 }
 
-/// Appends the commands for an instance.
+/// Appends the commands for the actions of an instance.
 pub(crate) fn encode_actions(instance: &str, actions: &Actions, commands: &mut Vec<Value>) {
     let command =
         |name: &str, id: RequestId| json!({ "cmd": name, "who": instance, "msg_id": id.0 });
@@ -47,7 +47,7 @@
     encode_server_actions(instance, actions, commands);
 }
 
-/// What concerns the server and no request.
+/// Appends the commands that concern the server as a whole and no single request.
 fn encode_server_actions(instance: &str, actions: &Actions, commands: &mut Vec<Value>) {
     if let Some(healthy) = actions.health {
         commands.push(json!({ "cmd": "Health", "who": instance, "stored": true, "want": healthy }));
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,40 +1,40 @@
-//! What can be wrong with the input.
+//! Errors of the adapter.
 
 use cottondyke_settings::SettingsError;
 
-/// Why a batch could not be carried out. The program ends with it.
+/// Why a batch could not be processed. The program exits on the first one.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    /// A value of an event or of the settings.
+    /// A missing or invalid value of an event or of the settings.
     #[error(transparent)]
     Value(#[from] SettingsError),
-    #[error("{key} is past 32 bits")]
+    #[error("{key} does not fit in 32 bits")]
     IdTooLarge { key: &'static str },
-    #[error("category {category} is past the list of classes")]
+    #[error("category {category} is not an index of the list of classes")]
     UnknownHandler { category: usize },
-    #[error("unknown ending {ending} of a run")]
+    #[error("unknown ending {ending:?} of a run")]
     UnknownRunEnding { ending: String },
-    #[error("unknown ending {ending} of a call")]
+    #[error("unknown ending {ending:?} of a call")]
     UnknownCallEnding { ending: String },
-    #[error("usage is missing or not a row")]
+    #[error("usage is missing or not a list")]
     MissingUsage,
-    #[error("Create without its settings (conf)")]
+    #[error("conf of a Create event is missing or not an object")]
     MissingSettings,
-    #[error("{event} for {instance}, which is not running")]
+    #[error("event {event:?} for instance {instance:?}, which is not running")]
     NotRunning { event: String, instance: String },
-    #[error("unknown event {event}")]
+    #[error("unknown event {event:?}")]
     UnknownEvent { event: String },
-    #[error("a batch without its list of arrivals")]
+    #[error("arrivals is missing or not a list")]
     MissingEvents,
-    #[error("not JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     #[error("line {line}: {source}")]
     AtLine {
         line: usize,
         source: Box<AdapterError>,
     },
-    #[error("standard input: {0}")]
+    #[error("cannot read standard input: {0}")]
     Input(#[source] std::io::Error),
-    #[error("standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[source] std::io::Error),
 }
--- a/crates/adapter/src/instances.rs
+++ b/crates/adapter/src/instances.rs
@@ -13,13 +13,13 @@
     wire_names: WireNames,
 }
 
-/// One controller for each running instance; they share nothing.
+/// One controller for each running instance; instances are independent of each other.
 #[derive(Default)]
 pub(crate) struct Instances(BTreeMap<String, Instance>);
 
 impl Instances {
-    /// Carries out the events of a batch, and returns the commands that they lead to.
-    pub(crate) fn batch(&mut self, line: &str) -> Result<Value, AdapterError> {
+    /// Processes the events of a batch and returns the resulting commands.
+    pub(crate) fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
         let batch: Value = serde_json::from_str(line).map_err(AdapterError::NotJson)?;
         let now = decode::batch_time(&batch)?;
         let events = batch.get("arrivals").and_then(Value::as_array);
@@ -33,7 +33,9 @@
                     self.0.remove(instance);
                     continue;
                 }
-                _ => self.running(instance, name)?.event(now, name, event)?,
+                _ => self
+                    .running_instance(instance, name)?
+                    .handle_event(now, name, event)?,
             };
             encode_actions(instance, &actions, &mut commands);
         }
@@ -53,7 +55,11 @@
         Ok(actions)
     }
 
-    fn running(&mut self, instance: &str, event: &str) -> Result<&mut Instance, AdapterError> {
+    fn running_instance(
+        &mut self,
+        instance: &str,
+        event: &str,
+    ) -> Result<&mut Instance, AdapterError> {
         let running = self.0.get_mut(instance);
         running.ok_or_else(|| AdapterError::NotRunning {
             event: event.to_string(),
@@ -63,7 +69,12 @@
 }
 
 impl Instance {
-    fn event(&mut self, now: Time, name: &str, event: &Value) -> Result<Actions, AdapterError> {
+    fn handle_event(
+        &mut self,
+        now: Time,
+        name: &str,
+        event: &Value,
+    ) -> Result<Actions, AdapterError> {
         let controller = &mut self.controller;
         Ok(match name {
             "Incoming" => {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! The bench's wire on standard input and output: decodes events into inputs of the admission controller of their
-//! instance, and encodes the actions that it returns. One line is one batch. Nothing is decided here.
+//! Connects an external simulator to admission control over standard input and output: decodes events into inputs of
+//! the admission controller of their instance, and encodes the actions that it returns. One line is one batch. No
+//! decisions are made here.
 
 mod decode;
 mod encode;
@@ -16,7 +17,7 @@
     for (index, line) in io::stdin().lock().lines().enumerate() {
         let line = line.map_err(AdapterError::Input)?;
         let reply = instances
-            .batch(&line)
+            .handle_batch(&line)
             .map_err(|error| AdapterError::AtLine {
                 line: index + 1,
                 source: Box::new(error),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,54 +1,54 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
-/// A fault in the settings, or in another JSON document that is read by this package's functions.
+/// An error in the settings, or in another JSON document that is read with this package's functions.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A value that is needed stands nowhere.
+    /// A required value is missing.
     #[error("{key} is missing")]
     Missing {
-        /// Where it was looked for.
+        /// Its key.
         key: String,
     },
-    /// A text is needed.
-    #[error("{key} is missing or not a text")]
-    NotText {
-        /// Where it was looked for.
+    /// A string is required, and the value is missing or something else.
+    #[error("{key} is missing or not a string")]
+    NotString {
+        /// Its key.
         key: String,
     },
-    /// A whole number from 0 is needed.
+    /// A non-negative whole number is required, and the value is missing or something else.
     #[error("{key} is missing or not a whole number")]
     NotUnsigned {
-        /// Where it was looked for.
+        /// Its key.
         key: String,
     },
-    /// A finite number is needed.
+    /// A finite number is required, and the value is something else.
     #[error("{key} is not a number")]
     NotNumber {
-        /// Where it stands.
+        /// Its key.
         key: String,
     },
-    /// A list of booleans holds something else.
+    /// An item of a list of booleans is something else.
     #[error("{key}[{index}] is {value}: expected true or false")]
     NotBoolean {
-        /// The list.
+        /// The key of the list.
         key: &'static str,
-        /// The position in it.
+        /// The position of the item.
         index: usize,
-        /// What stands there, as JSON.
+        /// The item, as JSON.
         value: String,
     },
-    /// A group of settings is missing or not an object.
-    #[error("settings without {section}")]
+    /// A section of the settings is missing or not an object.
+    #[error("{section} is missing or not an object")]
     MissingSection {
         /// Its key.
         section: &'static str,
     },
-    /// A text is none of those that the key may have.
-    #[error("unknown {key} {value}")]
+    /// A string is none of the values that its key may have.
+    #[error("unknown {key} {value:?}")]
     UnknownValue {
-        /// Where it stands.
+        /// Its key.
         key: &'static str,
-        /// The text.
+        /// The string.
         value: String,
     },
 }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,4 +1,4 @@
-//! Typed values from JSON objects.
+//! Reads typed values from JSON objects.
 
 use crate::error::SettingsError;
 use cottondyke_types::Time;
@@ -6,7 +6,7 @@
 
 /// Tenths of a millisecond in one millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
-/// The longest duration that is read, in tenths of a millisecond.
+/// The longest duration, in tenths of a millisecond; longer ones are shortened to it.
 const MAX_DURATION: f64 = 1e15;
 
 /// The value of a key, if it is there and not null.
@@ -14,19 +14,19 @@
     object.get(key).filter(|v| !v.is_null())
 }
 
-/// The text of a key.
+/// The string value of a key.
 ///
 /// # Errors
-/// If it is missing or not a text.
+/// Returns an error if it is missing or not a string.
 pub fn text<'a>(object: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
     let text = object.get(key).and_then(Value::as_str);
-    text.ok_or_else(|| SettingsError::NotText { key: key.into() })
+    text.ok_or_else(|| SettingsError::NotString { key: key.into() })
 }
 
-/// The whole number of a key, from 0.
+/// The non-negative whole number of a key.
 ///
 /// # Errors
-/// If it is missing or not such a number.
+/// Returns an error if it is missing or not such a number.
 pub fn unsigned(object: &Value, key: &str) -> Result<u64, SettingsError> {
     let number = object.get(key).and_then(Value::as_u64);
     number.ok_or_else(|| SettingsError::NotUnsigned { key: key.into() })
@@ -35,16 +35,16 @@
 /// The number of a key.
 ///
 /// # Errors
-/// If it is missing or not a finite number.
+/// Returns an error if it is missing or not a finite number.
 pub fn number(object: &Value, key: &str) -> Result<f64, SettingsError> {
-    maybe_number(object, key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
+    optional_number(object, key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
 }
 
 /// The number of a key that may be missing or null.
 ///
 /// # Errors
-/// If it is something else than a finite number.
-pub fn maybe_number(object: &Value, key: &str) -> Result<Option<f64>, SettingsError> {
+/// Returns an error if it is anything other than a finite number.
+pub fn optional_number(object: &Value, key: &str) -> Result<Option<f64>, SettingsError> {
     let finite = |value: &Value| {
         let number = value.as_f64().filter(|n| n.is_finite());
         number.ok_or_else(|| SettingsError::NotNumber { key: key.into() })
@@ -52,19 +52,19 @@
     present(object, key).map(finite).transpose()
 }
 
-/// Whether a key is true; missing or anything else counts as false.
+/// Whether the value of a key is true; a missing or other value counts as false.
 pub fn flag(object: &Value, key: &str) -> bool {
     object.get(key).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// A duration in milliseconds; zero where the key is missing.
+/// A duration that is given in milliseconds; zero if the key is missing.
 pub(crate) fn duration(object: &Value, key: &str) -> Result<Time, SettingsError> {
-    let milliseconds = maybe_number(object, key)?.unwrap_or(0.0);
+    let milliseconds = optional_number(object, key)?.unwrap_or(0.0);
     let tenths = (milliseconds * TENTHS_PER_MS).clamp(0.0, MAX_DURATION);
     Ok(Time(tenths as i64))
 }
 
-/// A list; empty where the key is missing or something else.
+/// A list; empty if the value is missing or not a list.
 pub(crate) fn list<'a>(object: &'a Value, key: &str) -> &'a [Value] {
     let list = object.get(key).and_then(Value::as_array);
     list.map_or(&[], Vec::as_slice)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! From the start-up settings of an instance to its admission controller. The adapter and the server both build theirs
-//! here, so that the same settings give the same decisions.
+//! Builds the admission controller of an instance from its start-up settings. The adapter and the server both use it,
+//! so that the same settings lead to the same decisions.
 //!
-//! The settings are a JSON object whose keys are the platform's; here they become the terms of
+//! The settings are a JSON object whose keys are defined by the platform; they are translated to the terms of
 //! [`cottondyke_admission`].
 //!
 //! ```
@@ -20,5 +20,5 @@
 
 pub use admission::{admission_config, admission_controller, idempotencies, read_cache_ttl};
 pub use error::SettingsError;
-pub use json::{flag, maybe_number, number, present, text, unsigned};
+pub use json::{flag, number, optional_number, present, text, unsigned};
 pub use wire_names::{wire_names, WireNames};
--- a/crates/settings/src/wire_names.rs
+++ b/crates/settings/src/wire_names.rs
@@ -1,25 +1,25 @@
-//! What decoding the wire needs of the settings.
+//! The parts of the settings that are needed to decode the wire format.
 
 use crate::json::list;
 use serde_json::Value;
 
-/// The names of handlers and tenants in their order, and where the gauges that the controller reads stand in each row.
+/// The names of handlers and tenants in order, and the columns of the load gauges that the controller reads.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// The handlers; a handler's id is its index.
+    /// The names of the handlers; a handler's id is its index.
     pub handlers: Vec<String>,
-    /// The tenants; a tenant's id is its index.
+    /// The names of the tenants; a tenant's id is its index.
     pub tenants: Vec<String>,
-    /// The column of the fraction of the cores in use.
+    /// The column of the gauge of the fraction of the cores in use.
     pub cpu_utilization_column: Option<usize>,
-    /// The column of the number of tasks that want a core.
+    /// The column of the gauge of the number of tasks that want a core.
     pub runnable_tasks_column: Option<usize>,
 }
 
-/// Reads the names from the settings; what is missing is left empty.
+/// Reads the names and columns from the settings; missing ones are left empty.
 pub fn wire_names(settings: &Value) -> WireNames {
-    let info = settings.get("family_info");
-    let columns = info.map_or(&[][..], |info| list(info, "own_stats"));
+    let family_info = settings.get("family_info");
+    let columns = family_info.map_or(&[][..], |family_info| list(family_info, "own_stats"));
     let column = |name: &str| columns.iter().position(|c| c.as_str() == Some(name));
     WireNames {
         handlers: names(settings, "classes"),
