--- a/crates/server/src/app.rs
+++ b/crates/server/src/app.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them on one thread.
+//! Assembles the server and runs it on one thread.
 use crate::clock::Clock;
 use crate::cluster::error::ClusterError;
 use crate::cluster::{self, StartedCluster};
@@ -22,30 +22,30 @@
 use std::panic::AssertUnwindSafe;
 use std::rc::Rc;
 
-/// Why the program could not serve.
+/// Why the server could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum AppError {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error("cannot listen on {addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The settings give no admission controller.
+    /// The settings do not describe a valid admission controller.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The instance cannot join its peers.
+    /// The instance cannot start as a member of its cluster.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// A task ended by a panic.
-    #[error("a part of the server panicked; it cannot go on")]
+    /// A task panicked.
+    #[error("a task of the server panicked")]
     Panicked,
 }
 
-/// Serves until the server has ended. `files` are read again on SIGHUP; `signals` have been caught since before they
-/// were first read.
+/// Serves until the shutdown is complete. `files` are read again on SIGHUP; `signals` have been caught since before the
+/// files were first read.
 pub fn serve(signals: Signals, files: ConfigFiles, config: Config) -> Result<(), AppError> {
     let listener = bind(config.listen)?;
     let clock = Clock::start();
@@ -60,17 +60,17 @@
     log_start(&config, &listener);
 
     let context = Rc::new(connection_context(&config, &limits, events.clone()));
-    let listening = tasks.spawn(listener::listen(tasks.clone(), listener, context, stopped));
+    let listener_task = tasks.spawn(listener::listen(tasks.clone(), listener, context, stopped));
     let engine = config.engine;
-    let engine =
+    let engine_task =
         engine.map(|addr| tasks.spawn(engine_link::run(addr, engine_moves, events.clone())));
     let name = config.name.clone();
-    let reporting = config.control;
-    let reporting = reporting.map(|addr| tasks.spawn(load_report::run(addr, name, report_updates)));
-    let watching = tasks.spawn(signal::watch(signals, files, events.clone()));
+    let control = config.control;
+    let report_task = control.map(|addr| tasks.spawn(load_report::run(addr, name, report_updates)));
+    let signal_task = tasks.spawn(signal::watch(signals, files, events.clone()));
     let started = start_cluster(&config, clock, &tasks)?;
     let cluster = started.as_ref().map(|started| started.driver.clone());
-    let clustering = started.map(|started| tasks.spawn(started.run()));
+    let cluster_task = started.map(|started| tasks.spawn(started.run()));
     let dispatcher = RequestDispatcher::new(DispatcherParts {
         config,
         admission,
@@ -85,14 +85,14 @@
         },
         cluster: cluster.clone(),
     });
-    let beside = SideTasks {
-        listening,
-        engine,
-        reporting,
-        clustering,
-        watching,
+    let background = BackgroundTasks {
+        listener_task,
+        engine_task,
+        report_task,
+        cluster_task,
+        signal_task,
     };
-    let serving = dispatcher.run(pending_events).or(beside.run());
+    let serving = dispatcher.run(pending_events).or(background.run());
     let result = async_io::block_on(tasks.run(AssertUnwindSafe(serving).catch_unwind()));
     if let Some(cluster) = cluster {
         cluster.shut_down();
@@ -109,23 +109,24 @@
     listener::bind(addr).map_err(|source| AppError::Listen { addr, source })
 }
 
-/// The tasks beside the dispatcher.
-struct SideTasks {
-    listening: Task<()>,
-    engine: Option<Task<()>>,
-    reporting: Option<Task<()>>,
-    clustering: Option<Task<()>>,
-    watching: Task<()>,
+/// The tasks that run alongside the dispatcher.
+struct BackgroundTasks {
+    listener_task: Task<()>,
+    engine_task: Option<Task<()>>,
+    report_task: Option<Task<()>>,
+    cluster_task: Option<Task<()>>,
+    signal_task: Task<()>,
 }
 
-impl SideTasks {
-    /// Without any of these the server would be half alive: a panic in one ends it, with a line that says why.
+impl BackgroundTasks {
+    /// Runs until a task panics. Without any one of them the server would work only in part, so that the panic ends
+    /// it, with an error that says why.
     async fn run(self) {
-        propagate_panic(Some(self.listening))
-            .or(propagate_panic(self.engine))
-            .or(propagate_panic(self.reporting))
-            .or(propagate_panic(self.clustering))
-            .or(propagate_panic(Some(self.watching)))
+        propagate_panic(Some(self.listener_task))
+            .or(propagate_panic(self.engine_task))
+            .or(propagate_panic(self.report_task))
+            .or(propagate_panic(self.cluster_task))
+            .or(propagate_panic(Some(self.signal_task)))
             .await
     }
 }
@@ -148,7 +149,7 @@
     }
 }
 
-/// The instance among its peers, where the operator's file names some.
+/// Starts the instance's cluster member if the operator's file declares peers.
 fn start_cluster(
     config: &Config,
     clock: Clock,
@@ -163,7 +164,7 @@
     cluster::start(operator, peers, clock, tasks.clone(), config.seed).map(Some)
 }
 
-/// Passes a task's panic on; its end is of no interest.
+/// Propagates a panic of the task; otherwise never completes, even if the task does.
 async fn propagate_panic(task: Option<Task<()>>) {
     if let Some(task) = task {
         task.await;
--- a/crates/server/src/dedup.rs
+++ b/crates/server/src/dedup.rs
@@ -1,48 +1,48 @@
-//! Which requests repeat which: the table behind idempotency keys and shared responses. What an attempt repeats goes by
-//! the time at which it reached the machine, however late it is read: so an entry outlives its dedup window by a tail,
-//! in which only attempts that came within the window still find it.
+//! Deduplication of requests: the table behind idempotency keys and shared responses. Whether an attempt falls into a
+//! dedup window depends on when it reached the machine, however late it is read. So an entry outlives its window by a
+//! grace period, in which only attempts that arrived within the window still find it.
 use crate::protocol::sidecar::RunOutput;
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What repeats have in common.
+/// What a request and its duplicates have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdempotencyKey {
-    /// Their handler.
+    /// The handler.
     pub handler: HandlerId,
-    /// Their tenant, where that counts.
+    /// The tenant; `None` where requests of different tenants share a response.
     pub tenant: Option<TenantId>,
-    /// What the client sent.
+    /// The key that the client sent.
     pub key: Box<str>,
 }
 
-/// How the request of an entry ended.
+/// Whether the request of an entry has ended, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DedupOutcome {
     /// It is in flight.
     InFlight,
-    /// It was completed; none where its result is retained no longer.
+    /// It completed; `None` once its result is no longer retained.
     Completed(Option<Rc<RunOutput>>),
     /// It failed.
     Failed,
 }
 
-/// How long an entry is found.
+/// How long an entry can be found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DedupWindow {
-    /// What reached the machine before this repeats it; none for a read, whose end is set once it was completed.
+    /// Attempts that reached the machine before this are duplicates. `None` for a read that has not completed.
     pub until: Option<Time>,
-    /// How long after that the entry is retained, for what is read late.
-    pub tail: Time,
+    /// How long after `until` the entry is retained, for attempts that arrived in time and are read late.
+    pub grace: Time,
 }
 
-/// How long results are retained, and how many of them.
+/// Limits on the results that are retained for duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// How long the response of a read is handed to others.
+    /// How long the response to a read is shared with duplicates.
     pub read_ttl: Time,
-    /// Bytes of all retained results; past that the oldest go, and their repeats fail.
+    /// Size of all retained results, in bytes. Past it the oldest are dropped, and their duplicates fail.
     pub max_bytes: usize,
 }
 
@@ -53,18 +53,18 @@
     outcome: DedupOutcome,
 }
 
-/// The table, by request and by key.
+/// The deduplication entries, by request and by key.
 ///
 /// ```
 /// use cottondyke::dedup::{DedupTable, DedupWindow, IdempotencyKey};
 /// use cottondyke_types::{HandlerId, RequestId, Time};
 /// let key = IdempotencyKey { handler: HandlerId(0), tenant: None, key: "order-1".into() };
-/// let window = DedupWindow { until: Some(Time(100)), tail: Time(50) };
+/// let window = DedupWindow { until: Some(Time(100)), grace: Time(50) };
 /// let mut table = DedupTable::default();
 /// table.insert(RequestId(1), key.clone(), window);
 /// assert_eq!(table.find_original(Time(99), Time(99), &key), Some(RequestId(1)));
 /// assert_eq!(table.find_original(Time(120), Time(99), &key), Some(RequestId(1)), "read late");
-/// assert_eq!(table.find_original(Time(120), Time(110), &key), None, "came late");
+/// assert_eq!(table.find_original(Time(120), Time(110), &key), None, "arrived late");
 /// ```
 #[derive(Debug, Default)]
 pub struct DedupTable {
@@ -75,7 +75,7 @@
 }
 
 impl DedupTable {
-    /// The request that one with this key, which reached the machine at `arrived`, repeats.
+    /// The request of which an attempt with this key that reached the machine at `arrived` is a duplicate.
     pub fn find_original(
         &mut self,
         now: Time,
@@ -89,7 +89,7 @@
         is_within.then_some(*id)
     }
 
-    /// Enters a request. The key moves here from an older request.
+    /// Inserts a request. If an older request has the key, the key moves to this one and the older entry is removed.
     pub fn insert(&mut self, id: RequestId, key: IdempotencyKey, window: DedupWindow) {
         let outcome = match self.entries.get(&id) {
             Some(entry) => entry.outcome.clone(),
@@ -108,11 +108,11 @@
         };
         self.entries.insert(id, entry);
         if let Some(until) = window.until {
-            self.expirations.insert((until + window.tail, id));
+            self.expirations.insert((until + window.grace, id));
         }
     }
 
-    /// Removes a request with its key: what comes with the key from now on is the first.
+    /// Removes a request with its key: the next request with that key is a first attempt.
     pub fn release(&mut self, id: RequestId) {
         if let Some(entry) = self.remove(id) {
             self.by_key.remove(&entry.key);
@@ -125,13 +125,13 @@
             self.retained_bytes -= result.size();
         }
         if let Some(until) = entry.window.until {
-            self.expirations.remove(&(until + entry.window.tail, id));
+            self.expirations.remove(&(until + entry.window.grace, id));
         }
         Some(entry)
     }
 
-    /// Notes how a request ended: with a result, or none where it failed. A read's entry stays for the limit's time if
-    /// it was completed, else it goes.
+    /// Records how a request ended: with a result, or `None` if it failed. The entry of a read is kept for
+    /// `limits.read_ttl` if it completed, and removed otherwise.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -152,7 +152,7 @@
         if is_read && is_completed && limits.read_ttl > Time(0) {
             let until = now + limits.read_ttl;
             entry.window.until = Some(until);
-            self.expirations.insert((until + entry.window.tail, id));
+            self.expirations.insert((until + entry.window.grace, id));
         } else if is_read {
             self.release(id);
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// How a request ended; none where it is not in the table.
+    /// The outcome of a request; `None` if it is not in the table.
     pub fn outcome(&self, id: RequestId) -> Option<&DedupOutcome> {
         self.entries.get(&id).map(|entry| &entry.outcome)
     }
@@ -181,7 +181,7 @@
         self.entries.contains_key(&id)
     }
 
-    /// Removes what can be found no longer.
+    /// Removes the entries that can no longer be found.
     pub fn expire(&mut self, now: Time) {
         while let Some((until, id)) = self.expirations.first().copied() {
             if until > now {
--- a/crates/server/src/dispatcher/actions.rs
+++ b/crates/server/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Performs what the admission controller decides, in the order in which it stands.
+//! Performs the actions of the admission controller, in the order in which they are listed.
 use super::RequestDispatcher;
 use crate::clock::ms;
 use crate::dedup::DedupOutcome;
@@ -9,7 +9,7 @@
 use cottondyke_types::{RequestId, Time};
 
 impl RequestDispatcher {
-    /// Performs actions, and all that follows from them.
+    /// Performs actions and everything that follows from them.
     pub(super) fn perform_all(&mut self, now: Time, actions: Actions) {
         self.perform(now, actions);
         loop {
@@ -39,7 +39,8 @@
         for rejection in actions.reject {
             self.reject(now, &rejection);
         }
-        // What the admission controller retains it books; the entry itself stands since the request was read.
+        // `retain_key` is not performed: the admission controller accounts for what it retains, and the entry itself
+        // exists since the request was read.
         for id in actions.release_key {
             self.dedup.release(id);
         }
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Tells why a request changes its state, by the id that its sidecar gave it.
+    /// Counts a firing, and logs why the request changes its state, with the id that its sidecar gave it.
     fn record_firing(&mut self, firing: RuleFiring) {
         self.counters.by_rule.add(firing);
         if let Some(request) = self.requests.get(firing.id) {
@@ -107,7 +108,7 @@
         self.forget_unstarted(now, rejection.id);
     }
 
-    /// A request that was answered before it ran leaves nothing for its repeats.
+    /// Removes the dedup entry of a request that was answered before it ran, and fails the requests coalesced with it.
     fn forget_unstarted(&mut self, now: Time, id: RequestId) {
         self.dedup.release(id);
         self.answer_coalesced(now, id, None);
@@ -131,7 +132,7 @@
         self.execution_events.extend(events);
     }
 
-    /// The request waits for the response of the one that it repeats, or gets it where it is known.
+    /// Lets a duplicate wait for the response of its original, or answers it if that response is known.
     fn coalesce(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -150,7 +151,7 @@
         self.answer_coalesced(now, original, result);
     }
 
-    /// Health counts once something can run.
+    /// Changes the answer to health checks. Ignored until requests can run.
     fn set_healthy(&mut self, healthy: bool) {
         if self.executors.is_ready() && self.health.set_healthy(healthy) {
             let _ = self.report.try_send(ReportUpdate::Health { healthy });
--- a/crates/server/src/dispatcher/arrivals.rs
+++ b/crates/server/src/dispatcher/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive, repeats among them, and callers that go.
+//! Arriving requests, duplicates among them, and callers that cancel or disconnect.
 use super::requests::InFlightRequest;
 use super::RequestDispatcher;
 use crate::clock::time_of_ms;
@@ -9,20 +9,21 @@
 use cottondyke_admission::Arrival;
 use cottondyke_types::{CallerId, HandlerId, Idempotency, RequestId, Time};
 
-/// By which each time limit is longer on sockets (protocol page): a dedup window, which that makes stricter, too.
+/// Slack that the protocol adds to each time limit on sockets. A dedup window gets it too, which makes it stricter.
 const TIME_LIMIT_SLACK: Time = Time(500);
 
-/// A request's delay before it was read, and what is believed of it.
+/// How long a request waited to be read after it reached the machine.
 #[derive(Clone, Copy)]
 struct QueueingDelay {
-    /// As its stamp says.
-    stamped: Time,
-    /// No more than the last proven connection had.
+    /// As its timestamp reports.
+    reported: Time,
+    /// The same, capped at the last delay on a proven connection.
     observed: Time,
 }
 
-/// The request that another repeats, and the key that both have.
-struct Repetition {
+/// The result of looking up whether a request is a duplicate.
+struct DedupLookup {
+    /// The request of which it is a duplicate; `None` for a first attempt.
     original: Option<RequestId>,
     key: Option<IdempotencyKey>,
 }
@@ -34,8 +35,8 @@
         connection: ConnectionId,
         mut request: Request,
     ) {
-        // Guards effects: what was read on a connection that carries no response any more would run for nobody, and
-        // its sidecar, which saw the connection fail, may send it again elsewhere.
+        // A request on a connection that can carry no response must not run: its sidecar, which saw the connection
+        // fail, may send it again elsewhere, and its effects would occur twice.
         if !self.connections.record_request(now, connection) {
             tracing::debug!(connection = connection.0, id = ?request.id, "request on a dropped connection");
             self.counters.invalid += 1;
@@ -44,42 +45,43 @@
         if self.requests.contains_wire_id(request.id) {
             tracing::debug!(connection = connection.0, id = ?request.id, "request id already in flight");
             self.counters.invalid += 1;
-            let (connection, stream) = self.fail_copy(connection, &request);
+            let (connection, stream) = self.resolve_id_conflict(connection, &request);
             self.connections
                 .send(now, connection, &Response::Failed(stream));
             return;
         }
         let id = self.requests.allocate_id(|id| self.dedup.contains(id));
-        let delay = self.stamp_clock.since(request.arrived_unix_ms);
+        let delay = self.timestamp_clock.age(request.arrived_unix_ms);
         let key = self.take_idempotency_key(&mut request);
-        let Some(repetition) = self.find_repetition(now, connection, now - delay, key, &request)
+        let Some(lookup) = self.look_up_original(now, connection, now - delay, key, &request)
         else {
-            tracing::debug!(connection = connection.0, id = ?request.id, "repeat on an unproven connection");
+            tracing::debug!(connection = connection.0, id = ?request.id, "duplicate on an unproven connection");
             self.counters.invalid += 1;
             let response = Response::Failed(request.stream);
             self.connections.send(now, connection, &response);
             return;
         };
-        if repetition.original.is_none() {
-            self.open_dedup_window(now, id, repetition.key.as_ref());
+        if lookup.original.is_none() {
+            self.open_dedup_window(now, id, lookup.key.as_ref());
         }
-        let delay = self.learn_delay(connection, delay);
-        self.admit(now, id, connection, request, delay, repetition);
+        let delay = self.observe_delay(connection, delay);
+        self.admit(now, id, connection, request, delay, lookup);
     }
 
-    /// A stamp teaches how long requests lie unread where the engine has known a request of that connection; else no
-    /// more than what was learned so counts.
-    fn learn_delay(&mut self, connection: ConnectionId, stamped: Time) -> QueueingDelay {
+    /// Timestamps show how long requests wait to be read only on proven connections, where the engine has recognized a
+    /// request. On any other, the delay counts no more than the last one that was observed on a proven connection.
+    fn observe_delay(&mut self, connection: ConnectionId, reported: Time) -> QueueingDelay {
         if self.connections.is_proven(connection) {
-            self.recent_delay = stamped;
+            self.recent_delay = reported;
         }
         QueueingDelay {
-            stamped,
-            observed: stamped.min(self.recent_delay),
+            reported,
+            observed: reported.min(self.recent_delay),
         }
     }
 
-    /// A keyed request is another attempt of one of its own tenant; a read is shared by handler and key alone.
+    /// Takes the idempotency key of a request, if it applies. The attempts of a keyed request have the same tenant; a
+    /// read is shared by handler and key alone.
     fn take_idempotency_key(&self, request: &mut Request) -> Option<IdempotencyKey> {
         let idempotency = self.config.idempotency[request.handler.0];
         let is_keyed = idempotency == Idempotency::Keyed;
@@ -94,35 +96,35 @@
             })
     }
 
-    /// What a request repeats; none where it may not be answered like the original, nor run.
+    /// Looks up the request of which this one is a duplicate; `None` if it may neither share that response nor run.
     ///
-    /// Guards results against clients that copy a key: a repeat takes its response from the table, where no engine says
-    /// whether it knows the request. So it takes it only on the connection of the open first attempt, or on one of
-    /// which the engine has known a request. A read on any other runs by itself; a keyed request, which may not run
-    /// again, fails.
-    fn find_repetition(
+    /// Protects responses from clients that copy a key: a duplicate gets its response from the table, and no engine
+    /// checks whether it recognizes the request. So it gets that response only on the connection of the original, while
+    /// that is in flight, or on a proven connection, where the engine has recognized a request. A read on any other
+    /// connection runs by itself; a keyed request, which must not run again, fails.
+    fn look_up_original(
         &mut self,
         now: Time,
         connection: ConnectionId,
         arrived: Time,
         key: Option<IdempotencyKey>,
         request: &Request,
-    ) -> Option<Repetition> {
+    ) -> Option<DedupLookup> {
         let original = key
             .as_ref()
             .and_then(|key| self.dedup.find_original(now, arrived, key));
-        let is_copied = original.is_some_and(|original| {
+        let may_be_copied = original.is_some_and(|original| {
             let first = self.requests.get(original);
             let is_same = first.is_some_and(|first| first.connection == connection);
             !self.connections.is_proven(connection) && !is_same
         });
-        if !is_copied {
-            return Some(Repetition { original, key });
+        if !may_be_copied {
+            return Some(DedupLookup { original, key });
         }
         if self.config.idempotency[request.handler.0] == Idempotency::Keyed {
             return None;
         }
-        Some(Repetition {
+        Some(DedupLookup {
             original: None,
             key: None,
         })
@@ -135,12 +137,12 @@
         connection: ConnectionId,
         request: Request,
         delay: QueueingDelay,
-        repetition: Repetition,
+        lookup: DedupLookup,
     ) {
         let counts_connections = self.config.caller_source == CallerSource::Connections;
         let client_wait = request
             .client_wait_ms
-            .map(|ms| (time_of_ms(ms) - delay.stamped).max(Time(0)));
+            .map(|ms| (time_of_ms(ms) - delay.reported).max(Time(0)));
         let arrival = Arrival {
             id,
             handler: request.handler,
@@ -148,9 +150,9 @@
             caller: counts_connections.then_some(CallerId(connection.0)),
             cost_hint: request.cost_hint_ms.map(time_of_ms),
             is_retry: request.is_retry,
-            duplicate_of: repetition.original,
+            duplicate_of: lookup.original,
             memory_kb: request.memory_kb,
-            queueing_delay: delay.stamped,
+            queueing_delay: delay.reported,
             observed_delay: delay.observed,
             client_wait,
         };
@@ -159,8 +161,8 @@
             stream: request.stream,
             wire_id: request.id,
             arrival,
-            arrived: now - delay.stamped,
-            key: repetition.key,
+            arrived: now - delay.reported,
+            key: lookup.key,
             body: request.body.into(),
             is_answered: false,
             is_running: false,
@@ -172,10 +174,10 @@
         self.perform_all(now, actions);
     }
 
-    /// Which of two requests with one id is the copy, and fails. Guards sidecars against a client that copies their
-    /// requests and is read first: where the engine has known a request of the later connection and none of the
-    /// earlier, the later takes the place of the earlier, and its response.
-    fn fail_copy(
+    /// Decides which of two requests with the same id is the copy, and returns where its failure is sent. Protects
+    /// sidecars from a client that copies their requests and is read first: if only the later connection is proven and
+    /// the bodies are equal, the later request takes the place of the earlier one, and its response.
+    fn resolve_id_conflict(
         &mut self,
         connection: ConnectionId,
         request: &Request,
@@ -199,28 +201,28 @@
         copy
     }
 
-    /// Enters a request that repeats none in the table. Guards effects: the window opens when the attempt that runs
-    /// reached the machine, and stamps may be odd, so it is taken to open now at the earliest. It does not rest on
-    /// whether the admission controller still books an entry: of two attempts that lay unread past a short window each
-    /// would run.
+    /// Inserts a first attempt into the dedup table. The window opens when the attempt that runs reached the machine,
+    /// but timestamps may be wrong: so that no effect occurs twice, it is taken to open now at the earliest. It does
+    /// not depend on whether the admission controller still accounts for the key: otherwise two attempts that both
+    /// waited unread past a short window would each run.
     fn open_dedup_window(&mut self, now: Time, id: RequestId, key: Option<&IdempotencyKey>) {
         let Some(key) = key else { return };
         let HandlerId(handler) = key.handler;
         let window = match self.config.idempotency[handler] {
             Idempotency::Keyed => DedupWindow {
                 until: Some(now + self.config.times[handler].dedup_window + TIME_LIMIT_SLACK),
-                tail: time_of_ms(self.config.max_client_timeout_ms),
+                grace: time_of_ms(self.config.max_client_timeout_ms),
             },
             _ => DedupWindow {
                 until: None,
-                tail: Time(0),
+                grace: Time(0),
             },
         };
         self.dedup.insert(id, key.clone(), window);
     }
 
-    /// An open request whose first attempt was none arrives again, as it stands now: as the first attempt, or as a
-    /// repeat of the next.
+    /// Submits an unanswered request to the admission controller again, with its current delay: as a first attempt, or
+    /// as a duplicate of the new first attempt.
     pub(super) fn readmit(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -254,8 +256,8 @@
         self.perform_all(now, actions);
     }
 
-    /// The sidecar waits for a request no longer: it is answered at once, and the admission controller told. One with a
-    /// key goes on, for its repeats.
+    /// Handles the cancellation of a request by its sidecar: it is answered at once, and the admission controller is
+    /// told. A request with an idempotency key continues, for its duplicates.
     pub(super) fn handle_cancel(&mut self, now: Time, connection: ConnectionId, stream: StreamId) {
         self.connections.record_event(now, connection);
         let cancelled = self.requests.find_id(|request| {
@@ -264,12 +266,13 @@
                 && request.is_open_without_key()
         });
         if let Some(id) = cancelled {
-            self.drop_caller(now, id, stream);
+            self.handle_caller_gone(now, id, stream);
         }
     }
 
-    /// Nobody reads what a lost connection still owes: the admission controller is told of all that was open on it. A
-    /// request with a key goes on, for its repeats.
+    /// Handles the end of a connection. Nobody reads its outstanding responses: the admission controller is told that
+    /// the callers of its unanswered requests are gone. A request with an idempotency key continues, for its
+    /// duplicates.
     pub(super) fn handle_connection_closed(&mut self, now: Time, connection: ConnectionId) {
         self.connections.closed(connection);
         let open = self
@@ -281,11 +284,11 @@
             "connection closed"
         );
         for id in open {
-            self.drop_caller(now, id, StreamId(0));
+            self.handle_caller_gone(now, id, StreamId(0));
         }
     }
 
-    fn drop_caller(&mut self, now: Time, id: RequestId, stream: StreamId) {
+    fn handle_caller_gone(&mut self, now: Time, id: RequestId, stream: StreamId) {
         self.answer(now, id, Response::Failed(stream));
         let actions = self.admission.caller_gone(now, id);
         self.perform_all(now, actions);
--- a/crates/server/src/dispatcher/counters.rs
+++ b/crates/server/src/dispatcher/counters.rs
@@ -1,31 +1,31 @@
-//! What went wrong in the last second: one line at the most, whatever the number.
+//! Failures of the last second, logged in at most one line of each kind, whatever their number.
 use crate::execution::engine::EngineCounters;
 use cottondyke_admission::{AdmissionStatus, Rule, RuleFiring};
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-/// How often each rule that answers without a result fired.
+/// How often each rule fired that answers a request without a result.
 #[derive(Default)]
 pub(super) struct RuleCounts(BTreeMap<Rule, u64>);
 
 impl RuleCounts {
     /// Counts a firing, if its rule answers a request without a result.
     pub(super) fn add(&mut self, firing: RuleFiring) {
-        let goes_on = matches!(
+        let continues = matches!(
             firing.rule,
             Rule::NextToStart | Rule::NextToCall | Rule::PastCallWait | Rule::Duplicate
         );
-        if !goes_on {
+        if !continues {
             *self.0.entry(firing.rule).or_default() += 1;
         }
     }
 }
 
-/// `unwinnable=12,at_deadline=1`; empty where none fired.
+/// `unwinnable=12,at_deadline=1`; empty if none fired.
 impl Display for RuleCounts {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        for (place, (rule, count)) in self.0.iter().enumerate() {
-            let separator = if place == 0 { "" } else { "," };
+        for (index, (rule, count)) in self.0.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "," };
             write!(formatter, "{separator}{}={count}", rule.name())?;
         }
         Ok(())
@@ -34,20 +34,21 @@
 
 #[derive(Default)]
 pub(super) struct LogCounters {
-    /// Requests that could be answered, not run.
+    /// Requests that could not be run: invalid ones, ids that are already in flight, duplicates on unproven connections
+    /// and requests on dropped connections.
     pub(super) invalid: u64,
     /// Connections that broke the protocol.
     pub(super) malformed: u64,
-    /// Requests that failed before a run of theirs ended.
+    /// Requests that the admission controller failed before their run ended.
     pub(super) failed: u64,
-    /// Requests that were not admitted, or shed.
+    /// Requests that were not admitted or were shed.
     pub(super) rejected: u64,
-    /// Why, by rule.
+    /// The reasons, by rule.
     pub(super) by_rule: RuleCounts,
 }
 
 impl LogCounters {
-    /// Whether anything was answered without a result.
+    /// Whether any request was answered without a result.
     pub(super) fn has_answered_without_result(&self) -> bool {
         self.failed + self.rejected > 0
     }
@@ -84,7 +85,8 @@
     }
 }
 
-/// The state of the admission controller, while it is in slow start or something was answered without a result.
+/// Logs the state of the admission controller, for the seconds in which it is in slow start or requests were answered
+/// without a result.
 pub(super) fn log_status(status: AdmissionStatus) {
     tracing::info!(
         capacity = status.capacity,
--- a/crates/server/src/dispatcher/engine.rs
+++ b/crates/server/src/dispatcher/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's comings and goings, and the health checks that it answers.
+//! Connections to the engine, and health checks.
 use super::RequestDispatcher;
 use crate::clock::time_of_ms;
 use crate::dedup::DedupTable;
@@ -12,8 +12,9 @@
 use cottondyke_types::Time;
 
 impl RequestDispatcher {
-    /// The first hello tells when the engine started. The admission controller reckons from there, but not from before
-    /// this program could observe anything. Nothing has run by then: what is open arrives again.
+    /// Handles a hello of the engine. The first one tells when the engine started: the admission controller counts from
+    /// then, or from the start of this program if that is later, since nothing was observed before. Nothing has run by
+    /// then, so all open requests are submitted again.
     pub(super) fn handle_engine_up(
         &mut self,
         now: Time,
@@ -35,22 +36,22 @@
             "connected to the engine"
         );
         if first {
-            let born = (now - time_of_ms(age_ms)).max(self.started_at);
-            self.restart_admission(now, born);
+            let engine_started_at = (now - time_of_ms(age_ms)).max(self.started_at);
+            self.restart_admission(now, engine_started_at);
         }
     }
 
-    /// A new admission controller, of an engine that started at `born`, to which all that is open arrives again.
-    fn restart_admission(&mut self, now: Time, born: Time) {
-        match self.config.admission_controller(born) {
+    /// Creates a new admission controller for an engine that started at this time, and submits all open requests to it.
+    fn restart_admission(&mut self, now: Time, engine_started_at: Time) {
+        match self.config.admission_controller(engine_started_at) {
             Ok(admission) => self.admission = admission,
             Err(error) => {
                 tracing::error!(%error, "cannot build an admission controller from the settings")
             }
         }
         self.executors.forget_all(now);
-        // What is open arrives again, and enters the table again: the first attempt of each key that is left is the
-        // first.
+        // Open requests are inserted again as they are submitted: the first of those that are left for a key is its
+        // first attempt.
         self.dedup = DedupTable::default();
         self.requests.remove_answered();
         self.ticks.clear();
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
-//! The dispatcher: the sole owner of the admission controller, of the in-flight requests and of the timers. Everything
-//! that happens reaches it as an [`Event`]; it asks the admission controller and performs the actions in the order in
-//! which they stand. It never waits on a socket.
+//! The dispatcher: the sole owner of the admission controller, of the in-flight requests and of the timers. Every input
+//! reaches it as an [`Event`]; it passes inputs to the admission controller and performs the resulting actions in the
+//! order in which [`Actions`](cottondyke_admission::Actions) lists them. It never waits on a socket.
 mod actions;
 mod arrivals;
 mod counters;
@@ -11,7 +11,7 @@
 mod shutdown;
 mod timers;
 
-use crate::clock::{Clock, StampClock};
+use crate::clock::{Clock, TimestampClock};
 use crate::cluster::ClusterDriver;
 use crate::config::Config;
 use crate::connection::table::ConnectionTable;
@@ -40,35 +40,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Events taken before timers and other tasks have their turn.
+/// Further events that are handled in one batch before timers and other tasks run.
 const MAX_EVENT_BATCH: usize = 64;
 
-/// What a dispatcher is made of.
+/// What a dispatcher is built from.
 pub struct DispatcherParts {
-    /// What is in force.
+    /// The configuration in force.
     pub config: Rc<Config>,
     /// Decides what is admitted.
     pub admission: AdmissionController,
     /// The program's clock.
     pub clock: Clock,
-    /// Runs the calls.
+    /// The executor on which calls are spawned.
     pub tasks: Rc<LocalExecutor<'static>>,
-    /// Where calls send their end, for the dispatcher to take.
+    /// The dispatcher's event queue, to which calls report their end.
     pub events: Sender<Event>,
-    /// Descriptors and memory.
+    /// The limits on descriptors and memory.
     pub limits: Rc<ResourceLimits>,
-    /// To the tasks beside it.
+    /// Channels to background tasks.
     pub channels: TaskChannels,
-    /// Where quotas are leased; none without `peers(...)`.
+    /// Leases quotas; `None` without `peers(...)`.
     pub cluster: Option<Rc<ClusterDriver>>,
 }
 
-/// Takes events and performs what the admission controller decides.
+/// Handles events and performs the actions of the admission controller.
 pub struct RequestDispatcher {
     config: Rc<Config>,
     clock: Clock,
-    /// By which requests were stamped.
-    stamp_clock: StampClock,
+    /// Computes the age of requests from their timestamps.
+    timestamp_clock: TimestampClock,
     started_at: Time,
     admission: AdmissionController,
     requests: RequestTable,
@@ -80,38 +80,38 @@
     health: HealthChecker,
     cpu: CpuSampler,
     counters: LogCounters,
-    /// How long the last request of a proven connection lay unread.
+    /// How long the last request on a proven connection waited to be read.
     recent_delay: Time,
     report: Sender<ReportUpdate>,
     engine_address: Sender<SocketAddr>,
-    /// Dropped to stop the listening.
+    /// Dropped to stop the listener.
     stop_listening: Option<Sender<()>>,
-    /// When the admission controller is to be told of the time.
+    /// When ticks of the admission controller are due.
     ticks: BTreeSet<Time>,
-    /// Until when the load that the engine was asked for is waited for.
+    /// When the pending load query to the engine times out.
     load_query_until: Option<Time>,
-    /// Coalesced requests whose outcome is known, told to the admission controller once its actions are performed.
+    /// Outcomes of coalesced requests, reported to the admission controller once its current actions are performed.
     coalesced_outcomes: VecDeque<(RequestId, RunOutcome)>,
-    /// What executors told while actions were performed, taken after them.
+    /// Events that executors returned while actions were performed; handled after those actions.
     execution_events: VecDeque<ExecutionEvent>,
     next_maintenance: Time,
     next_log: Time,
-    /// Log lines that were dropped when this was last looked at.
+    /// How many log lines had been dropped at the last check.
     dropped_lines: usize,
-    /// When the shutdown signal came.
+    /// When the shutdown signal was received.
     shutdown_at: Option<Time>,
 }
 
 impl RequestDispatcher {
-    /// A dispatcher that has taken no event.
+    /// Creates a dispatcher that has handled no event.
     pub fn new(parts: DispatcherParts) -> Self {
         let now = parts.clock.now();
-        let executors = executors(&parts, now);
+        let executors = build_executors(&parts, now);
         let channels = parts.channels;
         RequestDispatcher {
             config: parts.config,
             clock: parts.clock,
-            stamp_clock: StampClock::start(),
+            timestamp_clock: TimestampClock::start(),
             started_at: now,
             admission: parts.admission,
             requests: RequestTable::default(),
@@ -138,9 +138,9 @@
         }
     }
 
-    /// Takes events until the server has ended.
+    /// Handles events until the shutdown is complete.
     pub async fn run(mut self, events: Receiver<Event>) {
-        // An engine's hello is what starts the admission controller; without one, nothing is waited for.
+        // With an engine, its hello starts the admission controller; without one, the controller starts at once.
         if self.executors.engine.is_none() {
             self.tick(self.clock.now(), LoadSample::default());
         }
@@ -188,13 +188,13 @@
                 age_ms,
                 commands,
             } => self.handle_engine_up(now, start, age_ms, commands),
-            Event::Reload(read) => self.handle_reload(now, read),
+            Event::Reload(result) => self.handle_reload(now, result),
             Event::Shutdown => self.handle_shutdown(now),
             event => self.forward_to_executor(now, event),
         }
     }
 
-    /// What an executor is told, and what it makes of it.
+    /// Passes an event to its executor and handles the events that the executor returns.
     fn forward_to_executor(&mut self, now: Time, event: Event) {
         let engine = self.executors.engine.as_mut();
         let aggregation = self.executors.aggregation.as_mut();
@@ -259,8 +259,8 @@
     }
 }
 
-/// The executors that the configuration asks for.
-fn executors(parts: &DispatcherParts, now: Time) -> Executors {
+/// Creates the executors that the configuration requires.
+fn build_executors(parts: &DispatcherParts, now: Time) -> Executors {
     let config = &parts.config;
     let engine = config.engine.map(|_| {
         let engine_config = EngineExecutorConfig {
--- a/crates/server/src/dispatcher/outcomes.rs
+++ b/crates/server/src/dispatcher/outcomes.rs
@@ -1,4 +1,5 @@
-//! What executors tell: runs that end, calls, load and self-tests; and the response that each request gets once.
+//! Events of executors: ends of runs, calls, load samples and self-tests; and the final response of each request, sent
+//! once.
 use super::RequestDispatcher;
 use crate::clock::time_of_ms;
 use crate::dedup::RetentionLimits;
@@ -24,7 +25,7 @@
         }
     }
 
-    /// What an executor tells, and what the admission controller makes of it.
+    /// Handles an event of an executor and returns the actions of the admission controller, if there are any.
     pub(super) fn handle_execution_event(
         &mut self,
         now: Time,
@@ -76,7 +77,7 @@
         if coalesced.is_empty() {
             return Some(actions);
         }
-        // What the end of the run brings goes before what the requests that arrive again bring.
+        // The actions for the ended run come before those for the requests that are submitted again.
         self.perform_all(now, actions);
         for id in coalesced {
             self.readmit(now, id);
@@ -84,8 +85,9 @@
         None
     }
 
-    /// Nothing was started for a request, since the engine does not know it: it leaves nothing for its repeats. Guards
-    /// keys against clients that use them first: those that were coalesced with it do not fail for it.
+    /// Removes the dedup entry of a request that was not started, because the engine does not recognize it, and returns
+    /// the requests that were coalesced with it. These do not fail with it: otherwise a client could make the requests
+    /// of others fail by using their key first.
     fn detach_coalesced(&mut self, id: RequestId) -> Vec<RequestId> {
         self.dedup.release(id);
         let coalesced = self
@@ -99,7 +101,7 @@
         coalesced
     }
 
-    /// A run has ended: what is still owed goes out first, then the admission controller is told.
+    /// Handles the end of a run: outstanding responses are sent first, then the admission controller is told.
     fn end_run(
         &mut self,
         now: Time,
@@ -134,8 +136,9 @@
         Some(self.admission.run_ended(now, id, outcome))
     }
 
-    /// Settles runs of which nothing was heard since long after their clients gave up. One whose command may have been
-    /// lost holds its place no longer. Any other is on the machine: guards that against runs put beside those that hang.
+    /// Handles runs that have not ended long after their clients gave up. A run whose command may have been lost is
+    /// abandoned, which frees its place. Any other still occupies the machine: it is counted as overdue, so that runs
+    /// started beside runs that hang do not overload the machine.
     pub(super) fn settle_overdue_runs(&mut self, now: Time) {
         let max_age = time_of_ms(self.config.max_client_timeout_ms).scaled(OVERDUE_AFTER);
         let overdue = self.requests.ids_where(|request| {
@@ -150,13 +153,13 @@
                 tracing::warn!(id = ?wire_id, "abandoning a run that never ended");
                 self.abandon_run(now, id);
             } else {
-                tracing::warn!(id = ?wire_id, "a run is overdue; it stays among what the machine survives");
+                tracing::warn!(id = ?wire_id, "a run is overdue; it still counts towards the survivable concurrency");
                 self.mark_overdue(now, id);
             }
         }
     }
 
-    /// It may have run, so its entry in the dedup table stays.
+    /// Ends a run as never started. It may have run all the same, so its entry in the dedup table stays.
     fn abandon_run(&mut self, now: Time, id: RequestId) {
         let output = RunOutput::default();
         if let Some(actions) = self.end_run(now, id, RunOutcome::NotStarted, output) {
@@ -172,7 +175,7 @@
         self.perform_all(now, actions);
     }
 
-    /// Requests that wait for the response of `original` get it.
+    /// Answers the requests that wait for the response of `original`.
     pub(super) fn answer_coalesced(
         &mut self,
         now: Time,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// The final response, once.
+    /// Sends the final response, unless one was sent already.
     pub(super) fn answer(&mut self, now: Time, id: RequestId, response: Response) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/crates/server/src/dispatcher/reload.rs
+++ b/crates/server/src/dispatcher/reload.rs
@@ -1,4 +1,4 @@
-//! A configuration that is read again: addresses and limits follow it; nothing that was learned or is open is lost.
+//! Reload of the configuration: addresses and limits change; learned state, open connections and requests are kept.
 use super::RequestDispatcher;
 use crate::config::{Config, ConfigError, Reloaded};
 use crate::event::ReportUpdate;
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 impl RequestDispatcher {
-    pub(super) fn handle_reload(&mut self, now: Time, read: Result<Box<Config>, ConfigError>) {
-        let new = match read {
+    pub(super) fn handle_reload(&mut self, now: Time, result: Result<Box<Config>, ConfigError>) {
+        let new = match result {
             Ok(new) => *new,
             Err(error) => {
                 tracing::error!(%error, "configuration is invalid; keeping the old one");
@@ -67,7 +67,7 @@
             let peers = operator.peers.as_ref();
             if peers.is_some_and(|peers| cluster.is_fixed_part_changed(peers)) {
                 tracing::warn!(
-                    "of peers only keepers can change while the server runs; keeping the old values"
+                    "only keepers of peers(...) can change while the server runs; keeping the old values"
                 );
             }
             cluster.reconfigure(now, operator);
@@ -81,15 +81,15 @@
 }
 
 fn log_reload(config: &Config) {
-    let shown = |addr: Option<SocketAddr>| match addr {
+    let format_addr = |addr: Option<SocketAddr>| match addr {
         Some(addr) => addr.to_string(),
         None => "none".to_string(),
     };
     let operator = config.operator.as_ref();
     tracing::info!(
-        engine = shown(config.engine),
-        records = shown(config.records),
-        control = shown(config.control),
+        engine = format_addr(config.engine),
+        records = format_addr(config.records),
+        control = format_addr(config.control),
         aggregations = operator.map_or(0, |operator| operator.aggregations.len()),
         "configuration reloaded"
     );
--- a/crates/server/src/dispatcher/requests.rs
+++ b/crates/server/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests: what stands behind each id, from its arrival until it is answered and no run of it goes on.
+//! The table of requests, which holds each from its arrival until it is answered and none of its runs is in progress.
 use crate::dedup::IdempotencyKey;
 use crate::event::ConnectionId;
 use crate::protocol::sidecar::StreamId;
@@ -14,7 +14,7 @@
     pub(super) connection: ConnectionId,
     pub(super) stream: StreamId,
     pub(super) wire_id: WireId,
-    /// As the admission controller knows it.
+    /// As it was submitted to the admission controller.
     pub(super) arrival: Arrival,
     /// When it reached the machine.
     pub(super) arrived: Time,
@@ -22,14 +22,14 @@
     pub(super) body: Rc<[u8]>,
     pub(super) is_answered: bool,
     pub(super) is_running: bool,
-    /// Whether it runs on the machine long after it was answered, as the admission controller was told.
+    /// Whether its run continues long after it was answered, and the admission controller was told so.
     pub(super) is_overdue: bool,
-    /// The request for whose response it waits.
+    /// The request whose response it waits for.
     pub(super) coalesced_with: Option<RequestId>,
 }
 
 impl InFlightRequest {
-    /// By when it must be answered: as its caller tells, else by the client timeout.
+    /// When it must be answered: at the end of the wait that its caller states, or else of the client timeout.
     pub(super) fn deadline(&self, client_timeout: Time) -> Time {
         let wait = match self.arrival.client_wait {
             Some(wait) => wait + self.arrival.queueing_delay,
@@ -38,7 +38,7 @@
         self.arrived + wait
     }
 
-    /// Whether its end is of use to its own caller alone, who has not been answered.
+    /// Whether it is unanswered and its result is of use to its own caller alone.
     pub(super) fn is_open_without_key(&self) -> bool {
         !self.is_answered && self.key.is_none()
     }
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, InFlightRequest>,
-    /// The ids of all of them, as they stand on the wire.
+    /// Their ids on the wire.
     wire_ids: BTreeSet<WireId>,
     last_id: Option<RequestId>,
 }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The next id that neither stands here nor `is_taken`.
+    /// The next id that is neither in the table nor `is_taken`.
     pub(super) fn allocate_id(&mut self, is_taken: impl Fn(RequestId) -> bool) -> RequestId {
         loop {
             let id = match self.last_id {
@@ -99,32 +99,32 @@
         }
     }
 
-    /// The ids of those that `selects` picks, in their order.
-    pub(super) fn ids_where(&self, selects: impl Fn(&InFlightRequest) -> bool) -> Vec<RequestId> {
-        let selected = self.requests.iter().filter(|(_, request)| selects(request));
+    /// The ids of the requests that `matches` accepts, in ascending order.
+    pub(super) fn ids_where(&self, matches: impl Fn(&InFlightRequest) -> bool) -> Vec<RequestId> {
+        let selected = self.requests.iter().filter(|(_, request)| matches(request));
         selected.map(|(id, _)| *id).collect()
     }
 
-    /// The id of the first that `selects` picks.
-    pub(super) fn find_id(&self, selects: impl Fn(&InFlightRequest) -> bool) -> Option<RequestId> {
+    /// The id of the first request that `matches` accepts.
+    pub(super) fn find_id(&self, matches: impl Fn(&InFlightRequest) -> bool) -> Option<RequestId> {
         let mut requests = self.requests.iter();
-        let found = requests.find(|(_, request)| selects(request));
+        let found = requests.find(|(_, request)| matches(request));
         found.map(|(id, _)| *id)
     }
 
-    /// The first that `selects` picks.
+    /// The first request that `matches` accepts.
     pub(super) fn find_mut(
         &mut self,
-        selects: impl Fn(&InFlightRequest) -> bool,
+        matches: impl Fn(&InFlightRequest) -> bool,
     ) -> Option<&mut InFlightRequest> {
-        self.requests.values_mut().find(|request| selects(request))
+        self.requests.values_mut().find(|request| matches(request))
     }
 
     pub(super) fn values(&self) -> impl Iterator<Item = &InFlightRequest> {
         self.requests.values()
     }
 
-    /// Removes what is answered, whatever still runs.
+    /// Removes the answered requests, including those that still run.
     pub(super) fn remove_answered(&mut self) {
         self.requests.retain(|_, request| !request.is_answered);
         self.wire_ids = self.values().map(|request| request.wire_id).collect();
--- a/crates/server/src/dispatcher/shutdown.rs
+++ b/crates/server/src/dispatcher/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown: from its signal until all that was read is answered, or its time is over.
+//! The graceful shutdown: from its signal until every request that was read is answered, or the timeout is over.
 use super::RequestDispatcher;
 use crate::clock::time_of_ms;
 use crate::shutdown::{self, ShutdownPhase, FULL_AGGREGATIONS_UNTIL};
@@ -21,7 +21,7 @@
         self.next_maintenance = now;
     }
 
-    /// From the shutdown signal until the end.
+    /// The configured time from the shutdown signal to the end of the process.
     pub(super) fn shutdown_timeout(&self) -> Time {
         time_of_ms(self.config.shutdown_timeout.as_secs_f64() * 1_000.0)
     }
@@ -30,7 +30,7 @@
         shutdown::phase(self.shutdown_at, self.shutdown_timeout(), now)
     }
 
-    /// Closes what the phase closes; true once the server has ended.
+    /// Closes the listener and connections as the phase requires; true once the shutdown is complete.
     pub(super) fn advance_shutdown(&mut self, now: Time, phase: ShutdownPhase) -> bool {
         if phase >= ShutdownPhase::StoppedAccepting && self.stop_listening.take().is_some() {
             self.connections.send_go_away_to_all(now);
@@ -38,8 +38,8 @@
         if phase >= ShutdownPhase::Closing {
             self.connections.close_idle();
         }
-        // The end of the process is a close of every connection at once: it waits until each has written its responses
-        // and read what its sidecar still sent, or its time is over.
+        // The end of the process closes every connection at once. So it waits until each connection has written its
+        // responses and read what its sidecar still sent, or the timeout is over.
         if phase == ShutdownPhase::Expired {
             return true;
         }
--- a/crates/server/src/dispatcher/timers.rs
+++ b/crates/server/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! What is due by the clock: ticks of the admission controller, timeouts of checks and load queries, maintenance.
+//! Timers: ticks of the admission controller, timeouts of health checks and load queries, maintenance.
 use super::counters::log_status;
 use super::RequestDispatcher;
 use crate::execution::engine::EngineExecutor;
@@ -7,7 +7,7 @@
 use cottondyke_admission::LoadSample;
 use cottondyke_types::{Time, SECOND};
 
-/// A tick goes to the admission controller without load when none comes from the engine within this time.
+/// If the engine does not answer a load query within this time, the admission controller's tick goes without load.
 const LOAD_QUERY_TIMEOUT: Time = Time(100);
 const MAINTENANCE_INTERVAL: Time = Time(500);
 const DRAINING_MAINTENANCE_INTERVAL: Time = Time(50);
@@ -27,7 +27,7 @@
             .fold(self.next_maintenance, Time::min)
     }
 
-    /// Does what is due by the clock; true once the server has ended.
+    /// Handles the timers that are due; true once the shutdown is complete.
     pub(super) fn handle_timers(&mut self) -> bool {
         let now = self.clock.now();
         for check in self.health.take_expired(now) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// One tick for all that are due: at once, or with the load that the engine is asked for.
+    /// Sends one tick for all that are due: at once, or with the engine's answer to a load query.
     fn handle_due_ticks(&mut self, now: Time) {
         let pending = self.ticks.len();
         self.ticks.retain(|at| *at > now);
@@ -77,7 +77,7 @@
         self.perform_all(now, actions);
     }
 
-    /// Housekeeping of all parts; true once the server has ended.
+    /// Periodic maintenance; true once the shutdown is complete.
     fn maintain(&mut self, now: Time) -> bool {
         let interval = match self.shutdown_at {
             Some(_) => DRAINING_MAINTENANCE_INTERVAL,
@@ -93,15 +93,15 @@
         }
         if now >= self.next_log {
             self.next_log = now + LOG_INTERVAL;
-            self.log_second(now);
+            self.log_last_second(now);
         }
         self.settle_overdue_runs(now);
         self.dedup.expire(now);
         self.advance_shutdown(now, phase)
     }
 
-    /// What went wrong in the last second, and the state that explains it.
-    fn log_second(&mut self, now: Time) {
+    /// Logs the failures of the last second and the admission status that explains them.
+    fn log_last_second(&mut self, now: Time) {
         let engine = self.executors.log_and_count(now);
         let counters = std::mem::take(&mut self.counters);
         let status = self.admission.status(now);
@@ -117,13 +117,16 @@
         let dropped = dropped_lines();
         if dropped > self.dropped_lines {
             let lines = dropped - self.dropped_lines;
-            tracing::warn!(lines, "log lines were dropped: standard error is not taken");
+            tracing::warn!(
+                lines,
+                "log lines were dropped: standard error is read or written too slowly"
+            );
         }
         self.dropped_lines = dropped;
     }
 
-    /// Guards newcomers that wait to be accepted while every place is taken: those told to go are not left until the
-    /// next maintenance.
+    /// Evicts connections above the target. While the limit is reached, new connections wait to be accepted: so the
+    /// next maintenance is brought forward to when the evicted connections can be closed.
     pub(super) fn evict_connections(&mut self, now: Time) {
         let count = self.limits.connections();
         if let Some(at) = self.connections.evict_excess(now, count) {
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -1,5 +1,5 @@
-//! What reaches the dispatcher and what it sends to the tasks beside it, with the ids that go along: values alone, so
-//! that every part may name them and none needs another for it.
+//! The inputs of the dispatcher and its messages to background tasks, with their ids. They are plain values, so that
+//! modules can exchange them without depending on each other.
 use crate::config::{Config, ConfigError};
 use crate::protocol::engine::{EngineCommand, EngineMessage, EngineStart};
 use crate::protocol::sidecar::{Request, StreamId};
@@ -10,78 +10,78 @@
 use cottondyke_types::RequestId;
 use std::net::SocketAddr;
 
-/// Events that may wait for the dispatcher; past that their senders wait.
+/// Capacity of the dispatcher's event queue; while it is full, senders wait.
 pub const MAX_PENDING_EVENTS: usize = 1_024;
 
-/// Numbers the connections of sidecars.
+/// Identifies a sidecar's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Numbers the calls of runs, so that the end of a cancelled one is not taken for the end of the next.
+/// Identifies a call of a run, so that the end of a cancelled call is not taken for the end of the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallNumber(pub u64);
 
-/// What reaches the dispatcher.
+/// An input of the dispatcher.
 pub enum Event {
-    /// A connection stands; its writer takes what is sent here.
+    /// A connection was opened; its writer receives what is sent on this channel.
     Opened(ConnectionId, Sender<Outgoing>),
     /// A request was read.
     Request(ConnectionId, Request),
-    /// A request past what may be in flight on a connection.
+    /// A request beyond the number that may be in flight on a connection.
     ExcessRequest(ConnectionId, StreamId),
-    /// A request that can be answered, not run.
+    /// A request that can be answered but not run.
     InvalidRequest(ConnectionId, StreamId, RequestError),
     /// A health check was read.
     HealthCheck {
-        /// Where it came from.
+        /// The connection on which it arrived.
         connection: ConnectionId,
-        /// To be answered on this stream.
+        /// The stream on which it is answered.
         stream: StreamId,
-        /// Whether the engine is to test itself for it.
+        /// Whether it asks for a self-test of the engine.
         deep: bool,
     },
-    /// The sidecar waits for this request no longer.
+    /// The sidecar no longer waits for this request.
     Cancelled(ConnectionId, StreamId),
-    /// The sidecar has sent its last, and may still read.
+    /// The sidecar sends nothing more but may still read.
     HalfClosed(ConnectionId),
-    /// Nothing more can be read from the connection.
+    /// The bytes of a connection broke the protocol; nothing more can be read from it.
     ProtocolError(ConnectionId, ProtocolError),
     /// The connection is closed, its last bytes written.
     Closed(ConnectionId),
-    /// The engine said hello on a link.
+    /// The engine sent its hello on a link.
     EngineUp {
-        /// How it was when it started.
+        /// Whether it started cold or warm.
         start: EngineStart,
         /// How long ago it started, in milliseconds.
         age_ms: f64,
-        /// The link takes commands here.
+        /// The channel for commands to the link.
         commands: Sender<EngineCommand>,
     },
-    /// The link broke; these commands were not sent to their last byte.
+    /// The link broke; these commands were not sent completely.
     EngineDown(Vec<EngineCommand>),
-    /// The engine said something else.
+    /// Another message from the engine.
     EngineMessage(EngineMessage),
     /// A call of a run to the records service has ended.
     RecordsCallEnded(RequestId, CallNumber, Result<Vec<u8>, CallError>),
     /// A call of an aggregation to a dependency has ended.
     DependencyCallEnded(CallId, CallResult),
-    /// The process is to end.
+    /// A shutdown signal was received.
     Shutdown,
-    /// The configuration, read again.
+    /// The configuration was read again.
     Reload(Result<Box<Config>, ConfigError>),
 }
 
-/// The dispatcher's channels to the tasks beside it.
+/// The dispatcher's channels to background tasks.
 pub struct TaskChannels {
-    /// To the load report, which takes each update at once; one for each change of health or address.
+    /// Updates for the load report, one for each change of health or address; it receives each at once.
     pub report: Sender<ReportUpdate>,
-    /// New addresses of the engine; one for each reload that changes it.
+    /// New addresses of the engine, one for each reload that changes it.
     pub engine_address: Sender<SocketAddr>,
-    /// Its end stops the listening.
+    /// Dropping it stops the listener.
     pub stop_listening: Sender<()>,
 }
 
-/// What the dispatcher hands a connection's writer.
+/// A message from the dispatcher to a connection's writer.
 pub enum Outgoing {
     /// A response.
     Response {
@@ -90,32 +90,33 @@
         /// Whether it is the final answer to a request.
         settles_request: bool,
     },
-    /// Close, if the dispatcher has taken all that was read here. What crosses this keeps the connection open.
+    /// Close the connection if the dispatcher has handled everything that was read on it. A request that crosses this
+    /// message keeps the connection open.
     Close {
-        /// How many events of this connection the dispatcher has taken.
+        /// How many events of this connection the dispatcher has handled.
         taken: u64,
     },
 }
 
-/// Why a call brought no result, told by how far it had come.
+/// Why a call returned no result, by how far it had got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The service has not begun it.
-    #[error("not begun: {0}")]
+    /// The service has not started it.
+    #[error("not executed: {0}")]
     NotBegun(&'static str),
-    /// It may have begun, and may go on.
-    #[error("maybe begun: {0}")]
+    /// The service may have started it, and it may still be running.
+    #[error("possibly executed: {0}")]
     MaybeBegun(&'static str),
-    /// It was begun, and goes on no longer.
-    #[error("ended: {0}")]
+    /// The service has started it, and it is no longer running.
+    #[error("failed: {0}")]
     Ended(&'static str),
-    /// Its connection broke once it was sent, which proves nothing: it may go on.
+    /// Its connection broke after it was sent, which proves nothing: it may still be running.
     #[error("interrupted: {0}")]
     Interrupted(&'static str),
 }
 
 impl CallError {
-    /// As the admission controller takes it.
+    /// Converts the error to the outcome that the admission controller is given.
     pub fn outcome(self) -> CallOutcome {
         match self {
             CallError::NotBegun(_) => CallOutcome::NotExecuted,
@@ -126,9 +127,9 @@
     }
 }
 
-/// What the load report is told.
+/// An update for the load report.
 pub enum ReportUpdate {
-    /// What health checks are answered.
+    /// The answer to health checks changed.
     Health {
         /// Whether the server is ready.
         healthy: bool,
--- a/crates/server/src/health_check.rs
+++ b/crates/server/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: answered from what the admission controller set, or by a self-test of the engine.
+//! Health checks: answered with the status that the admission controller set or, before it has, by the engine's state.
 use crate::event::ConnectionId;
 use crate::protocol::engine::Tag;
 use crate::protocol::sidecar::StreamId;
@@ -7,7 +7,7 @@
 
 /// A check waits this long for the engine's self-test, and is then answered as unhealthy.
 const SELF_TEST_TIMEOUT: Time = Time(5_000);
-/// Self-tests that may be pending; further checks are answered as unhealthy.
+/// Maximum number of pending self-tests; further checks are answered as unhealthy.
 const MAX_PENDING_TESTS: usize = 64;
 
 /// Where the answer to a health check goes.
@@ -19,22 +19,22 @@
     pub stream: StreamId,
 }
 
-/// What health checks are answered, and those that wait for a self-test.
+/// The answer to health checks, and the checks that wait for a self-test.
 #[derive(Debug, Default)]
 pub struct HealthChecker {
-    /// What the admission controller set; before it has, checks are answered by what the engine does.
+    /// The status that the admission controller set; until then checks are answered by the state of the engine.
     healthy: Option<bool>,
-    /// Checks that wait, and until when.
+    /// Checks that wait for a self-test, and when they time out.
     pending: BTreeMap<Tag, (Time, HealthCheckOrigin)>,
 }
 
 impl HealthChecker {
-    /// Sets what checks are answered; true if that is a change.
+    /// Sets the answer to checks; true if it changed.
     pub fn set_healthy(&mut self, healthy: bool) -> bool {
         self.healthy.replace(healthy) != Some(healthy)
     }
 
-    /// What a check is answered at once; none where only a self-test can tell.
+    /// The immediate answer to a check; `None` if it needs a self-test.
     pub fn answer(&self, deep: bool, engine_up: bool) -> Option<bool> {
         if self.healthy.is_some() {
             return self.healthy;
@@ -45,17 +45,17 @@
         (!deep).then_some(true)
     }
 
-    /// A check waits for the self-test with this tag.
+    /// Registers a check that waits for the self-test with this tag.
     pub fn wait_for_test(&mut self, now: Time, tag: Tag, origin: HealthCheckOrigin) {
         self.pending.insert(tag, (now + SELF_TEST_TIMEOUT, origin));
     }
 
-    /// The check that waits for this self-test, which it waits for no longer.
+    /// Removes and returns the check that waits for this self-test.
     pub fn finish_test(&mut self, tag: Tag) -> Option<HealthCheckOrigin> {
         self.pending.remove(&tag).map(|(_, origin)| origin)
     }
 
-    /// The checks that have waited long enough.
+    /// Removes and returns the checks that have timed out.
     pub fn take_expired(&mut self, now: Time) -> Vec<HealthCheckOrigin> {
         let expired: Vec<_> = self
             .pending
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// When the next check has waited long enough.
+    /// When the next check times out.
     pub fn next_timer(&self) -> Option<Time> {
         self.pending.values().map(|(until, _)| *until).min()
     }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,13 +1,14 @@
-//! The server of cottondyke on sockets: it reads requests from sidecars, lets the admission controller decide what is
-//! admitted, runs what is admitted and writes the responses.
+//! The cottondyke server: it reads requests from sidecars, asks the admission controller which of them to admit, runs
+//! the admitted ones and writes the responses.
 //!
-//! Modules by floor, from the ground; none imports one that stands after it:
+//! Modules by layer, lowest first; no module imports one that is listed after it:
 //!
-//! - [`clock`], [`backoff`], [`log_output`], [`descriptor_table`], [`protocol`] (bytes to messages and back), [`config`] and [`event`] (what reaches the dispatcher);
+//! - [`clock`], [`backoff`], [`log_output`], [`descriptor_table`], [`protocol`] (encoding and decoding of messages),
+//!   [`config`] and [`event`] (the inputs of the dispatcher);
 //! - [`resource_limits`], [`cpu_usage`], [`shutdown`], [`health_check`], [`dedup`], [`signal`];
 //! - [`connection`], [`listener`], [`outbound`], [`load_report`], [`cluster`], [`execution`];
 //! - [`dispatcher`], the sole owner of the admission controller, the in-flight requests and the timers;
-//! - [`app`], which puts all together.
+//! - [`app`], which assembles and runs the server.
 
 pub mod app;
 pub mod backoff;
--- a/crates/server/src/log_output.rs
+++ b/crates/server/src/log_output.rs
@@ -1,16 +1,16 @@
-//! Where log lines go: standard error, written by a thread of its own. Guards serving against a reader that has stopped or
-//! a disk that stalls: the thread that serves never waits for either, and lines that find no room are dropped and counted.
+//! Log output: a separate thread writes the lines to standard error, so that the serving thread never waits for a
+//! reader that has stopped or a disk that stalls. Lines that do not fit into the queue are dropped and counted.
 use std::io;
 use std::sync::OnceLock;
 use tracing::level_filters::LevelFilter;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that may wait to be written.
+/// Capacity of the queue of lines to be written.
 const MAX_PENDING_LINES: usize = 1_024;
 
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Logs from now on, at this level. What waits is written when the guard is dropped, unless standard error stalls.
+/// Starts logging at this level. Queued lines are written when the guard is dropped, unless standard error stalls.
 pub fn start(level: LevelFilter) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -26,7 +26,7 @@
     guard
 }
 
-/// How many lines found no room since the start.
+/// How many lines were dropped since the start.
 pub fn dropped_lines() -> usize {
     DROPPED_LINES.get().map_or(0, ErrorCounter::dropped_lines)
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: `serve`, `check`, `peers`, `version`.
+//! The command line: `serve`, `check`, `peers`, `version`.
 use cottondyke::app;
 use cottondyke::cluster::status;
 use cottondyke::config::files::ConfigFiles;
@@ -12,26 +12,26 @@
 use tracing::level_filters::LevelFilter;
 
 const HELP: &str = "\
-cottondyke - a server that decides what it takes, runs and turns away
+cottondyke - a server that decides which requests it admits, runs and rejects
 
 usage: cottondyke COMMAND [--config FILE] [--operator FILE] [--log LEVEL]
 
 commands:
-  serve      serve until SIGTERM
-  check      read both files, say what is wrong with them, or what is in force
-  peers ADDR ask the instance whose peers port this is what it knows of members and budgets
+  serve      serve requests until SIGTERM
+  check      validate both files; print what is wrong with them, or a summary of the configuration
+  peers ADDR print what the instance with this peers address knows of members and budgets
   version    print the version
 
 options:
-  --config FILE    the platform's configuration (default: the file that GW_CONFIG names)
-  --operator FILE  the operator's script; with it alone the program serves on its own
-  --json           what peers prints, as JSON
-  --log LEVEL      error, warn, info (default), debug or trace, on standard error
+  --config FILE    the platform's configuration (default: the file named by GW_CONFIG)
+  --operator FILE  the operator's script; without a configuration the server runs standalone
+  --json           print the output of peers as JSON
+  --log LEVEL      log level on standard error: error, warn, info (default), debug or trace
 
-SIGHUP reads both files anew; SIGTERM is the notice to leave
-exit codes: 0 well, 1 could not serve, 2 bad usage or configuration";
+SIGHUP reloads both files; SIGTERM starts a graceful shutdown
+exit codes: 0 success, 1 failure, 2 bad usage or configuration";
 
-/// Exit codes beside success.
+/// Exit codes other than success.
 const CANNOT_SERVE: u8 = 1;
 const BAD_USAGE: u8 = 2;
 
@@ -73,7 +73,7 @@
         Ok(arguments)
     }
 
-    /// The files, where the environment may name the platform's.
+    /// The files to read. Without `--config`, `GW_CONFIG` names the platform's configuration.
     fn files(self) -> ConfigFiles {
         let config = self
             .files
@@ -86,7 +86,7 @@
     }
 }
 
-/// Prints an error on one line.
+/// Prints an error on one line and returns the exit code.
 fn fail(error: impl Display, code: u8) -> ExitCode {
     let line = error.to_string().replace(['\n', '\r'], " ");
     eprintln!("cottondyke: {line}");
@@ -105,8 +105,8 @@
         "serve" => return serve(arguments),
         "peers" => return peers(arguments),
         other => {
-            let what = format!("unknown command {other:?}; see cottondyke --help");
-            return fail(what, BAD_USAGE);
+            let message = format!("unknown command {other:?}; see cottondyke --help");
+            return fail(message, BAD_USAGE);
         }
     }
     ExitCode::SUCCESS
@@ -122,7 +122,7 @@
     }
 }
 
-/// What is in force, for people.
+/// A readable summary of the configuration in force.
 fn summary(config: &Config) -> String {
     let operator = config
         .operator
@@ -133,10 +133,10 @@
 }
 
 fn serve(arguments: Arguments) -> ExitCode {
-    // Before any other thread runs, which the signals below start.
+    // Comes before any other thread runs; catching the signals below starts one.
     let reserved = descriptor_table::reserve();
-    // First of all: until signals are caught, each has its default action, and a SIGHUP that comes while the files are
-    // read would end the program.
+    // Comes before the files are read: until signals are caught, each has its default action, and a SIGHUP during the
+    // reading would end the program.
     let signals = match signal::catch() {
         Ok(signals) => signals,
         Err(error) => return fail(format!("cannot watch for signals: {error}"), CANNOT_SERVE),
@@ -149,7 +149,7 @@
     };
     let _log = log_output::start(log_level);
     if let Err(error) = reserved {
-        tracing::warn!(%error, "cannot reserve room for descriptors; accepting may stall while it is made");
+        tracing::warn!(%error, "cannot reserve the descriptor table; accepting connections may stall while the kernel enlarges it");
     }
     match app::serve(signals, files, config) {
         Ok(()) => ExitCode::SUCCESS,
@@ -160,9 +160,9 @@
 fn peers(arguments: Arguments) -> ExitCode {
     let addr = arguments.peer.unwrap_or_default();
     let Ok(addr) = addr.parse() else {
-        let what =
+        let message =
             format!("peers {addr:?}: expected an IP address with a port such as 127.0.0.1:7100");
-        return fail(what, BAD_USAGE);
+        return fail(message, BAD_USAGE);
     };
     match status::query(addr) {
         Ok(status) if arguments.json => println!("{}", serde_json::json!(status)),
--- a/crates/server/src/signal.rs
+++ b/crates/server/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals of the process: SIGTERM and SIGINT begin the shutdown, SIGHUP has the files read again.
+//! Signals of the process: SIGTERM and SIGINT start the shutdown, SIGHUP reloads the files.
 use crate::config::files::ConfigFiles;
 use crate::config::{Config, ConfigError};
 use crate::event::Event;
@@ -19,9 +19,9 @@
     FilesRead(ReadResult),
 }
 
-/// Passes signals on: SIGHUP with the files read again, any other as the shutdown signal, of which the dispatcher takes
-/// the first only. Evaluating a script may take seconds: signals are taken meanwhile, and one more SIGHUP has the files
-/// read once more.
+/// Forwards signals to the dispatcher: SIGHUP as a reload with the files read again, any other as a shutdown, of which
+/// the dispatcher acts only on the first. Evaluating a script may take seconds: signals are still received meanwhile,
+/// and any number of SIGHUPs in that time causes one more reading.
 pub async fn watch(mut signals: Signals, files: ConfigFiles, events: Sender<Event>) {
     let mut pending_read = None;
     let mut read_again = false;
@@ -38,7 +38,7 @@
                 read_again = true;
                 continue;
             }
-            // Without a script the files are read in no time.
+            // Without a script, reading the files is too short to need a thread.
             Some(SignalEvent::Signal(Ok(Signal::Hup))) if files.operator.is_none() => {
                 Event::Reload(files.read().map(Box::new))
             }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Reads the files on a thread of its own, which ends with it.
+/// Reads the files on a separate thread, which then ends.
 fn start_read(files: &ConfigFiles) -> Receiver<ReadResult> {
     let files = files.clone();
     let (sender, result) = async_channel::bounded(1);
--- a/crates/server/tests/dedup.rs
+++ b/crates/server/tests/dedup.rs
@@ -1,4 +1,4 @@
-//! The table of repeats: windows, tails and the bound of retained results.
+//! The deduplication table: windows, grace periods and the limit on retained results.
 use cottondyke::dedup::{DedupOutcome, DedupTable, DedupWindow, IdempotencyKey, RetentionLimits};
 use cottondyke::protocol::sidecar::RunOutput;
 use cottondyke_types::{HandlerId, RequestId, Time};
@@ -14,11 +14,11 @@
 }
 
 quickcheck! {
-    /// The table of repeats knows an entry until its end and not after, and retains no more than it was told.
+    /// An entry is found until its window ends, and not after.
     fn finds_an_entry_until_its_window_ends(spans: Vec<u8>) -> bool {
         let mut table = DedupTable::default();
         for (n, span) in spans.iter().enumerate() {
-            let window = DedupWindow { until: Some(Time(i64::from(*span))), tail: Time(0) };
+            let window = DedupWindow { until: Some(Time(i64::from(*span))), grace: Time(0) };
             table.insert(RequestId(n as u32), key(&n.to_string()), window);
         }
         (0..=255).all(|now| spans.iter().enumerate().all(|(n, span)| {
@@ -26,29 +26,29 @@
         }))
     }
 
-    /// An attempt that came within the window finds its entry however late it is read, within the tail; one that came
-    /// after it does not.
-    fn finds_an_entry_by_the_time_of_arrival_when_read_late(span: u8, tail: u8, read: u16, lay: u16) -> bool {
-        let (span, tail, read) = (i64::from(span), i64::from(tail), i64::from(read % 600));
-        let arrived = read - i64::from(lay % 600).min(read);
+    /// An attempt that arrived within the window finds its entry however late it is read, within the grace period; one
+    /// that arrived after the window does not.
+    fn finds_an_entry_by_the_time_of_arrival_when_read_late(span: u8, grace: u8, read: u16, delay: u16) -> bool {
+        let (span, grace, read) = (i64::from(span), i64::from(grace), i64::from(read % 600));
+        let arrived = read - i64::from(delay % 600).min(read);
         let mut table = DedupTable::default();
         let key = key("key");
-        let window = DedupWindow { until: Some(Time(span)), tail: Time(tail) };
+        let window = DedupWindow { until: Some(Time(span)), grace: Time(grace) };
         table.insert(RequestId(1), key.clone(), window);
         let found = table.find_original(Time(read), Time(arrived), &key).is_some();
-        found == (arrived < span && read < span + tail)
+        found == (arrived < span && read < span + grace)
     }
 }
 
-/// Guards memory: results retained for repeats are bounded, and the oldest go first.
+/// Guards against unbounded memory: results retained for duplicates are limited, and the oldest are dropped first.
 #[test]
-fn drops_the_oldest_results_when_they_pass_their_bound() {
+fn drops_the_oldest_results_when_they_exceed_the_limit() {
     let mut table = DedupTable::default();
     let result = Rc::new(RunOutput::complete(vec![0; 1 << 20]));
     for n in 0..40 {
         let window = DedupWindow {
             until: Some(Time(1_000)),
-            tail: Time(0),
+            grace: Time(0),
         };
         let limits = RetentionLimits {
             read_ttl: Time(0),
--- a/crates/server/tests/dispatcher.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher at the end of the process, with the test in the place of its connections, so that it says when an answer
-//! that was handed over is written.
+//! The dispatcher with the test in the place of its connections, so that the test decides when a response that was
+//! handed over counts as written.
 use async_executor::LocalExecutor;
 
 use cottondyke::clock::Clock;
@@ -16,22 +16,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const STOP: u64 = 1_000;
+const SHUTDOWN_TIMEOUT_MS: u64 = 1_000;
 
 struct Rig {
     executor: Rc<LocalExecutor<'static>>,
     events: async_channel::Sender<Event>,
-    /// What the engine is told.
+    /// The commands that the engine receives.
     commands: async_channel::Receiver<EngineCommand>,
     engine: async_channel::Sender<EngineCommand>,
 }
 
 impl Rig {
-    /// Runs `test` beside a dispatcher; true where the dispatcher left before the test was through.
+    /// Runs `test` alongside a dispatcher; true if the dispatcher ended before the test did.
     fn run<F: std::future::Future<Output = ()>>(test: impl FnOnce(Rig) -> F) -> bool {
         let mut conf: serde_json::Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
-        conf["stop_ms"] = STOP.into();
+        conf["stop_ms"] = SHUTDOWN_TIMEOUT_MS.into();
         conf["settings"]["classes"][0]["effect"] = "once".into();
         let config = Rc::new(Config::parse(&conf.to_string()).unwrap());
         let clock = Clock::start();
@@ -63,44 +63,44 @@
             commands,
             engine,
         };
-        let leaves = async {
+        let dispatching = async {
             dispatcher.run(pending).await;
             true
         };
-        let tests = async {
+        let testing = async {
             test(rig).await;
             false
         };
-        async_io::block_on(executor.run(leaves.or(tests)))
+        async_io::block_on(executor.run(dispatching.or(testing)))
     }
 
-    fn tell(&self, event: Event) {
+    fn send(&self, event: Event) {
         self.events.try_send(event).unwrap();
     }
 
-    /// The engine is there, and has answered the question that fences off what was before.
+    /// Connects the engine, which has answered the load query that serves as a fence.
     async fn engine_up(&self) {
-        self.tell(Event::EngineUp {
+        self.send(Event::EngineUp {
             start: EngineStart::Warm,
             age_ms: 1.0,
             commands: self.engine.clone(),
         });
         let Ok(EngineCommand::QueryLoad(tag)) = self.commands.recv().await else {
-            panic!("the fence comes first")
+            panic!("expected the fence first")
         };
-        self.tell(Event::EngineMessage(EngineMessage::Load {
+        self.send(Event::EngineMessage(EngineMessage::Load {
             tag,
             gauges: Vec::new(),
         }));
     }
 
-    fn open(&self, conn: u64, most: usize) -> async_channel::Receiver<Outgoing> {
-        let (sender, outgoing) = async_channel::bounded(most);
-        self.tell(Event::Opened(ConnectionId(conn), sender));
+    fn open(&self, conn: u64, capacity: usize) -> async_channel::Receiver<Outgoing> {
+        let (sender, outgoing) = async_channel::bounded(capacity);
+        self.send(Event::Opened(ConnectionId(conn), sender));
         outgoing
     }
 
-    fn ask(&self, conn: u64, stream: u32) {
+    fn send_request(&self, conn: u64, stream: u32) {
         let id = WireId::new(&format!("{stream:016x}")).unwrap();
         let at = cottondyke_test_support::fakes::unix_ms();
         let request = Request {
@@ -116,10 +116,10 @@
             idempotency_key: None,
             body: Vec::new(),
         };
-        self.tell(Event::Request(ConnectionId(conn), request));
+        self.send(Event::Request(ConnectionId(conn), request));
     }
 
-    /// Lets the dispatcher do all that it can do now.
+    /// Lets the dispatcher do everything that it can do now.
     async fn settle(&self) {
         for _ in 0..100 {
             future::yield_now().await;
@@ -127,64 +127,68 @@
         }
     }
 
-    /// Those that were told to run.
-    fn runs(&self) -> usize {
+    /// Counts the runs that the engine was told to start since the last call.
+    fn take_started_runs(&self) -> usize {
         std::iter::from_fn(|| self.commands.try_recv().ok())
             .filter(|command| matches!(command, EngineCommand::StartRun { .. }))
             .count()
     }
 }
 
-/// Guards answers that left the dispatcher's queue and are not written yet: the process ends when they are, or when its time
-/// is over, not as soon as the queue is empty; with its connections closed, not before it has stopped listening.
+/// Guards against the loss of responses that were handed to a writer and are not written yet: the process ends when
+/// they are or when the timeout is over, not as soon as its queues are empty; and, with all connections closed, not
+/// before it has stopped listening.
 #[test]
 fn ends_when_the_last_connection_closes_or_the_time_is_over() {
     for (closes, earliest) in [(false, 0.985), (true, 0.88)] {
         let start = Instant::now();
-        let left = Rig::run(|rig| async move {
+        let ended = Rig::run(|rig| async move {
             let outgoing = rig.open(1, 100);
-            rig.ask(1, 1);
-            rig.tell(Event::Shutdown);
-            // The writer takes all that is handed over, and may have written none of it: the connection stands.
+            rig.send_request(1, 1);
+            rig.send(Event::Shutdown);
+            // The writer receives everything that is handed over and may have written none of it: the connection stays
+            // open.
             while !matches!(outgoing.recv().await, Ok(Outgoing::Close { .. }) if closes) {}
-            rig.tell(Event::Closed(ConnectionId(1)));
+            rig.send(Event::Closed(ConnectionId(1)));
             future::pending().await
         });
         assert!(
-            left && start.elapsed() >= Duration::from_millis(STOP).mul_f64(earliest),
+            ended
+                && start.elapsed() >= Duration::from_millis(SHUTDOWN_TIMEOUT_MS).mul_f64(earliest),
             "{closes}"
         );
     }
 }
 
-/// Guards effects: a request that waits for the dispatcher as its connection is given up can carry no answer. It must not run,
-/// since its sidecar, which sees the connection fail, may send it again elsewhere.
+/// Guards against effects that occur twice: a request that is queued for the dispatcher when its connection is dropped
+/// can get no response. It must not run, since its sidecar, which sees the connection fail, may send it again
+/// elsewhere.
 #[test]
 fn runs_no_request_of_a_dropped_connection() {
-    let left = Rig::run(|rig| async move {
+    let ended = Rig::run(|rig| async move {
         rig.engine_up().await;
         let _reads_nothing = rig.open(1, 1);
         let _other = rig.open(2, 100);
-        // The second answer finds the queue full: the connection is dropped, with a request behind.
+        // The second response finds the queue full: the connection is dropped, with a request queued behind it.
         for stream in 1..=2 {
-            rig.tell(Event::HealthCheck {
+            rig.send(Event::HealthCheck {
                 connection: ConnectionId(1),
                 stream: StreamId(stream),
                 deep: false,
             });
         }
-        rig.ask(1, 3);
+        rig.send_request(1, 3);
         rig.settle().await;
-        assert_eq!(rig.runs(), 0);
-        rig.ask(2, 4);
+        assert_eq!(rig.take_started_runs(), 0);
+        rig.send_request(2, 4);
         rig.settle().await;
-        assert_eq!(rig.runs(), 1, "others are served");
+        assert_eq!(rig.take_started_runs(), 1, "other connections are served");
     });
-    assert!(!left);
+    assert!(!ended);
 }
 
-/// Every order of `count` things, by the number of the order.
-fn order(count: usize, mut number: usize) -> Vec<usize> {
+/// The permutation of `count` elements with this number.
+fn permutation(count: usize, mut number: usize) -> Vec<usize> {
     let mut rest: Vec<_> = (0..count).collect();
     let next = |left| {
         let at = number % left;
@@ -194,28 +198,28 @@
     (1..=count).rev().map(next).collect()
 }
 
-/// Guards the one final answer where the end of the run, the sidecar's cancel, the end of the connection, its half-close,
-/// a malformed frame and the shutdown signal fall into one turn, in each order: one answer, none where the connection
-/// went before anything could answer.
+/// Guards against a missing or second final response when the end of the run, the sidecar's cancellation, the end of
+/// the connection, its half-close, a malformed frame and the shutdown signal are handled in one batch, in any order:
+/// one response, or none if the connection ended before anything could be sent.
 #[test]
-fn answers_once_when_events_of_one_turn_come_in_any_order() {
+fn answers_once_when_events_of_one_batch_come_in_any_order() {
     for number in 0..720 {
-        let order = order(6, number);
-        let left = Rig::run(|rig| async move {
+        let order = permutation(6, number);
+        let ended = Rig::run(|rig| async move {
             rig.engine_up().await;
             let outgoing = rig.open(1, 100);
-            rig.ask(1, 1);
+            rig.send_request(1, 1);
             rig.settle().await;
-            assert_eq!(rig.runs(), 1);
+            assert_eq!(rig.take_started_runs(), 1);
             let id = WireId::new(&format!("{:016x}", 1)).unwrap();
             for choice in &order {
-                rig.tell(match choice {
+                rig.send(match choice {
                     0 => {
-                        let (no, end) = (MessageNumber(1), RunOutcome::Completed);
+                        let (number, outcome) = (MessageNumber(1), RunOutcome::Completed);
                         Event::EngineMessage(EngineMessage::RunEnded {
-                            number: no,
+                            number,
                             id,
-                            outcome: end,
+                            outcome,
                             result: Vec::new(),
                         })
                     }
@@ -230,9 +234,9 @@
             let at = |event| order.iter().position(|e| *e == event);
             let settled = std::iter::from_fn(|| outgoing.try_recv().ok());
             let settled = settled
-                .filter(|one| {
+                .filter(|message| {
                     matches!(
-                        one,
+                        message,
                         Outgoing::Response {
                             settles_request: true,
                             ..
@@ -242,6 +246,6 @@
                 .count();
             assert_eq!(settled, usize::from(at(2) > at(0).min(at(1))), "{order:?}");
         });
-        assert!(!left);
+        assert!(!ended);
     }
 }
--- a/crates/server/tests/serve/logging.rs
+++ b/crates/server/tests/serve/logging.rs
@@ -1,4 +1,4 @@
-//! Serving while nobody takes what is logged.
+//! Serving while nobody reads the log.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::json;
@@ -7,16 +7,16 @@
 use std::process::{Child, ChildStderr};
 use std::time::{Duration, Instant};
 
-/// Requests whose debug lines are many times what a pipe holds.
+/// The debug lines of so many requests exceed the capacity of a pipe many times over.
 const REQUESTS: u32 = 1_500;
 
-struct Unread {
+struct UnreadServer {
     child: Child,
     stderr: ChildStderr,
     path: std::path::PathBuf,
 }
 
-impl Drop for Unread {
+impl Drop for UnreadServer {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -24,19 +24,19 @@
     }
 }
 
-/// A server at `addr` whose log is not read.
-fn start_unread(conf: &serde_json::Value) -> Unread {
+/// Starts a server whose log is not read.
+fn start_unread(conf: &serde_json::Value) -> UnreadServer {
     let path = temporary_file(&conf.to_string());
-    let words = [
+    let args = [
         "serve",
         "--log",
         "debug",
         "--config",
         path.to_str().unwrap(),
     ];
-    let mut child = program(&words).spawn().unwrap();
+    let mut child = program(&args).spawn().unwrap();
     let stderr = child.stderr.take().unwrap();
-    Unread {
+    UnreadServer {
         child,
         stderr,
         path,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards every request against a log that is not taken: the server stood still at its next line, with all its connections.
+/// Guards against a log that is not read: the server blocked at its next log line, and all its connections with it.
 #[test]
 fn answers_while_nobody_reads_its_log() {
     let (mut conf, [engine, _records, _control]) = with_peers();
@@ -71,10 +71,10 @@
         run_through(&mut link, number.into(), b"");
         assert_eq!(sidecar.receive().unwrap().code, 1);
     }
-    // Once it is read again, it tells what is missing.
+    // Once the log is read again, it reports that lines were dropped.
     let lines = BufReader::new(&mut server.stderr).lines();
-    let told = lines
+    let report = lines
         .map_while(Result::ok)
         .find(|line| line.contains("log lines were dropped"));
-    assert!(told.is_some());
+    assert!(report.is_some());
 }
