--- a/crates/server/src/backoff.rs
+++ b/crates/server/src/backoff.rs
@@ -1,8 +1,8 @@
-//! Exponential backoff between attempts to connect.
+//! Exponential backoff between connection attempts.
 use async_io::Timer;
 use std::time::Duration;
 
-/// A delay that doubles with each attempt that failed, up to a maximum.
+/// A delay that doubles with each failed attempt, up to a maximum.
 #[derive(Debug)]
 pub struct Backoff {
     min: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl Backoff {
-    /// Starts at `min`.
+    /// Creates a backoff whose first delay is `min`.
     pub fn new(min: Duration, max: Duration) -> Self {
         Backoff {
             min,
@@ -20,14 +20,14 @@
         }
     }
 
-    /// Waits before the next attempt. One that is cut short counts.
+    /// Waits before the next attempt. The delay also doubles if the wait is cancelled.
     pub async fn wait(&mut self) {
         let delay = self.next;
         self.next = (self.next * 2).min(self.max);
         Timer::after(delay).await;
     }
 
-    /// An attempt has succeeded: starts at the minimum again.
+    /// Resets the delay to the minimum after a successful attempt.
     pub fn reset(&mut self) {
         self.next = self.min;
     }
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -1,5 +1,5 @@
-//! Aggregations that the program composes itself. What is decided of them is in `cottondyke_dependency`; here its
-//! actions become tasks, and results become responses.
+//! The executor for aggregations, whose responses the server composes from dependency calls. The decisions are made in
+//! `cottondyke_dependency`; this module runs its actions as tasks and converts its results to responses.
 use super::{response_body, ExecutionEvent, ExecutionRequest};
 use crate::clock::{ms, Clock};
 use crate::cluster::{ClusterDriver, USAGE_INTERVAL};
@@ -20,24 +20,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The weight of a handler of which the file says nothing.
+/// The weight of a handler for which the operator file sets none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The operator's aggregations, by handler.
+/// The aggregations from the operator file, by handler.
 pub struct AggregationPlan {
-    /// Aggregations and the dependencies that they call.
+    /// The aggregations and the dependencies that they call.
     pub plan: Plan,
-    /// The place in the plan of each handler's aggregation, by `HandlerId`.
+    /// The index in the plan of each handler's aggregation, indexed by `HandlerId`.
     pub by_handler: Vec<Option<usize>>,
 }
 
-/// What the executor is started with.
+/// Configuration of an [`AggregationExecutor`].
 pub struct AggregationExecutorConfig {
-    /// What is in force at the start.
+    /// The initial plan.
     pub plan: AggregationPlan,
-    /// The value of each handler's requests, by `HandlerId`.
+    /// The value of each handler's requests, indexed by `HandlerId`.
     pub weights: Vec<f64>,
-    /// Of the random numbers for hedges and retries.
+    /// Seed of the random numbers for hedges and retries.
     pub seed: u64,
 }
 
@@ -48,21 +48,21 @@
     wire_ids: BTreeMap<RequestId, WireId>,
     /// Calls in flight; dropping a task closes its connection.
     calls: BTreeMap<CallId, Task<()>>,
-    /// Calls that nobody waits for, whose response is still read until then.
+    /// Calls that no run waits for any longer, each with the time until which its response is still read.
     abandoned: BTreeSet<(Time, CallId)>,
     pool: Rc<ConnectionPool>,
     clock: Clock,
-    /// Where quotas of dependencies are leased.
+    /// Leases the quotas of dependencies, if the instance is part of a cluster.
     cluster: Option<Rc<ClusterDriver>>,
     weights: Vec<f64>,
-    /// When usage is to be reported next.
+    /// When the usage of the quotas is reported next.
     next_usage_report: Time,
     tasks: Rc<LocalExecutor<'static>>,
     events: Sender<Event>,
 }
 
 impl AggregationExecutor {
-    /// An executor for what the operator's file declares.
+    /// Creates an executor for the aggregations in the operator file.
     pub fn new(
         clock: Clock,
         config: AggregationExecutorConfig,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Another file is in force for what starts from now on.
+    /// Installs a new plan. It applies to runs that start from now on.
     pub fn install(&mut self, now: Time, plan: AggregationPlan) -> Vec<ExecutionEvent> {
         let AggregationPlan {
             mut plan,
@@ -108,8 +108,8 @@
         self.perform_all(now, actions)
     }
 
-    /// Whether the handler's requests are aggregations.
-    pub fn has(&self, handler: HandlerId) -> bool {
+    /// Whether the handler's requests are answered by an aggregation.
+    pub fn handles(&self, handler: HandlerId) -> bool {
         self.aggregation_of(handler).is_some()
     }
 
@@ -151,20 +151,20 @@
         self.perform_all(now, actions)
     }
 
-    /// Asks for a run's end.
+    /// Cancels a run.
     pub fn cancel(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
         let actions = self.aggregator.cancel(now, id);
         self.perform_all(now, actions)
     }
 
-    /// All runs end, without events.
+    /// Cancels all runs without emitting events.
     pub fn forget_all(&mut self, now: Time) {
         for id in self.wire_ids.keys().copied().collect::<Vec<_>>() {
             let _ = self.cancel(now, id);
         }
     }
 
-    /// The server drains: all is to be answered by `until`.
+    /// The server is draining: all requests must be answered by `until`.
     pub fn start_draining(&mut self, now: Time, until: Time) {
         self.aggregator.start_draining(until);
         if let Some(cluster) = &self.cluster {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// When [`AggregationExecutor::handle_timer`] is due.
+    /// When [`AggregationExecutor::handle_timer`] has to be called next.
     pub fn next_timer(&self) -> Option<Time> {
         let abandoned = self.abandoned.first().map(|(until, _)| *until);
         let usage_report = self.cluster.as_ref().map(|_| self.next_usage_report);
@@ -182,7 +182,7 @@
             .min()
     }
 
-    /// Does what is due by the clock.
+    /// Handles the timers that are due.
     pub fn handle_timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
         let actions = self.aggregator.handle_timer(now);
         let mut events = self.perform_all(now, actions);
@@ -199,7 +199,7 @@
         events
     }
 
-    /// Tells the cluster what of its quotas is in use.
+    /// Reports the usage of the leased quotas to the cluster.
     fn report_usage(&mut self, now: Time) -> Vec<ExecutionEvent> {
         let Some(cluster) = self.cluster.clone() else {
             return Vec::new();
@@ -211,7 +211,7 @@
         events
     }
 
-    /// A call has ended. One whose task was dropped may have sent its end before: that says nothing.
+    /// Handles the end of a call. A result that the call's task sent before it was dropped is ignored.
     pub fn handle_call_ended(
         &mut self,
         now: Time,
@@ -225,7 +225,7 @@
         self.perform_all(now, actions)
     }
 
-    /// Once a second: one line for each dependency that was called; idle connections that are too old are closed.
+    /// Called once a second: logs one line for each dependency that was called, and closes expired idle connections.
     pub fn maintain(&mut self, now: Time) {
         self.pool.close_expired();
         for gate in self.aggregator.gates() {
@@ -269,7 +269,7 @@
             }
             Action::Completed { run, answer } => {
                 self.wire_ids.remove(&run);
-                Some(run_ended(run, answer))
+                Some(run_ended_event(run, answer))
             }
             Action::GateChanged {
                 dependency,
@@ -292,7 +292,7 @@
         self.calls.insert(id, task);
     }
 
-    /// Nobody waits for the call any longer; its response is still read for a time, to learn from it.
+    /// No run waits for the call any longer. Its response is still read for `read_for`, so that its result is known.
     fn abandon_call(&mut self, now: Time, call: CallId, read_for: Time) {
         if read_for > Time(0) {
             self.abandoned.insert((now + read_for, call));
@@ -302,7 +302,7 @@
     }
 }
 
-fn run_ended(id: RequestId, result: AggregationResult) -> ExecutionEvent {
+fn run_ended_event(id: RequestId, result: AggregationResult) -> ExecutionEvent {
     let (outcome, output) = match result {
         AggregationResult::Parts(parts) => (RunOutcome::Completed, response_body::encode(&parts)),
         AggregationResult::Failed => (RunOutcome::Failed, RunOutput::default()),
@@ -315,9 +315,9 @@
     let dependency = gate.spec.name.clone();
     let in_flight = gate.in_flight(now);
     let is_open = gate.circuit_state() != CircuitState::Closed;
-    if let Some((before, limit)) = gate.take_limit_change() {
-        let share = gate.spec.max_calls;
-        tracing::info!(%dependency, before, limit, share, "dependency limit changed");
+    if let Some((old_limit, limit)) = gate.take_limit_change() {
+        let max_calls = gate.spec.max_calls;
+        tracing::info!(%dependency, old_limit, limit, max_calls, "dependency limit changed");
     }
     let counters = std::mem::take(&mut gate.counters);
     if counters == GateCounters::default() {
--- a/crates/server/src/execution/engine.rs
+++ b/crates/server/src/execution/engine.rs
@@ -1,5 +1,6 @@
-//! Runs on the engine: which there are, what each waits for, and what a broken link may have lost. The calls that runs
-//! ask for are made here once the admission controller lets them out.
+//! The executor for runs on the engine. It tracks the state of each run, the call that it waits for, and the commands
+//! that a broken link may have lost. It also makes the calls that runs request, once the admission controller permits
+//! them.
 use super::{ExecutionEvent, ExecutionRequest};
 use crate::event::{CallError, CallNumber, Event};
 use crate::execution::command_queue::EngineCommandQueue;
@@ -16,22 +17,22 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Calls since the last reading that brought nothing, and commands that were refused.
+/// Failed calls and refused commands since the counters were last taken.
 #[derive(Default)]
 pub struct EngineCounters {
-    /// Calls that the service did not begin.
+    /// Calls that the records service did not begin to execute.
     pub not_begun: u64,
-    /// Calls that failed, or may have been executed.
+    /// Calls that failed or whose outcome is unknown; they may have been executed.
     pub failed: u64,
     /// Commands that the engine refused.
     pub refused: u64,
 }
 
-/// What the executor is started with.
+/// Configuration of an [`EngineExecutor`].
 pub struct EngineExecutorConfig {
-    /// The records service; none where nothing lies below.
+    /// Address of the records service, if one is configured.
     pub records: Option<SocketAddr>,
-    /// The place of the CPU utilization among the gauges that the engine reports.
+    /// Index of the CPU utilization among the gauges that the engine reports.
     pub cpu_gauge: Option<usize>,
 }
 
@@ -41,20 +42,20 @@
     runs: BTreeMap<RequestId, EngineRun>,
     by_wire_id: BTreeMap<WireId, RequestId>,
     config: EngineExecutorConfig,
-    /// The load query of the dispatcher that has not been answered.
+    /// The dispatcher's unanswered load query.
     load_query: Option<Tag>,
-    /// When the link was last opened.
+    /// When the current or last link was opened.
     link_up_at: Time,
     /// When the link last broke.
     link_lost_at: Time,
-    last_call: u64,
+    last_call_number: u64,
     tasks: Rc<LocalExecutor<'static>>,
     events: Sender<Event>,
     counters: EngineCounters,
 }
 
 impl EngineExecutor {
-    /// An executor without a link.
+    /// Creates an executor that has no link to the engine yet.
     pub fn new(
         now: Time,
         config: EngineExecutorConfig,
@@ -69,14 +70,14 @@
             load_query: None,
             link_up_at: now,
             link_lost_at: now,
-            last_call: 0,
+            last_call_number: 0,
             tasks,
             events,
             counters: EngineCounters::default(),
         }
     }
 
-    /// Starts a run, of the handler that the engine knows as `class`.
+    /// Starts a run. `class` is the engine's name of the handler.
     pub fn start(
         &mut self,
         now: Time,
@@ -92,14 +93,14 @@
         self.runs.insert(id, run);
     }
 
-    /// Asks for the run's end, which comes as an event once the engine has carried it out.
+    /// Requests the cancellation of a run. An event reports the run's end once the engine has cancelled it.
     pub fn cancel(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get(&id) {
             self.commands.send(EngineCommand::CancelRun(run.wire_id));
         }
     }
 
-    /// Nobody waits for the run any longer: its call in flight is cancelled.
+    /// Records that no client waits for the run any longer, and cancels its call in flight.
     pub fn mark_unwanted(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get_mut(&id) {
             run.is_wanted = false;
@@ -107,27 +108,28 @@
         }
     }
 
-    /// The run has ended, or is taken to have.
+    /// Drops the state of a run that has ended or is considered ended.
     pub fn forget(&mut self, id: RequestId) {
         if let Some(run) = self.runs.remove(&id) {
             self.by_wire_id.remove(&run.wire_id);
         }
     }
 
-    /// Before the first hello nothing has run: all runs are forgotten, to start again.
+    /// Drops all runs and queued commands. Called on the engine's first `HELLO`: no run has begun before it, and all
+    /// runs are started again after it.
     pub fn forget_all(&mut self) {
         self.commands.clear();
         self.runs.clear();
         self.by_wire_id.clear();
     }
 
-    /// A link is open; it takes commands at `link`.
+    /// A link was opened; `link` accepts commands for it.
     pub fn link_up(&mut self, now: Time, link: Sender<EngineCommand>) {
         self.link_up_at = now;
         self.commands.link_up(now, link);
     }
 
-    /// The link broke with these commands unsent.
+    /// The link broke; the commands in `unsent` were not completely written.
     pub fn link_down(&mut self, now: Time, unsent: Vec<EngineCommand>) {
         self.link_lost_at = now;
         let link_up_at = self.link_up_at;
@@ -137,51 +139,51 @@
         self.commands.link_down(unsent);
     }
 
-    /// Whether the engine has ever said hello.
+    /// Whether the engine has ever sent `HELLO`.
     pub fn was_ever_up(&self) -> bool {
         self.commands.was_ever_up()
     }
 
-    /// Whether there is a link.
+    /// Whether a link to the engine is open.
     pub fn is_up(&self) -> bool {
         self.commands.is_up()
     }
 
-    /// The records service has another address, for calls from now on.
+    /// Sets the address of the records service for calls that start from now on.
     pub fn set_records(&mut self, records: Option<SocketAddr>) {
         self.config.records = records;
     }
 
-    /// Asks the engine to test itself; none while there is no link.
+    /// Asks the engine to run a self-test; returns `None` while there is no link.
     pub fn start_self_test(&mut self) -> Option<Tag> {
-        self.commands.ask(EngineCommand::SelfTest)
+        self.commands.send_query(EngineCommand::SelfTest)
     }
 
-    /// Asks for the load; false where no answer will come.
+    /// Queries the engine's load; returns false if the query could not be sent.
     pub fn query_load(&mut self) -> bool {
         self.load_query = self.commands.query_load();
         self.load_query.is_some()
     }
 
-    /// The load is waited for no longer.
+    /// Stops waiting for the answer to the load query.
     pub fn abandon_load_query(&mut self) {
         self.load_query = None;
     }
 
-    /// Lets out what waits for a fence that was not answered in time.
+    /// Sends the queued commands if the fence was not answered in time.
     pub fn maintain(&mut self, now: Time) {
         if self.commands.expire_fence(now) {
             self.commands.resume(Vec::new());
         }
     }
 
-    /// The counters since the last reading.
+    /// Returns the counters and resets them.
     pub fn take_counters(&mut self) -> EngineCounters {
         std::mem::take(&mut self.counters)
     }
 
-    /// Whether the engine may know nothing of this run, or holds it at a call, where it takes no core. Guards against taking
-    /// a run that hangs for one that was never begun: what was written to a link that stood on is there.
+    /// Whether the engine may never have received the run, or has suspended it at a call, where it uses no core. False
+    /// for a run that hangs: a command has arrived if its link stayed open for long enough after it was written.
     pub fn may_have_lost(&self, id: RequestId) -> bool {
         self.runs
             .get(&id)
@@ -193,7 +195,7 @@
         self.runs.get_mut(&id).map(|run| (id, run))
     }
 
-    /// What the engine says becomes events, in their order.
+    /// Converts a message of the engine to events, in order.
     pub fn handle_message(&mut self, message: EngineMessage) -> Vec<ExecutionEvent> {
         match message {
             EngineMessage::RunEnded {
@@ -216,7 +218,7 @@
                     message: number,
                     body,
                 });
-                run.resumed = None;
+                run.resume_command = None;
                 run.has_begun = true;
                 vec![ExecutionEvent::Alive(id), ExecutionEvent::CallWanted(id)]
             }
@@ -234,16 +236,16 @@
     fn handle_load(&mut self, tag: Tag, gauges: &[f64]) -> Vec<ExecutionEvent> {
         self.commands.load_received(tag);
         if self.commands.pass_fence(tag) {
-            let repeated = self.possibly_lost_commands();
-            self.mark_repeated();
-            self.commands.resume(repeated);
+            let resent = self.possibly_lost_commands();
+            self.mark_resent();
+            self.commands.resume(resent);
             return Vec::new();
         }
-        if self.load_query.take_if(|asked| *asked == tag).is_none() {
+        if self.load_query.take_if(|pending| *pending == tag).is_none() {
             return Vec::new();
         }
-        let place = self.config.cpu_gauge;
-        let utilization = place.and_then(|place| gauges.get(place).copied());
+        let index = self.config.cpu_gauge;
+        let utilization = index.and_then(|index| gauges.get(index).copied());
         let utilization = utilization.filter(|value| value.is_finite());
         vec![ExecutionEvent::LoadSample(utilization)]
     }
@@ -253,18 +255,19 @@
             return Vec::new();
         };
         tracing::debug!(command, id = ?run.wire_id, "engine refused a command");
-        // Any other says that this command was one too many, not that there is no run.
-        let has_no_run = command == "RUN" && !run.has_begun || command == "HALT" && !run.is_wanted;
+        // Any other refusal means that the command was redundant, not that the engine has no such run.
+        let is_unknown_run =
+            command == "RUN" && !run.has_begun || command == "HALT" && !run.is_wanted;
         self.counters.refused += 1;
-        if !has_no_run {
+        if !is_unknown_run {
             return Vec::new();
         }
         let output = RunOutput::default();
         vec![ExecutionEvent::Ended(id, RunOutcome::NotStarted, output)]
     }
 
-    /// What may have been lost with the link though it was written to its last byte: the commands of idempotent runs
-    /// that showed no sign of life, and for runs that were told to go on shortly before, that.
+    /// Commands that were completely written but may have been lost with the link: the start commands of idempotent
+    /// runs that have not shown that they began, and the resume commands that were sent shortly before the link broke.
     fn possibly_lost_commands(&self) -> Vec<EngineCommand> {
         self.runs
             .values()
@@ -274,15 +277,15 @@
             .collect()
     }
 
-    /// Runs whose commands are said again are not lost any more.
-    fn mark_repeated(&mut self) {
-        let repeated = self.runs.values_mut();
-        for run in repeated.filter(|run| run.is_wanted && run.is_idempotent) {
+    /// Marks the runs whose commands are sent again as no longer possibly lost.
+    fn mark_resent(&mut self) {
+        let runs = self.runs.values_mut();
+        for run in runs.filter(|run| run.is_wanted && run.is_idempotent) {
             run.may_be_lost = false;
         }
     }
 
-    /// Makes the call that the run waits for, in at most `timeout`.
+    /// Makes the call that the run waits for, with this timeout.
     pub fn start_call(&mut self, id: RequestId, timeout: Time) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -290,8 +293,8 @@
         let Some(needed) = &run.needed_call else {
             return;
         };
-        self.last_call += 1;
-        let number = CallNumber(self.last_call);
+        self.last_call_number += 1;
+        let number = CallNumber(self.last_call_number);
         tracing::debug!(id = ?run.wire_id, call = number.0, ?timeout, "calling the records service");
         let records = self.config.records;
         let events = self.events.clone();
@@ -303,7 +306,7 @@
         let task = self.tasks.spawn(async move {
             let result = match records {
                 Some(records) => records_call::call(records, call).await,
-                None => Err(CallError::NotBegun("nothing lies below")),
+                None => Err(CallError::NotBegun("no records service configured")),
             };
             let event = Event::RecordsCallEnded(id, number, result);
             let _ = events.send(event).await;
@@ -311,7 +314,7 @@
         run.call = Some((number, task));
     }
 
-    /// A call has ended; nothing where it was cancelled before.
+    /// Handles the end of a call; returns `None` if the call was cancelled before.
     pub fn handle_call_ended(
         &mut self,
         now: Time,
@@ -320,13 +323,13 @@
         result: Result<Vec<u8>, CallError>,
     ) -> Option<ExecutionEvent> {
         let run = self.runs.get_mut(&id)?;
-        let (_, task) = run.call.take_if(|(of, _)| *of == number)?;
+        let (_, task) = run.call.take_if(|(current, _)| *current == number)?;
         drop(task);
         let outcome = match result {
             Ok(reply) => {
                 let command = EngineCommand::CallResult(run.wire_id, reply);
                 run.needed_call = None;
-                run.resumed = Some((now, command.clone()));
+                run.resume_command = Some((now, command.clone()));
                 self.commands.send(command);
                 CallOutcome::Completed
             }
@@ -344,14 +347,14 @@
         Some(ExecutionEvent::CallEnded(id, outcome))
     }
 
-    /// The run goes on without its call.
+    /// Resumes the run without the call that it waits for.
     pub fn skip_call(&mut self, now: Time, id: RequestId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
         if let Some(needed) = run.needed_call.take() {
             let command = EngineCommand::SkipCall(run.wire_id, needed.message);
-            run.resumed = Some((now, command.clone()));
+            run.resume_command = Some((now, command.clone()));
             self.commands.send(command);
         }
     }
--- a/crates/server/src/execution/engine_link.rs
+++ b/crates/server/src/execution/engine_link.rs
@@ -1,4 +1,4 @@
-//! The link to the engine: kept open, opened again where it broke.
+//! The connection to the engine, which is opened again whenever it breaks.
 use crate::backoff::Backoff;
 use crate::event::Event;
 use crate::protocol::engine::{Decoder, EngineCommand, EngineMessage, MessageNumber};
@@ -15,39 +15,43 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const READ_BYTES: usize = 16_384;
-/// How long a link that was left for another address stays open.
-const ABANDONED_LINK_LIFETIME: Duration = Duration::from_secs(1);
-/// Characters of an unknown line that are logged.
-const MAX_LOGGED_LINE: usize = 80;
+/// How long the link to the engine's previous address stays open once the next link is open.
+const PREVIOUS_LINK_LIFETIME: Duration = Duration::from_secs(1);
+/// Maximum length of an unknown line in the log, in bytes.
+const MAX_LOGGED_LINE_BYTES: usize = 80;
 
-/// Connects again and again, with growing backoff; messages that were read are never asked for again. `moves` tells
-/// new addresses of the engine.
-pub async fn run(mut addr: SocketAddr, moves: Receiver<SocketAddr>, events: Sender<Event>) {
+/// Keeps a link to the engine open and reconnects with exponential backoff. A new link requests only messages that have
+/// not been read yet. `address_changes` receives new addresses of the engine.
+pub async fn run(
+    mut addr: SocketAddr,
+    address_changes: Receiver<SocketAddr>,
+    events: Sender<Event>,
+) {
     let mut link = EngineLink {
         events,
         last_message: MessageNumber(0),
-        abandoned: None,
+        previous: None,
     };
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         let mut next_addr = addr;
-        match connect(addr, &moves, &mut next_addr).await {
+        match connect(addr, &address_changes, &mut next_addr).await {
             Ok(stream) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                let moving = wait_for_move(&moves, &mut next_addr);
-                if link.serve(&stream, moving).await {
+                let address_changed = wait_for_address_change(&address_changes, &mut next_addr);
+                if link.serve(&stream, address_changed).await {
                     backoff.reset();
                 }
                 if next_addr != addr {
                     let _ = stream.get_ref().shutdown(Shutdown::Write);
-                    link.abandoned = Some(stream);
+                    link.previous = Some(stream);
                 }
             }
             Err(error) => tracing::debug!(%error, "cannot connect to the engine"),
         }
         if next_addr == addr {
-            let moving = wait_for_move(&moves, &mut next_addr);
-            backoff.wait().or(moving).await;
+            let address_changed = wait_for_address_change(&address_changes, &mut next_addr);
+            backoff.wait().or(address_changed).await;
         }
         if next_addr != addr {
             tracing::info!(engine = %next_addr, "engine address changed");
@@ -57,44 +61,52 @@
     }
 }
 
-/// Connects in bounded time, or until the engine moves.
+/// Connects to the engine. Fails at the timeout or when the engine's address changes.
 async fn connect(
     addr: SocketAddr,
-    moves: &Receiver<SocketAddr>,
+    address_changes: &Receiver<SocketAddr>,
     next_addr: &mut SocketAddr,
 ) -> io::Result<Async<TcpStream>> {
     let timeout = async {
         Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let moving = async {
-        wait_for_move(moves, next_addr).await;
+    let address_changed = async {
+        wait_for_address_change(address_changes, next_addr).await;
         Err(io::ErrorKind::Interrupted.into())
     };
     let connecting = Async::<TcpStream>::connect(addr);
-    connecting.or(timeout).or(moving).await
+    connecting.or(timeout).or(address_changed).await
 }
 
-async fn wait_for_move(moves: &Receiver<SocketAddr>, next_addr: &mut SocketAddr) {
-    match moves.recv().await {
+async fn wait_for_address_change(
+    address_changes: &Receiver<SocketAddr>,
+    next_addr: &mut SocketAddr,
+) {
+    match address_changes.recv().await {
         Ok(addr) => *next_addr = addr,
         Err(_) => future::pending().await,
     }
 }
 
-/// What lasts from link to link.
+/// State that is kept across links.
 struct EngineLink {
     events: Sender<Event>,
-    /// The last message that was read and handed on.
+    /// The last message that was read and forwarded to the dispatcher.
     last_message: MessageNumber,
-    /// A link that was left for another address.
-    abandoned: Option<Async<TcpStream>>,
+    /// The link to the engine's previous address.
+    previous: Option<Async<TcpStream>>,
 }
 
 impl EngineLink {
-    /// One link, from `ATTACH` until it breaks or `moving` ends; true if the engine said hello on it. A link that was
-    /// left for it stays open a little: closed with messages unread, it could take the last commands with it.
-    async fn serve(&mut self, stream: &Async<TcpStream>, moving: impl Future<Output = ()>) -> bool {
+    /// Serves one link, from `ATTACH` until it breaks or `address_changed` completes. Returns true if the engine sent
+    /// `HELLO` on it. The link to the previous address stays open for a short time: closing it with unread messages
+    /// would reset the connection, which can discard the last commands that were written to it.
+    async fn serve(
+        &mut self,
+        stream: &Async<TcpStream>,
+        address_changed: impl Future<Output = ()>,
+    ) -> bool {
         let (sender, commands) = async_channel::unbounded();
         let _ = sender.try_send(EngineCommand::Attach(self.last_message));
         let mut unsent = VecDeque::new();
@@ -103,33 +115,37 @@
             events: &self.events,
             last_message: &mut self.last_message,
             commands: sender,
-            has_hello: false,
+            is_attached: false,
         };
-        let abandoned = &mut self.abandoned;
+        let previous = &mut self.previous;
         let reason = {
             let reading = reader.run();
             let writing = write_commands(stream, &commands, &mut unsent);
-            let moving = async {
-                moving.await;
+            let address_changed = async {
+                address_changed.await;
                 "its address changed"
             };
-            let closing_abandoned = async {
-                Timer::after(ABANDONED_LINK_LIFETIME).await;
-                *abandoned = None;
+            let closing_previous = async {
+                Timer::after(PREVIOUS_LINK_LIFETIME).await;
+                *previous = None;
                 future::pending().await
             };
-            reading.or(writing).or(moving).or(closing_abandoned).await
+            reading
+                .or(writing)
+                .or(address_changed)
+                .or(closing_previous)
+                .await
         };
         tracing::warn!(reason, "lost the link to the engine");
         commands.close();
-        let has_hello = reader.has_hello;
-        if has_hello {
+        let was_attached = reader.is_attached;
+        if was_attached {
             let unsent = unsent.into_iter().map(|(command, _)| command);
             let queued = std::iter::from_fn(|| commands.try_recv().ok());
             let unsent = unsent.chain(queued).collect();
             let _ = self.events.send(Event::EngineDown(unsent)).await;
         }
-        has_hello
+        was_attached
     }
 }
 
@@ -137,13 +153,14 @@
     stream: &'a Async<TcpStream>,
     events: &'a Sender<Event>,
     last_message: &'a mut MessageNumber,
-    /// Handed to the dispatcher with the engine's hello.
+    /// Passed to the dispatcher with the engine's `HELLO`.
     commands: Sender<EngineCommand>,
-    has_hello: bool,
+    /// Whether the engine has sent `HELLO`.
+    is_attached: bool,
 }
 
 impl LinkReader<'_> {
-    /// Reads until the link breaks, and says why it did.
+    /// Reads until the link breaks, and returns the reason.
     async fn run(&mut self) -> &'static str {
         let mut decoder = Decoder::default();
         let mut bytes = vec![0; READ_BYTES];
@@ -151,7 +168,7 @@
             match (&mut &*self.stream).read(&mut bytes).await {
                 Ok(count) if count > 0 => decoder.feed(&bytes[..count]),
                 Ok(_) => return "closed by the engine",
-                Err(_) => return "reset",
+                Err(_) => return "read error",
             }
             loop {
                 let message = match decoder.next_message() {
@@ -160,22 +177,22 @@
                     Err(error) => return error.message(),
                 };
                 if !self.forward(message).await {
-                    return "the dispatcher has ended";
+                    return "the dispatcher has stopped";
                 }
             }
         }
     }
 
-    /// Hands a message to the dispatcher; false where it has ended.
+    /// Forwards a message to the dispatcher; returns false if the dispatcher has stopped.
     async fn forward(&mut self, message: EngineMessage) -> bool {
         let number = message.number();
-        // A message that comes again changes nothing.
+        // A message that was already forwarded is ignored.
         if number.is_some_and(|number| number <= *self.last_message) {
             return true;
         }
         let event = match message {
             EngineMessage::Hello { start, age_ms } => {
-                self.has_hello = true;
+                self.is_attached = true;
                 Some(Event::EngineUp {
                     start,
                     age_ms,
@@ -184,7 +201,7 @@
             }
             EngineMessage::Note(_) => None,
             EngineMessage::Unknown(line) => {
-                let line = line.get(..MAX_LOGGED_LINE).unwrap_or(&line);
+                let line = line.get(..MAX_LOGGED_LINE_BYTES).unwrap_or(&line);
                 tracing::warn!(line, "unknown engine message");
                 None
             }
@@ -200,8 +217,8 @@
     }
 }
 
-/// Writes commands; what was not written to its last byte stays in `unsent`, with the byte at which it ends. Says why
-/// the link broke.
+/// Writes commands until the link breaks, and returns the reason. Commands that were not completely written stay in
+/// `unsent`, each with the offset of its end in the buffer.
 async fn write_commands(
     stream: &Async<TcpStream>,
     commands: &Receiver<EngineCommand>,
@@ -219,12 +236,12 @@
         while written < bytes.len() {
             match (&mut &*stream).write(&bytes[written..]).await {
                 Ok(count) if count > 0 => written += count,
-                _ => return "broke while commands were sent",
+                _ => return "write error",
             }
             while unsent.front().is_some_and(|(_, end)| *end <= written) {
                 unsent.pop_front();
             }
         }
     }
-    "the dispatcher let it go"
+    "the dispatcher closed it"
 }
--- a/crates/server/src/execution/engine_run.rs
+++ b/crates/server/src/execution/engine_run.rs
@@ -1,4 +1,4 @@
-//! One run on the engine: what it waits for, and what of it a broken link may have lost.
+//! The state of a run on the engine: the call that it waits for, and the command that a broken link may have lost.
 use super::ExecutionRequest;
 use crate::event::CallNumber;
 use crate::protocol::engine::{EngineCommand, MessageNumber};
@@ -7,43 +7,43 @@
 use cottondyke_types::{Time, SECOND};
 use std::rc::Rc;
 
-/// What was written to the engine this long before its link broke may not have been read.
+/// A command written to the engine up to this long before the link broke may not have been read.
 const POSSIBLY_LOST_WINDOW: Time = SECOND;
 
-/// A call that a run waits for.
+/// A call that a run has requested and waits for.
 pub(super) struct NeededCall {
-    /// The engine's message that asked for it.
+    /// The engine's message that requested the call.
     pub(super) message: MessageNumber,
-    /// What is to be sent.
+    /// The request body to send.
     pub(super) body: Vec<u8>,
 }
 
-/// A run, from its command until its end.
+/// A run, from its start command until its end.
 pub(super) struct EngineRun {
     pub(super) wire_id: WireId,
     pub(super) class: Rc<str>,
     pub(super) body: Rc<[u8]>,
     pub(super) is_idempotent: bool,
-    /// Whether anybody still waits for it.
+    /// Whether a client still waits for the run.
     pub(super) is_wanted: bool,
-    /// Whether the engine has shown that it runs.
+    /// Whether a message of the engine has shown that the run began.
     pub(super) has_begun: bool,
-    /// When its command was given to the link, or to the queue while there was none.
+    /// When the start command was passed to the link, or queued while there was no link.
     pub(super) commanded_at: Time,
-    /// Whether it was given to the queue.
+    /// Whether the start command was queued because there was no link.
     pub(super) was_queued: bool,
-    /// Whether its command may have been lost with a link.
+    /// Whether the start command may have been lost with a link.
     pub(super) may_be_lost: bool,
     /// The call that the run waits for.
     pub(super) needed_call: Option<NeededCall>,
-    /// When the run was told to go on from its call, and how, until the engine shows that it has.
-    pub(super) resumed: Option<(Time, EngineCommand)>,
+    /// The command that resumes the run after its call, and when it was sent, until the run requests its next call.
+    pub(super) resume_command: Option<(Time, EngineCommand)>,
     /// The call in flight; dropping its task cancels it.
     pub(super) call: Option<(CallNumber, Task<()>)>,
 }
 
 impl EngineRun {
-    /// A run that is commanded now.
+    /// Creates a run whose start command is sent now.
     pub(super) fn new(
         now: Time,
         request: &ExecutionRequest,
@@ -61,12 +61,12 @@
             was_queued: false,
             may_be_lost: false,
             needed_call: None,
-            resumed: None,
+            resume_command: None,
             call: None,
         }
     }
 
-    /// The link broke: a command written shortly before may not have been read.
+    /// The link broke. A start command that was written shortly before may not have been read.
     pub(super) fn link_lost(&mut self, now: Time, link_up_at: Time) {
         let written_at = if self.was_queued {
             self.commanded_at.max(link_up_at)
@@ -76,7 +76,7 @@
         self.may_be_lost |= !self.has_begun && now - written_at <= POSSIBLY_LOST_WINDOW;
     }
 
-    /// The command that starts it.
+    /// The command that starts the run.
     pub(super) fn start_command(&self) -> EngineCommand {
         EngineCommand::StartRun {
             id: self.wire_id,
@@ -85,9 +85,9 @@
         }
     }
 
-    /// What may have been lost with a link that broke then, though it was written to its last byte.
+    /// The command that was completely written but may have been lost with the link that broke at `link_lost_at`.
     pub(super) fn possibly_lost_command(&self, link_lost_at: Time) -> Option<EngineCommand> {
-        match &self.resumed {
+        match &self.resume_command {
             Some((at, command)) if link_lost_at - *at <= POSSIBLY_LOST_WINDOW => {
                 Some(command.clone())
             }
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -1,6 +1,6 @@
-//! What runs a request that was started: the engine, or an aggregation of dependencies. An executor is told `start` and
-//! `cancel`, and ends each run exactly once with an [`ExecutionEvent::Ended`]; it knows nothing of connections, and the
-//! admission controller hears of it by the dispatcher alone.
+//! Executors run admitted requests, either on the engine or as an aggregation of dependency calls. An executor has
+//! `start` and `cancel` methods and ends each run exactly once with an [`ExecutionEvent::Ended`]. Executors do not
+//! depend on connections, and only the dispatcher passes their events on to the admission controller.
 pub mod aggregation;
 pub mod command_queue;
 pub mod engine;
@@ -17,60 +17,60 @@
 use engine::{EngineCounters, EngineExecutor};
 use std::rc::Rc;
 
-/// A request as an executor needs it.
+/// The parts of a request that an executor needs.
 #[derive(Clone, Debug)]
 pub struct ExecutionRequest {
     /// Its id on the wire.
     pub wire_id: WireId,
-    /// What is asked for.
+    /// The handler that the request asks for.
     pub handler: HandlerId,
-    /// For whom.
+    /// The tenant that the request belongs to, if any.
     pub tenant: Option<TenantId>,
-    /// What the run is given.
+    /// The request's body.
     pub body: Rc<[u8]>,
     /// The end of its response target.
     pub target: Time,
-    /// By when it must be answered.
+    /// When the response must have been sent.
     pub deadline: Time,
 }
 
-/// What an executor tells the dispatcher.
+/// An event that an executor reports to the dispatcher.
 #[derive(Debug)]
 pub enum ExecutionEvent {
-    /// The run shows that it goes on.
+    /// The run has made progress.
     Alive(RequestId),
     /// The run has ended.
     Ended(RequestId, RunOutcome, RunOutput),
-    /// The run needs a call that the admission controller lets out.
+    /// The run needs a call to the records service, which the admission controller has to permit.
     CallWanted(RequestId),
-    /// The run's call has ended.
+    /// The run's call to the records service has ended.
     CallEnded(RequestId, CallOutcome),
-    /// The fraction of the cores in use, which the dispatcher asked for; none where it is not known.
+    /// The CPU utilization that the dispatcher queried, as a fraction of all cores; `None` if unknown.
     LoadSample(Option<f64>),
-    /// A self-test that the dispatcher asked for, and whether it went well.
+    /// The self-test with this tag has finished; true if it passed.
     SelfTested(Tag, bool),
 }
 
-/// The handlers' names and idempotency, by `HandlerId`.
+/// The names and idempotency of the handlers, indexed by `HandlerId`.
 pub struct HandlerTable {
-    /// Names, as the engine knows them.
+    /// The class names that the engine uses for the handlers.
     pub classes: Vec<Rc<str>>,
-    /// Whether a handler's runs may be repeated.
+    /// Whether a handler's runs may be executed more than once.
     pub idempotency: Vec<Idempotency>,
 }
 
-/// The executors that this server has, and which handler goes to which. Events come back from every input, for the
-/// dispatcher to take in their order.
+/// The executors of this server, and the mapping from handlers to executors. Methods return the events that they
+/// cause, which the dispatcher handles in order.
 pub struct Executors {
-    /// None where the program serves on its own.
+    /// `None` if the server runs without an engine.
     pub engine: Option<EngineExecutor>,
-    /// None without an operator's file.
+    /// `None` if there is no operator file.
     pub aggregation: Option<AggregationExecutor>,
     handlers: HandlerTable,
 }
 
 impl Executors {
-    /// Executors for these handlers.
+    /// Creates the executors for these handlers.
     pub fn new(
         engine: Option<EngineExecutor>,
         aggregation: Option<AggregationExecutor>,
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Whether anything can run: with an engine, only once it has said hello.
+    /// Whether requests can run. With an engine, this is the case once it has sent its first `HELLO`.
     pub fn is_ready(&self) -> bool {
         self.engine.as_ref().is_none_or(EngineExecutor::was_ever_up)
     }
 
-    /// Whether what runs requests can be reached now.
+    /// Whether the engine is connected now; always true without an engine.
     pub fn is_up(&self) -> bool {
         self.engine.as_ref().is_none_or(EngineExecutor::is_up)
     }
@@ -104,8 +104,9 @@
         let is_idempotent = self.handlers.idempotency[handler] == Idempotency::Idempotent;
         let is_ready = self.is_ready();
         let aggregation = self.aggregation.as_mut();
-        if let Some(aggregation) = aggregation.filter(|executor| executor.has(request.handler)) {
-            // What starts before the first hello starts again with it.
+        if let Some(aggregation) = aggregation.filter(|executor| executor.handles(request.handler))
+        {
+            // All runs start again after the engine's first `HELLO`, so an earlier start is ignored.
             return match is_ready {
                 true => aggregation.start(now, id, request, is_idempotent),
                 false => Vec::new(),
@@ -120,7 +121,7 @@
         Vec::new()
     }
 
-    /// Asks for a run's end.
+    /// Requests the cancellation of a run.
     pub fn cancel(&mut self, now: Time, id: RequestId) -> Vec<ExecutionEvent> {
         if let Some(engine) = &mut self.engine {
             engine.cancel(id);
@@ -131,28 +132,28 @@
         }
     }
 
-    /// Nobody waits for the run any longer. Aggregations end by themselves at their deadline.
+    /// Records that no client waits for the run any longer. Aggregations end at their deadline in any case.
     pub fn mark_unwanted(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
             engine.mark_unwanted(id);
         }
     }
 
-    /// Whether the engine may know nothing of a run that was started, or holds it where it takes no core.
+    /// Whether the engine may never have received the run, or has suspended it at a call, where it uses no core.
     pub fn may_have_lost(&self, id: RequestId) -> bool {
         self.engine
             .as_ref()
             .is_none_or(|engine| engine.may_have_lost(id))
     }
 
-    /// The run has ended for the dispatcher.
+    /// Drops the state of a run that the dispatcher considers ended.
     pub fn forget(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
             engine.forget(id);
         }
     }
 
-    /// All runs are forgotten, without events.
+    /// Drops the state of all runs without emitting events.
     pub fn forget_all(&mut self, now: Time) {
         if let Some(engine) = &mut self.engine {
             engine.forget_all();
@@ -162,21 +163,21 @@
         }
     }
 
-    /// The server drains: all is to be answered by `until`.
+    /// The server is draining: all requests must be answered by `until`.
     pub fn start_draining(&mut self, now: Time, until: Time) {
         if let Some(aggregation) = &mut self.aggregation {
             aggregation.start_draining(now, until);
         }
     }
 
-    /// When [`Executors::handle_timer`] is due.
+    /// When [`Executors::handle_timer`] has to be called next.
     pub fn next_timer(&self) -> Option<Time> {
         self.aggregation
             .as_ref()
             .and_then(AggregationExecutor::next_timer)
     }
 
-    /// Does what is due by the clock.
+    /// Handles the timers that are due.
     pub fn handle_timer(&mut self, now: Time) -> Vec<ExecutionEvent> {
         let is_due = self.next_timer().is_some_and(|at| at <= now);
         match &mut self.aggregation {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Once a second: logs the dependencies, and returns what the engine counted.
+    /// Called once a second: logs the state of the dependencies and returns the engine's counters.
     pub fn log_and_count(&mut self, now: Time) -> EngineCounters {
         if let Some(aggregation) = &mut self.aggregation {
             aggregation.maintain(now);
--- a/crates/server/src/execution/response_body.rs
+++ b/crates/server/src/execution/response_body.rs
@@ -1,14 +1,14 @@
-//! The body of an aggregation's response: each part with where it came from, as JSON.
+//! The JSON body of an aggregation's response, which contains each part and its source.
 use crate::protocol::sidecar::RunOutput;
 use cottondyke_dependency::{PartResult, PartSource};
 use serde_json::Value;
 
-/// Bytes that are set aside for what stands around a part.
+/// Bytes reserved for the JSON around the body of a part.
 const PART_OVERHEAD: usize = 64;
 /// Units of `Time` in a millisecond.
 const TICKS_PER_MS: i64 = 10;
 
-/// The response of these parts, with the names of those that do not come from their primary source.
+/// Encodes a response from these parts, with the names of the parts that do not come from their primary source.
 pub fn encode(parts: &[PartResult]) -> RunOutput {
     let partial: Vec<&str> = parts
         .iter()
@@ -19,8 +19,8 @@
         Vec::with_capacity(PART_OVERHEAD + parts.iter().map(estimated_size).sum::<usize>());
     let names = Value::from(partial.clone());
     body.extend(format!("{{\"partial\":{names},\"parts\":{{").bytes());
-    for (place, part) in parts.iter().enumerate() {
-        if place > 0 {
+    for (index, part) in parts.iter().enumerate() {
+        if index > 0 {
             body.push(b',');
         }
         encode_part(part, &mut body);
--- a/crates/server/src/load_report.rs
+++ b/crates/server/src/load_report.rs
@@ -1,4 +1,5 @@
-//! Reports to the control plane, one each second and one at each change. It may be down, slow or odd: serving goes on.
+//! Reports health to the control plane, once a second and at each change. A control plane that is down, slow or sends
+//! invalid responses does not affect the handling of requests.
 use crate::event::ReportUpdate;
 use crate::protocol::http::{self, Decoder};
 use async_channel::Receiver;
@@ -12,18 +13,19 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 const READ_BYTES: usize = 1_024;
 
-/// Reports until the program ends. An update goes out at once, whatever report still waits for its response.
+/// Sends reports until the program ends. An update is sent immediately, and aborts a report that still waits for its
+/// response.
 pub async fn run(mut addr: SocketAddr, name: String, updates: Receiver<ReportUpdate>) {
     let path = format!("/v2/endpoints/{name}");
     let mut interval = Timer::interval_at(Instant::now(), REPORT_INTERVAL);
     let mut healthy = false;
     let mut is_failing = false;
     loop {
-        let due = async {
+        let interval_elapsed = async {
             interval.next().await;
             None
         };
-        let mut update = next_update(&updates).or(due).await;
+        let mut update = next_update(&updates).or(interval_elapsed).await;
         let result = loop {
             match update.take() {
                 Some(ReportUpdate::Health { healthy: new }) => healthy = new,
@@ -64,7 +66,7 @@
     report(addr, path, body.as_bytes()).or(timeout).await
 }
 
-/// One report, on a connection of its own.
+/// Sends one report on a connection of its own.
 async fn report(addr: SocketAddr, path: &str, body: &[u8]) -> io::Result<()> {
     let mut stream = Async::<TcpStream>::connect(addr).await?;
     let _ = stream.get_ref().set_nodelay(true);
@@ -82,7 +84,10 @@
         match response {
             Some(response) if (200..300).contains(&response.status) => return Ok(()),
             Some(response) => {
-                return Err(io::Error::other(format!("answered {}", response.status)))
+                return Err(io::Error::other(format!(
+                    "unexpected response status {}",
+                    response.status
+                )))
             }
             None if count == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             None => {}
--- a/crates/server/src/outbound/dependency_call.rs
+++ b/crates/server/src/outbound/dependency_call.rs
@@ -1,4 +1,4 @@
-//! Calls to the dependencies of aggregations: what is asked, and what a response says of the dependency.
+//! Calls from aggregations to their dependencies: the encoding of requests and the classification of responses.
 use crate::clock::{ms, Clock};
 use crate::event::CallError;
 use crate::outbound::http_client::{self, ConnectionPool, Exchange, ExchangeProgress};
@@ -8,23 +8,23 @@
 use cottondyke_types::Time;
 use std::rc::Rc;
 
-/// One call.
+/// A call to a dependency.
 pub struct DependencyCall {
-    /// Who is asked.
+    /// The dependency to call.
     pub dependency: Rc<Dependency>,
-    /// The request whose aggregation it belongs to.
+    /// The request whose aggregation makes the call.
     pub request: WireId,
-    /// What is sent.
+    /// The body to send.
     pub body: Rc<[u8]>,
-    /// The time that is left for it, which the dependency is told.
+    /// The time left for the call, which is sent to the dependency.
     pub remaining: Time,
     /// Whether a pooled connection may be used.
     pub may_reuse: bool,
-    /// Where the time of sending is noted.
+    /// Records the time at which the call is sent.
     pub timestamp: Rc<SendTimestamp>,
 }
 
-/// Makes a call. Dropping the future closes its connection. Nothing here limits its time: who waits does.
+/// Makes a call. Dropping the future closes the connection. The caller is responsible for the timeout.
 pub async fn call(pool: Rc<ConnectionPool>, clock: Clock, call: DependencyCall) -> CallResult {
     let dependency = &*call.dependency;
     let pooled = call.may_reuse.then(|| pool.take(dependency.addr)).flatten();
@@ -37,8 +37,8 @@
         return CallResult::Rejected;
     };
     let request = encode(&call);
-    // The last check of a leased quota, in the same step as the first byte: connecting may have taken long, and so may
-    // a stop of the whole process.
+    // The final check of the leased quota, in the same poll in which the first byte is sent: opening the connection may
+    // have taken long, and the whole process may have been suspended for long.
     let now = clock.now();
     if !dependency.may_send(&call.timestamp, now) {
         return CallResult::LeaseExpired;
@@ -65,10 +65,10 @@
 
 fn encode(call: &DependencyCall) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256 + call.body.len());
-    let left_ms = (ms(call.remaining).floor() as u64).to_string();
+    let remaining_ms = (ms(call.remaining).floor() as u64).to_string();
     let headers = [
         ("Req-Id", call.request.as_str()),
-        ("Time-Left-Ms", left_ms.as_str()),
+        ("Time-Left-Ms", remaining_ms.as_str()),
     ];
     let dependency = &call.dependency;
     let host = dependency.addr.to_string();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a body is what the operator's file says that responses are.
+/// Whether a response body has the format that the operator file declares.
 fn is_valid(dependency: &Dependency, body: &[u8]) -> bool {
     if dependency.json {
         serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
--- a/crates/server/src/outbound/http_client.rs
+++ b/crates/server/src/outbound/http_client.rs
@@ -1,6 +1,6 @@
-//! The one HTTP/1.1 client: calls to the records service, each on a connection of its own, and calls to dependencies,
-//! on pooled ones. A connection is used again only after a response that ended where it said, with nothing behind it;
-//! one that has been closed or written to meanwhile is found out before it is used.
+//! HTTP/1.1 client for calls to the records service, each on a connection of its own, and for calls to dependencies, on
+//! pooled connections. A connection is reused only after a complete response that no bytes followed. An idle
+//! connection that was closed, or on which bytes arrived, is detected and discarded before reuse.
 use crate::event::CallError;
 use crate::protocol::http::{Decoder, Response};
 use async_io::Async;
@@ -12,27 +12,27 @@
 use std::time::{Duration, Instant};
 
 const READ_BYTES: usize = 4_096;
-/// A connection unused for this long is closed: most services keep theirs open a little longer.
+/// Connections that were idle for this long are closed. Most services keep idle connections open slightly longer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A connection to a service.
 pub type HttpConnection = Async<TcpStream>;
 
-/// How far an exchange has come, for who gives it up.
+/// The progress of an exchange, for callers that abort it.
 #[derive(Debug, Default)]
 pub struct ExchangeProgress {
-    /// Set before the first byte goes out.
+    /// Set before the first byte is sent.
     pub is_sending: Cell<bool>,
-    /// Set with the first byte that comes back.
+    /// Set when the first byte of the response is received.
     pub has_received: Cell<bool>,
 }
 
-/// A response, and what became of its connection.
+/// A response, and whether its connection can be reused.
 #[derive(Debug)]
 pub struct Exchange {
     /// The response.
     pub response: Response,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused.
     pub is_reusable: bool,
 }
 
@@ -40,13 +40,13 @@
 pub async fn connect(addr: SocketAddr) -> Result<HttpConnection, CallError> {
     let stream = HttpConnection::connect(addr)
         .await
-        .map_err(|_| CallError::NotBegun("no connection"))?;
+        .map_err(|_| CallError::NotBegun("connection failed"))?;
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
 }
 
-/// One request and its response. A service may answer before it has read the request, and close: that response counts,
-/// though the rest can no longer be written.
+/// Sends one request and receives its response. A service may respond and close the connection before it has read the
+/// whole request. Such a response is valid, although the rest of the request can no longer be written.
 pub async fn exchange(
     stream: &mut HttpConnection,
     request: &[u8],
@@ -54,17 +54,18 @@
 ) -> Result<Exchange, CallError> {
     progress.is_sending.set(true);
     let stream = &*stream;
-    // None while it is written, then whether all of it was.
+    // `None` while the request is being written, then whether all of it was written.
     let sent = Cell::new(None);
     let writing = async {
         sent.set(Some((&mut &*stream).write_all(request).await.is_ok()));
         future::pending().await
     };
-    // Guards what is called: a connection that breaks proves nothing of what was sent on it, until a reply has begun.
-    let broken = |why| match sent.get() {
-        Some(true) if progress.has_received.get() => CallError::Ended(why),
-        Some(true) => CallError::Interrupted(why),
-        _ => CallError::MaybeBegun("broke while it was sent"),
+    // If a connection breaks before the response has begun, the request may still be running at the service. Treating
+    // it as ended would let further calls overload the service.
+    let connection_error = |reason| match sent.get() {
+        Some(true) if progress.has_received.get() => CallError::Ended(reason),
+        Some(true) => CallError::Interrupted(reason),
+        _ => CallError::MaybeBegun("connection broke while the request was sent"),
     };
     let reading = async {
         let mut decoder = Decoder::default();
@@ -73,15 +74,17 @@
             let count = (&mut &*stream)
                 .read(&mut bytes)
                 .await
-                .map_err(|_| broken("broke before its reply"))?;
+                .map_err(|_| connection_error("connection broke before the end of the response"))?;
             if count == 0 {
-                return Err(broken("closed before its reply"));
+                return Err(connection_error(
+                    "connection closed before the end of the response",
+                ));
             }
             progress.has_received.set(true);
             decoder.feed(&bytes[..count]);
             let response = decoder
                 .next_response()
-                .map_err(|_| CallError::Ended("a malformed reply"))?;
+                .map_err(|_| CallError::Ended("malformed response"))?;
             if let Some(response) = response {
                 let is_reusable = !response.close && decoder.is_empty() && sent.get() == Some(true);
                 return Ok(Exchange {
@@ -94,31 +97,31 @@
     reading.or(writing).await
 }
 
-/// A connection that is not in use, and since when.
+/// An idle connection, and since when it has been idle.
 type IdleConnection = (HttpConnection, Instant);
 
-/// Connections that are not in use, by address; those used last are used first.
+/// Idle connections by address. The most recently used connection is reused first.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A connection on which nothing has come, not even its end.
+    /// Takes an idle connection that is still open and on which no bytes have arrived.
     pub fn take(&self, addr: SocketAddr) -> Option<HttpConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&addr)?;
         while let Some((stream, since)) = connections.pop() {
             let peeked = stream.get_ref().peek(&mut [0]);
-            let is_quiet = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
-            if since.elapsed() < IDLE_TIMEOUT && is_quiet {
+            let is_clean = peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+            if since.elapsed() < IDLE_TIMEOUT && is_clean {
                 return Some(stream);
             }
         }
         None
     }
 
-    /// Puts a connection back, of which `max_idle` may be idle.
+    /// Returns a connection to the pool, or closes it if `max_idle` connections to the address are idle already.
     pub fn put(&self, addr: SocketAddr, stream: HttpConnection, max_idle: usize) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(addr).or_default();
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|(_, since)| since.elapsed() < IDLE_TIMEOUT);
--- a/crates/server/src/outbound/records_call.rs
+++ b/crates/server/src/outbound/records_call.rs
@@ -1,5 +1,5 @@
-//! Calls to the records service, each on a connection of its own: what comes after a response is read by no other
-//! call, and a connection that the service has closed is not written to.
+//! Calls to the records service. Each call has a connection of its own, so that bytes after a response are never read
+//! by another call, and no request is written to a connection that the service has closed.
 use crate::clock::{duration, ms};
 use crate::event::CallError;
 use crate::outbound::http_client::{self, ExchangeProgress};
@@ -12,14 +12,14 @@
 
 const PATH: &str = "/records/op";
 
-/// A call of a run.
+/// A call that a run makes to the records service.
 #[derive(Debug)]
 pub struct RecordsCall {
-    /// The request whose run it belongs to.
+    /// The request whose run makes the call.
     pub request: WireId,
-    /// What is sent.
+    /// The body to send.
     pub body: Vec<u8>,
-    /// How long it may take.
+    /// The call's timeout.
     pub timeout: Time,
 }
 
@@ -55,8 +55,8 @@
     let response = exchange.response;
     match response.status {
         200 => Ok(response.body),
-        503 | 409 if response.not_executed => Err(CallError::NotBegun("turned away")),
-        504 => Err(CallError::MaybeBegun("ran out of time there")),
-        _ => Err(CallError::Ended("answered with an error")),
+        503 | 409 if response.not_executed => Err(CallError::NotBegun("rejected by the service")),
+        504 => Err(CallError::MaybeBegun("timed out at the service")),
+        _ => Err(CallError::Ended("error response")),
     }
 }
