--- a/crates/server/tests/command_queue.rs
+++ b/crates/server/tests/command_queue.rs
@@ -1,42 +1,48 @@
-//! Commands to the engine while there is no link.
+//! The queue for commands to the engine while there is no link.
 use cottondyke::execution::command_queue::EngineCommandQueue;
 use cottondyke::protocol::engine::{EngineCommand, MessageNumber};
 use cottondyke::protocol::WireId;
 use cottondyke_types::Time;
 
-/// Guards commands given while there is no link, and the wait for a fence that is never answered.
+/// Commands that are sent while there is no link must be kept until the link's fence is answered or times out.
 #[test]
-fn queues_commands_until_the_link_and_its_fence_are_there() {
+fn queues_commands_until_the_link_is_up_and_its_fence_passed() {
     let id = WireId::new("9b1f03aa5c7e2d41").unwrap();
-    let (skip, halt) = (
+    let (skip, cancel) = (
         EngineCommand::SkipCall(id, MessageNumber(1)),
         EngineCommand::CancelRun(id),
     );
-    let mut engine = EngineCommandQueue::default();
-    assert_eq!(engine.query_load(), None);
-    [&skip, &halt, &halt]
+    let mut queue = EngineCommandQueue::default();
+    assert_eq!(queue.query_load(), None);
+    [&skip, &cancel, &cancel]
         .into_iter()
-        .for_each(|c| engine.send(c.clone()));
-    for fenced in [true, false] {
-        let (outlet, commands) = async_channel::unbounded();
-        engine.link_up(Time(0), outlet);
+        .for_each(|c| queue.send(c.clone()));
+    for is_fence_answered in [true, false] {
+        let (link, commands) = async_channel::unbounded();
+        queue.link_up(Time(0), link);
         let fence = commands.try_recv();
         let Ok(EngineCommand::QueryLoad(tag)) = fence else {
             panic!("{fence:?}")
         };
-        assert!(commands.is_empty(), "nothing passes the fence");
-        assert!(if fenced {
-            engine.pass_fence(tag)
+        assert!(
+            commands.is_empty(),
+            "no queued command is sent before the fence has passed"
+        );
+        assert!(if is_fence_answered {
+            queue.pass_fence(tag)
         } else {
-            !engine.expire_fence(Time(9_999)) && engine.expire_fence(Time(10_000))
+            !queue.expire_fence(Time(9_999)) && queue.expire_fence(Time(10_000))
         });
-        engine.resume(Vec::new());
+        queue.resume(Vec::new());
         assert_eq!(
             [commands.try_recv(), commands.try_recv()],
-            [Ok(skip.clone()), Ok(halt.clone())]
+            [Ok(skip.clone()), Ok(cancel.clone())]
+        );
+        assert!(
+            commands.is_empty(),
+            "a queued cancellation is not duplicated"
         );
-        assert!(commands.is_empty(), "a halt that waits is not repeated");
-        // The link breaks before they are written: they wait again.
-        engine.link_down(vec![skip.clone(), halt.clone()]);
+        // The link breaks before the commands are written, so they are queued again.
+        queue.link_down(vec![skip.clone(), cancel.clone()]);
     }
 }
--- a/crates/server/tests/http_client.rs
+++ b/crates/server/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client against a service that answers out of turn, on real connections.
+//! The HTTP client against services that respond early or break the connection, on real sockets.
 use async_io::Async;
 use cottondyke::event::CallError;
 use cottondyke::outbound::http_client::{exchange, Exchange, ExchangeProgress};
@@ -6,13 +6,14 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// What an exchange brings with a service that says `response` and resets the connection before the request is written.
-fn reset_after(response: &[u8]) -> Result<Exchange, CallError> {
+/// The result of an exchange with a service that sends `response` and resets the connection before the request is
+/// written.
+fn exchange_with_reset_after(response: &[u8]) -> Result<Exchange, CallError> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut service, _) = listener.accept().unwrap();
     service.write_all(response).unwrap();
-    // Closing without waiting is a reset, behind the response.
+    // With a linger time of zero, closing the socket resets the connection after the response.
     rustix::net::sockopt::set_socket_linger(&service, Some(Duration::ZERO)).unwrap();
     drop(service);
     let mut stream = Async::new(stream).unwrap();
@@ -23,18 +24,18 @@
     ))
 }
 
-/// Guards calls against a service that answers before it has read the request, and closes: the response says that the
-/// call never ran, though it could not be written. Without a complete response nothing is known.
+/// A service may respond and close the connection before it has read the request. A complete response that reports the
+/// call as not executed must be used, although the request could not be written. An incomplete one proves nothing.
 #[test]
 fn takes_a_response_that_comes_before_the_request_is_written() {
     let rejection = b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 0\r\n\r\n";
-    let exchange = reset_after(rejection).unwrap();
+    let exchange = exchange_with_reset_after(rejection).unwrap();
     let response = &exchange.response;
     assert!(response.status == 503 && response.not_executed && !exchange.is_reusable);
     for cut in 0..rejection.len() {
         assert!(
             matches!(
-                reset_after(&rejection[..cut]),
+                exchange_with_reset_after(&rejection[..cut]),
                 Err(CallError::MaybeBegun(_))
             ),
             "{cut}"
@@ -42,17 +43,17 @@
     }
 }
 
-/// Guards a service against calls beside those whose connections broke: only a reply that has begun shows that the call
-/// has ended.
+/// A service must not get further calls beside ones that may still run there after their connections broke. Only a
+/// response that has begun shows that its call has ended.
 #[test]
-fn tells_a_call_that_may_go_on_from_one_whose_reply_was_cut() {
-    for (reply, has_ended) in [(&b""[..], false), (b"HTTP/1.1 200 OK\r\nContent-Le", true)] {
+fn distinguishes_a_call_that_may_still_run_from_one_with_a_truncated_response() {
+    for (response, has_ended) in [(&b""[..], false), (b"HTTP/1.1 200 OK\r\nContent-Le", true)] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (mut service, _) = listener.accept().unwrap();
         let answering = std::thread::spawn(move || {
             service.read_exact(&mut [0; 16]).unwrap();
-            service.write_all(reply).unwrap();
+            service.write_all(response).unwrap();
         });
         let mut stream = Async::new(stream).unwrap();
         let progress = ExchangeProgress::default();
--- a/crates/server/tests/response_body.rs
+++ b/crates/server/tests/response_body.rs
@@ -3,26 +3,26 @@
 use cottondyke_dependency::{PartResult, PartSource};
 use cottondyke_types::Time;
 
-/// Guards clients: the body is JSON whatever the parts hold, and says what each part is.
+/// The body must be valid JSON whatever the parts contain, and must give the state of each part.
 #[test]
 fn names_the_source_of_each_part_when_a_response_is_encoded() {
-    let part = |name: &str, state, body: Option<&str>, json| PartResult {
+    let part = |name: &str, source, body: Option<&str>, json| PartResult {
         name: name.into(),
-        source: state,
+        source,
         body: body.map(|b| b.as_bytes().into()),
         json,
     };
-    let whole = [
+    let complete = [
         part("a", PartSource::Primary, Some("{\"x\":1}"), true),
         part("b", PartSource::Primary, Some("a\"b\n"), false),
     ];
-    let output = encode(&whole);
+    let output = encode(&complete);
     assert_eq!(output.partial, None);
-    let read: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
+    let decoded: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
     assert_eq!(
         (
-            &read["parts"]["a"]["body"]["x"],
-            &read["parts"]["b"]["body"]
+            &decoded["parts"]["a"]["body"]["x"],
+            &decoded["parts"]["b"]["body"]
         ),
         (&1.into(), &"a\"b\n".into())
     );
@@ -40,18 +40,18 @@
     ];
     let output = encode(&parts);
     assert_eq!(output.partial.as_deref(), Some("a,b,c,d"));
-    let read: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
-    assert_eq!(read["partial"], serde_json::json!(["a", "b", "c", "d"]));
+    let decoded: serde_json::Value = serde_json::from_slice(&output.body).unwrap();
+    assert_eq!(decoded["partial"], serde_json::json!(["a", "b", "c", "d"]));
     assert_eq!(
-        read["parts"]["a"],
+        decoded["parts"]["a"],
         serde_json::json!({ "state": "kept", "age_ms": 123, "body": [] })
     );
     assert_eq!(
-        read["parts"]["b"],
+        decoded["parts"]["b"],
         serde_json::json!({ "state": "other", "from": "backup", "body": "x" })
     );
     assert_eq!(
-        read["parts"]["d"],
+        decoded["parts"]["d"],
         serde_json::json!({ "state": "missing" })
     );
 }
--- a/crates/server/tests/serve/aggregations.rs
+++ b/crates/server/tests/serve/aggregations.rs
@@ -1,4 +1,4 @@
-//! Pages composed from dependencies, by the program on its own.
+//! Pages that the server composes from dependency calls, without an engine.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::path::PathBuf;
 
-const HEAD: &str = "fleet(instances = 1)\nserve(listen = \"127.0.0.1:0\", stop = \"1s\")\n";
+const HEADER: &str = "fleet(instances = 1)\nserve(listen = \"127.0.0.1:0\", stop = \"1s\")\n";
 
 struct Shop {
     rig: Alone,
@@ -14,14 +14,14 @@
     prices: TcpListener,
 }
 
-fn dependency(name: &str, listener: &TcpListener, budget: &str, more: &str) -> String {
+fn dependency(name: &str, listener: &TcpListener, budget: &str, extra: &str) -> String {
     let addr = listener.local_addr().unwrap();
-    format!("dependency({name:?}, addr = \"{addr}\", budget = {budget:?}, ceiling = 4, linger = \"20ms\"{more})\n")
+    format!("dependency({name:?}, addr = \"{addr}\", budget = {budget:?}, ceiling = 4, linger = \"20ms\"{extra})\n")
 }
 
 fn script(catalogue: &TcpListener, prices: &TcpListener, effect: &str, parts: &str) -> String {
     format!(
-        "{HEAD}handler(\"browse\", effect = {effect:?}, response_target = \"3s\", client_timeout = \"6s\")\n{}{}{}",
+        "{HEADER}handler(\"browse\", effect = {effect:?}, response_target = \"3s\", client_timeout = \"6s\")\n{}{}{}",
         dependency("catalogue", catalogue, "2s", ", retries = 1"),
         dependency("prices", prices, "300ms", ", replies = \"json\""),
         format_args!("page(\"browse\", parts = [{parts}])\n")
@@ -50,105 +50,112 @@
     }
 }
 
-/// The next call to a dependency.
-fn called(listener: &TcpListener) -> (FakeService, ReceivedRequest) {
+/// Accepts the next call to a dependency.
+fn accept_call(listener: &TcpListener) -> (FakeService, ReceivedRequest) {
     let mut service = FakeService::accept(listener).unwrap();
-    let asked = service.receive_request().unwrap();
-    (service, asked)
+    let request = service.receive_request().unwrap();
+    (service, request)
 }
 
-fn good(listener: &TcpListener, body: &[u8]) -> FakeService {
-    let (mut service, _) = called(listener);
+/// Accepts the next call to a dependency and answers it with this body.
+fn answer_call(listener: &TcpListener, body: &[u8]) -> FakeService {
+    let (mut service, _) = accept_call(listener);
     service.reply("200 OK", "", body).unwrap();
     service
 }
 
-fn parts(heard: &ReceivedFrame) -> Value {
-    serde_json::from_slice::<Value>(&heard.body).unwrap()["parts"].clone()
+fn parts(response: &ReceivedFrame) -> Value {
+    serde_json::from_slice::<Value>(&response.body).unwrap()["parts"].clone()
 }
 
-/// Guards the head of answers: whole ones are never flagged, partial ones always, and kept ones tell their age.
+/// A complete response must not be flagged as partial, a partial one must be, and a cached part must give its age.
 #[test]
 fn flags_a_response_when_it_is_partial() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.send_request(1);
-    let mut catalogue = good(&shop.catalogue, b"a list");
-    let (mut prices, asked) = called(&shop.prices);
+    let mut catalogue = answer_call(&shop.catalogue, b"a list");
+    let (mut prices, request) = accept_call(&shop.prices);
     assert_eq!(
-        (asked.header("Req-Id"), asked.body.as_slice()),
+        (request.header("Req-Id"), request.body.as_slice()),
         (Some(id(1).as_str()), &b"shoes"[..])
     );
-    let left: u64 = asked.header("Time-Left-Ms").unwrap().parse().unwrap();
+    let left: u64 = request.header("Time-Left-Ms").unwrap().parse().unwrap();
     assert!((100..=300).contains(&left), "{left}");
     prices.reply("200 OK", "", b"{\"price\": 3}").unwrap();
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.code, heard.field("partial")), (1, None));
+    let response = sidecar.receive().unwrap();
+    assert_eq!((response.code, response.field("partial")), (1, None));
     assert_eq!(
-        parts(&heard)["prices"],
+        parts(&response)["prices"],
         json!({ "state": "whole", "body": { "price": 3 } })
     );
-    // The same connections serve the next; prices never answers, and its last answer was kept.
+    // The next request uses the same connections. The call to prices is not answered, so its cached response is used.
     send_request(&mut sidecar, 2, "browse", &[], b"shoes");
     catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
     prices.receive_request().unwrap();
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
-    let kept = &parts(&heard)["prices"];
+    let response = sidecar.receive().unwrap();
     assert_eq!(
-        (&kept["state"], &kept["body"]["price"]),
+        (response.code, response.field("partial")),
+        (1, Some("prices"))
+    );
+    let cached = &parts(&response)["prices"];
+    assert_eq!(
+        (&cached["state"], &cached["body"]["price"]),
         (&json!("kept"), &json!(3))
     );
-    assert!(kept["age_ms"].as_u64().unwrap() >= 100, "{kept}");
+    assert!(cached["age_ms"].as_u64().unwrap() >= 100, "{cached}");
 }
 
-/// Guards tenants: what one asked for is never handed to what another asks.
+/// A cached response must only be used for an identical request, so that no tenant gets the data of another one.
 #[test]
 fn serves_cached_responses_for_the_same_request_only() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.send_request(1);
-    let mut catalogue = good(&shop.catalogue, b"a list");
-    drop(good(&shop.prices, b"1"));
+    let mut catalogue = answer_call(&shop.catalogue, b"a list");
+    drop(answer_call(&shop.prices, b"1"));
     assert_eq!(sidecar.receive().unwrap().field("partial"), None);
     send_request(&mut sidecar, 2, "browse", &[], b"boots");
     catalogue.receive_request().unwrap();
     catalogue.reply("200 OK", "", b"a list").unwrap();
-    let _hangs = called(&shop.prices);
-    let heard = sidecar.receive().unwrap();
-    assert_eq!(parts(&heard)["prices"], json!({ "state": "missing" }));
+    let _unanswered = accept_call(&shop.prices);
+    let response = sidecar.receive().unwrap();
+    assert_eq!(parts(&response)["prices"], json!({ "state": "missing" }));
 }
 
-/// Guards against an answer that comes after its budget: it is dropped, and reaches no later request.
+/// A response that arrives after its time budget must be discarded and must not reach a later request.
 #[test]
 fn discards_a_response_that_comes_after_its_budget() {
     let shop = Shop::start("replayable", "part(\"prices\", fallbacks = [leave_out()])");
     let mut sidecar = shop.send_request(1);
-    let (mut prices, _) = called(&shop.prices);
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.code, heard.field("partial")), (1, Some("prices")));
-    // Within the time for which it is still listened to.
+    let (mut prices, _) = accept_call(&shop.prices);
+    let response = sidecar.receive().unwrap();
+    assert_eq!(
+        (response.code, response.field("partial")),
+        (1, Some("prices"))
+    );
+    // This late response arrives while the abandoned call is still read.
     let _ = prices.reply("200 OK", "", b"\"late\"");
     send_request(&mut sidecar, 2, "browse", &[], b"shoes");
-    let again = prices.receive_request();
-    let mut other;
-    let now = if again.is_ok() {
+    let second_request = prices.receive_request();
+    let mut new_connection;
+    let service = if second_request.is_ok() {
         &mut prices
     } else {
-        other = called(&shop.prices).0;
-        &mut other
+        new_connection = accept_call(&shop.prices).0;
+        &mut new_connection
     };
-    now.reply("200 OK", "", b"\"new\"").unwrap();
-    let heard = sidecar.receive().unwrap();
+    service.reply("200 OK", "", b"\"new\"").unwrap();
+    let response = sidecar.receive().unwrap();
     assert_eq!(
-        parts(&heard)["prices"],
+        parts(&response)["prices"],
         json!({ "state": "whole", "body": "new" })
     );
 }
 
-/// Guards aggregations against corrupt replies of every kind: none is taken for an answer.
+/// No corrupt reply of a dependency may be used as a part of a response.
 #[test]
 fn refuses_corrupt_responses_of_dependencies() {
-    for odd in [
+    for reply in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"a\":",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
@@ -163,31 +170,31 @@
             "part(\"prices\", fallbacks = [fixed({\"price\": None})])",
         );
         let mut sidecar = shop.send_request(1);
-        let (mut prices, _) = called(&shop.prices);
-        prices.0.get_mut().write_all(odd.as_bytes()).unwrap();
+        let (mut prices, _) = accept_call(&shop.prices);
+        prices.0.get_mut().write_all(reply.as_bytes()).unwrap();
         drop(prices);
-        let heard = sidecar.receive().unwrap();
+        let response = sidecar.receive().unwrap();
         assert_eq!(
-            (heard.code, heard.field("partial")),
+            (response.code, response.field("partial")),
             (1, Some("prices")),
-            "{odd}"
+            "{reply}"
         );
         assert_eq!(
-            parts(&heard)["prices"],
+            parts(&response)["prices"],
             json!({ "state": "fixed", "body": { "price": null } }),
-            "{odd}"
+            "{reply}"
         );
     }
 }
 
-/// Guards effects: for a handler that must not run twice, a call that may have run is never made again, and goes on
-/// a connection of its own; where it is known not to have run, it is.
+/// Side effects must not be repeated: for a handler that is not idempotent, a call that may have been executed is never
+/// made again, and each call has a connection of its own. A call that is known not to have been executed is made again.
 #[test]
 fn never_repeats_a_dependency_call_that_may_have_been_executed() {
     for effect in ["uniqued", "non-replayable"] {
         let shop = Shop::start(effect, "part(\"catalogue\", required = True)");
         let mut sidecar = shop.send_request(1);
-        let (catalogue, _) = called(&shop.catalogue);
+        let (catalogue, _) = accept_call(&shop.catalogue);
         drop(catalogue);
         assert_eq!(sidecar.receive().unwrap().code, 9, "{effect}");
         shop.catalogue.set_nonblocking(true).unwrap();
@@ -196,31 +203,32 @@
             "{effect}: it was called again"
         );
         shop.catalogue.set_nonblocking(false).unwrap();
-        // Turned away unread: that never ran.
+        // The service rejects this call without executing it.
         let mut sidecar = shop.send_request(2);
-        let (mut catalogue, _) = called(&shop.catalogue);
+        let (mut catalogue, _) = accept_call(&shop.catalogue);
         catalogue
             .reply("503 Busy", "Op-Not-Begun: 1\r\n", b"")
             .unwrap();
-        let (mut again, _) = called(&shop.catalogue);
-        again.reply("200 OK", "", b"done").unwrap();
+        let (mut retry, _) = accept_call(&shop.catalogue);
+        retry.reply("200 OK", "", b"done").unwrap();
         assert_eq!(sidecar.receive().unwrap().code, 1, "{effect}");
     }
 }
 
-/// Guards required parts: without one the answer is failed at once, whatever else is still out.
+/// If a required part is missing, the request must fail at once, even if other calls are still in flight.
 #[test]
 fn fails_when_a_required_part_is_missing() {
     let shop = Shop::start("non-replayable", PARTS);
     let mut sidecar = shop.send_request(1);
-    let _prices = called(&shop.prices);
-    let (mut catalogue, _) = called(&shop.catalogue);
+    let _prices = accept_call(&shop.prices);
+    let (mut catalogue, _) = accept_call(&shop.catalogue);
     catalogue.reply("500 No", "", b"").unwrap();
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.code, heard.field("partial")), (9, None));
+    let response = sidecar.receive().unwrap();
+    assert_eq!((response.code, response.field("partial")), (9, None));
 }
 
-/// Guards leaving: aggregations half composed are answered with what there is, and the program ends in its time.
+/// On shutdown, incomplete aggregations must be answered with the parts that are there, and the server must exit in
+/// time.
 #[test]
 fn answers_incomplete_aggregations_when_shutting_down() {
     let mut shop = Shop::start(
@@ -228,21 +236,24 @@
         "part(\"catalogue\", fallbacks = [leave_out()]), part(\"prices\", fallbacks = [leave_out()])",
     );
     let mut sidecar = shop.send_request(1);
-    drop(good(&shop.prices, b"7"));
-    let (mut hangs, _) = called(&shop.catalogue);
+    drop(answer_call(&shop.prices, b"7"));
+    let (mut unanswered, _) = accept_call(&shop.catalogue);
     shop.rig.signal("-TERM");
-    let heard = loop {
-        let heard = sidecar.receive().unwrap();
-        if heard.kind == 2 {
-            break heard;
+    let response = loop {
+        let response = sidecar.receive().unwrap();
+        if response.kind == 2 {
+            break response;
         }
     };
-    assert_eq!((heard.code, heard.field("partial")), (1, Some("catalogue")));
-    assert_eq!(parts(&heard)["prices"]["body"], json!(7));
     assert_eq!(
-        hangs.0.read(&mut [0]).unwrap_or(0),
+        (response.code, response.field("partial")),
+        (1, Some("catalogue"))
+    );
+    assert_eq!(parts(&response)["prices"]["body"], json!(7));
+    assert_eq!(
+        unanswered.0.read(&mut [0]).unwrap_or(0),
         0,
-        "the call is given up"
+        "the connection of the abandoned call is closed"
     );
     let (status, took) = shop.rig.wait_for_exit();
     assert!(
@@ -251,29 +262,30 @@
     );
 }
 
-/// Guards requests in progress and the file in force: a request ends under the file that it began with, also where that
-/// takes its dependency away; a bad file changes nothing.
+/// A request must complete under the file with which it started, even if the new file removes its dependency. An
+/// invalid file must change nothing.
 #[test]
-fn applies_a_reloaded_file_to_what_starts_then() {
+fn applies_a_reloaded_file_to_new_requests_only() {
     let shop = Shop::start("replayable", PARTS);
     let mut sidecar = shop.send_request(1);
-    let (mut catalogue, _) = called(&shop.catalogue);
-    let (mut prices, _) = called(&shop.prices);
+    let (mut catalogue, _) = accept_call(&shop.catalogue);
+    let (mut prices, _) = accept_call(&shop.prices);
     shop.rig
         .reload("page(", "configuration is invalid; keeping the old one");
-    let other = script(&shop.catalogue, &shop.prices, "uniqued", PARTS);
-    shop.rig.reload(&other, "configuration cannot be applied");
-    let fewer = format!(
-        "{HEAD}handler(\"browse\", effect = \"replayable\", response_target = \"3s\", client_timeout = \"6s\")\n{}{}",
+    let other_effect = script(&shop.catalogue, &shop.prices, "uniqued", PARTS);
+    shop.rig
+        .reload(&other_effect, "configuration cannot be applied");
+    let without_prices = format!(
+        "{HEADER}handler(\"browse\", effect = \"replayable\", response_target = \"3s\", client_timeout = \"6s\")\n{}{}",
         dependency("catalogue", &shop.catalogue, "1s", ""),
         "page(\"browse\", parts = [part(\"catalogue\", required = True)])\n"
     );
-    shop.rig.reload(&fewer, "configuration reloaded");
+    shop.rig.reload(&without_prices, "configuration reloaded");
     prices.reply("200 OK", "", b"1").unwrap();
     catalogue.reply("200 OK", "", b"old").unwrap();
-    let heard = sidecar.receive().unwrap();
+    let response = sidecar.receive().unwrap();
     assert_eq!(
-        (heard.code, parts(&heard).as_object().unwrap().len()),
+        (response.code, parts(&response).as_object().unwrap().len()),
         (1, 2)
     );
     send_request(&mut sidecar, 2, "browse", &[], b"shoes");
@@ -285,14 +297,14 @@
     );
 }
 
-/// Guards leaving: a script that takes seconds to read again holds no shutdown signal up.
+/// A script that takes seconds to evaluate on reload must not delay the shutdown.
 #[test]
 fn shuts_down_while_a_script_is_evaluated() {
     let mut shop = Shop::start("replayable", PARTS);
     let slow = "def busy():\n    for i in range(50000):\n        sorted(range(20000))\nbusy()\n";
     std::fs::write(shop.rig.path(), slow).unwrap();
     shop.rig.signal("-HUP");
-    // The evaluation ends at its limit of 5 s; leaving takes 1 s.
+    // The evaluation ends at its limit of 5 s; the shutdown takes 1 s.
     shop.rig.signal("-TERM");
     let (status, took) = shop.rig.wait_for_exit();
     assert!(
@@ -301,10 +313,11 @@
     );
 }
 
-/// Guards start-up: a bad script is one line on standard error, and an exit code that says so.
+/// At startup, an invalid script must produce one line on standard error and the exit code for an invalid
+/// configuration.
 #[test]
 fn prints_one_line_when_the_script_is_invalid() {
-    let eats = "x = [\"a\" * 100000000 for i in range(1000)]\n";
+    let exhausts_memory = "x = [\"a\" * 100000000 for i in range(1000)]\n";
     let page = "page(\"browse\", parts = [part(\"stock\")])\n";
     let handler =
         "handler(\"browse\", effect = \"replayable\", response_target = \"1s\", client_timeout = \"1s\")\n";
@@ -312,22 +325,22 @@
     let stock = |ceiling: u32| {
         format!("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = \"9ms\", ceiling = {ceiling})\n")
     };
-    let greedy = format!(
+    let oversized_cache = format!(
         "{serve}fleet(instances = 1, kept_mb = 5)\n{}{handler}{page}",
         stock(1)
     );
-    let crowded = format!("{serve}fleet(instances = 1)\n{}{handler}{page}", stock(20));
-    for (text, told) in [
+    let excessive_ceiling = format!("{serve}fleet(instances = 1)\n{}{handler}{page}", stock(20));
+    for (text, expected) in [
         (
-            greedy.as_str(),
+            oversized_cache.as_str(),
             "shop.star:2: fleet: kept_mb = 5: expected at most a quarter of the memory, 4",
         ),
         (
-            crowded.as_str(),
+            excessive_ceiling.as_str(),
             "shop.star:3: dependency \"stock\": ceiling = 20",
         ),
         ("page(\"x\")", "shop.star:1:"),
-        (eats, "cannot be evaluated"),
+        (exhausts_memory, "cannot be evaluated"),
         ("serve(", "Parse error"),
     ] {
         let folder = std::env::temp_dir().join(format!("cottondyke-bad-{}", std::process::id()));
@@ -335,11 +348,12 @@
         let path: PathBuf = folder.join("shop.star");
         std::fs::write(&path, text).unwrap();
         for command in ["check", "serve"] {
-            let (code, said) = run_to_exit(&[command, "--operator", path.to_str().unwrap()]);
-            assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
+            let (code, output) = run_to_exit(&[command, "--operator", path.to_str().unwrap()]);
+            assert_eq!((code, output.lines().count()), (Some(2), 1), "{output}");
             assert!(
-                said.contains(told) || told == "cannot be evaluated" && said.contains("limit"),
-                "{said}"
+                output.contains(expected)
+                    || expected == "cannot be evaluated" && output.contains("limit"),
+                "{output}"
             );
         }
         std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -1,30 +1,34 @@
-//! The engine's link: late, broken, odd.
+//! The link to the engine: an engine that starts late, broken links, refused and unreadable messages.
 use crate::rig::*;
 use cottondyke_test_support::fakes::{unix_ms, FakeService};
 use std::io::Write;
 
-/// Guards checks and due times against an engine that has not come up: both are answered all the same.
+/// Before the engine is up, health checks must be answered, and requests must be answered at their deadline.
 #[test]
 fn queues_requests_and_reports_unhealthy_until_the_engine_is_up() {
     let rig = Rig::start();
     let mut sidecar = rig.sidecar();
     assert_ne!(check_health(&mut sidecar), 1);
     send_request(&mut sidecar, 1, BRIEF, &[], b"");
-    let heard = sidecar.receive().unwrap();
-    assert_ne!((heard.stream, heard.code), (1, 1), "it fell due meanwhile");
+    let response = sidecar.receive().unwrap();
+    assert_ne!(
+        (response.stream, response.code),
+        (1, 1),
+        "the request reached its deadline meanwhile"
+    );
     send_request(&mut sidecar, 2, READ, &[], b"");
     assert_ne!(check_health(&mut sidecar), 1);
     let mut link = rig.link(0);
     assert_eq!(
         expect_start(&mut link),
         id(2),
-        "what is still open runs once the engine is there"
+        "the pending request runs once the engine is up"
     );
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(2)), b"")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 1);
     assert_eq!(check_health(&mut sidecar), 1);
-    // What was answered before left nothing behind: its id is free again.
+    // The request that was answered at its deadline left no state behind, so its id can be used again.
     let (id, at) = (id(1), unix_ms().to_string());
     let fields = [
         ("class", READ),
@@ -38,7 +42,7 @@
     assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
-/// Guards against lost and repeated messages when the link breaks within a body.
+/// No message may be lost or handled twice when the link breaks in the middle of a body.
 #[test]
 fn resumes_after_the_last_complete_message_when_the_link_breaks() {
     let rig = Rig::start();
@@ -48,8 +52,8 @@
     let (first, second) = (expect_start(&mut link), expect_start(&mut link));
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"whole")
         .unwrap();
-    let half = format!("DONE 2 {second} fine 1 9\r\nhal");
-    link.0.get_mut().write_all(half.as_bytes()).unwrap();
+    let incomplete = format!("DONE 2 {second} fine 1 9\r\nhal");
+    link.0.get_mut().write_all(incomplete.as_bytes()).unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"whole");
     drop(link);
     let mut link = rig.link(1);
@@ -57,14 +61,15 @@
         .unwrap();
     link.send_line_with_body(&format!("DONE 2 {second} fine 1"), b"half done")
         .unwrap();
-    let heard = sidecar.receive().unwrap();
+    let response = sidecar.receive().unwrap();
     assert_eq!(
-        (heard.stream, heard.body.as_slice()),
+        (response.stream, response.body.as_slice()),
         (2, &b"half done"[..])
     );
 }
 
-/// Guards effects: after a break only idempotent runs are commanded again, the others are left to end.
+/// Side effects must not be repeated: after a link breaks, only idempotent runs are started again, and the others are
+/// left to end.
 #[test]
 fn repeats_a_possibly_lost_run_only_when_it_is_idempotent() {
     let rig = Rig::start();
@@ -85,12 +90,12 @@
     assert_eq!(
         expect_start(&mut link),
         id(4),
-        "nothing but the next run was commanded"
+        "no other run was started again"
     );
 }
 
-/// Guards runs against a command that was written whole and lost with the link: what lets them go on is said again,
-/// and a refusal of what was said twice ends nothing.
+/// A run must not hang if the call result that it waits for was completely written but lost with the link. The result
+/// is sent again, and the engine's refusal of a duplicate does not end the run.
 #[test]
 fn repeats_a_call_result_that_may_have_been_lost() {
     let rig = Rig::start();
@@ -120,11 +125,11 @@
     assert_eq!(
         expect_start(&mut link),
         id(2),
-        "nothing of the run that ended is said again"
+        "no command of the run that ended is sent again"
     );
 }
 
-/// Settings of one core under which a run is overdue after 0.8 s, and which survive `overload_factor` runs.
+/// Sets one core, an overdue time of 0.8 s for runs, and the `overload_factor` that limits the survivable concurrency.
 fn one_core(conf: &mut serde_json::Value, overload_factor: f64) {
     for class in conf["settings"]["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = 200.0.into();
@@ -133,7 +138,7 @@
     conf["settings"]["obligations"]["overload_factor"] = overload_factor.into();
 }
 
-/// Guards the pool against a run that was lost with the link: long after its client gave up it holds no place.
+/// A run whose start command was lost with the link must not occupy capacity long after its client gave up.
 #[test]
 fn abandons_a_run_whose_command_may_have_been_lost() {
     let rig = Rig::with(|conf| one_core(conf, 2.0));
@@ -145,16 +150,16 @@
     assert_eq!(sidecar.receive().unwrap().code, 9);
     rig.wait_for_log("abandoning a run that never ended");
     send_request(&mut sidecar, 2, PAY, &[], b"");
-    assert_eq!(expect_start(&mut link), id(2), "its place is free");
+    assert_eq!(expect_start(&mut link), id(2), "its capacity is free");
 }
 
-/// Guards the machine against runs that hang: others run beside them, but with them no more than the machine survives,
-/// until their end is known.
+/// Runs that hang must not overload the machine. They count against the survivable concurrency until the engine reports
+/// their end, while other runs may start beside them.
 #[test]
-fn counts_overdue_runs_among_what_the_machine_survives() {
+fn counts_overdue_runs_against_the_survivable_concurrency() {
     let rig = Rig::with(|conf| one_core(conf, 4.0));
     let (mut link, mut sidecar) = rig.ready();
-    // With the margin that is kept, one core survives three runs.
+    // With the safety margin, the survivable concurrency of one core is three runs.
     for number in 1..=3 {
         send_request(&mut sidecar, number, PAY, &[], b"");
         assert_eq!(expect_start(&mut link), id(number.into()));
@@ -162,23 +167,23 @@
         rig.wait_for_log("a run is overdue");
     }
     send_request(&mut sidecar, 4, PAY, &[], b"");
-    let answer = sidecar.receive().unwrap();
-    assert_eq!((answer.stream, answer.code), (4, 0), "it is not run");
-    // A link that breaks long after the commands proves nothing of the runs.
+    let response = sidecar.receive().unwrap();
+    assert_eq!((response.stream, response.code), (4, 0), "it is not run");
+    // A link that breaks long after the commands were written does not show that the runs were lost.
     drop(link);
     let mut link = rig.link(0);
     send_request(&mut sidecar, 5, PAY, &[], b"");
-    let answer = sidecar.receive().unwrap();
-    assert_eq!((answer.stream, answer.code), (5, 0), "it is not run");
+    let response = sidecar.receive().unwrap();
+    assert_eq!((response.stream, response.code), (5, 0), "it is not run");
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"")
         .unwrap();
     send_request(&mut sidecar, 6, PAY, &[], b"");
-    assert_eq!(expect_start(&mut link), id(6), "a place is free");
+    assert_eq!(expect_start(&mut link), id(6), "capacity is free");
 }
 
-/// Guards against a request whose run the engine refuses: it is answered, and the server goes on.
+/// A request whose run the engine refuses must be answered, and the server must continue to serve others.
 #[test]
-fn settles_the_request_when_its_command_is_refused() {
+fn fails_the_request_when_its_command_is_refused() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     send_request(&mut sidecar, 1, PAY, &[], b"");
@@ -191,19 +196,23 @@
     rig.wait_for_log("unknown engine message");
 }
 
-/// Guards due answers against an engine that takes commands and says nothing more.
+/// Requests and health checks must be answered on time even if the engine reads commands but sends nothing more.
 #[test]
 fn keeps_timers_and_checks_going_when_the_engine_is_silent() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     send_request(&mut sidecar, 1, BRIEF, &[], b"");
     expect_start(&mut link);
-    // From here on not even gauges come.
+    // From here on the engine does not even answer load queries.
     assert_eq!(sidecar.receive().unwrap().code, 9);
-    assert_eq!(check_health(&mut sidecar), 1, "checks hear what was set");
+    assert_eq!(
+        check_health(&mut sidecar),
+        1,
+        "health checks get the state that the admission controller set"
+    );
 }
 
-/// Guards the link against bytes that are no notice: it is closed and taken up again.
+/// A link on which bytes arrive that are not a valid message must be closed and opened again.
 #[test]
 fn replaces_a_link_that_sends_unreadable_messages() {
     let rig = Rig::start();
@@ -217,8 +226,8 @@
     assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
-/// Guards runs against a HALT that crosses their end: whichever comes first, the end or the word that it was one too
-/// many, the request has its one answer and the next is served.
+/// A HALT may cross the end of its run. Whether the end or the refusal of the HALT arrives first, the request must get
+/// exactly one response, and the next request must be served.
 #[test]
 fn ignores_a_cancel_that_crosses_the_end_of_its_run() {
     for refused_first in [false, true] {
