--- a/crates/quota/src/allocate.rs
+++ b/crates/quota/src/allocate.rs
@@ -1,14 +1,15 @@
 //! Max-min fair allocation: weighted water filling over what each member needs, with a minimum for each.
 //!
-//! The algorithm is progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2): the shares of all that
-//! still lack units rise together, in proportion to their weights, until the next one is satisfied.
+//! The algorithm is progressive filling (Bertsekas and Gallager, Data Networks, section 6.5.2): the shares of all
+//! unsatisfied claims grow together, in proportion to their weights, until the next one is satisfied.
 
-/// What one member claims of a budget.
+/// One member's claim on a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// Units that it could use.
+    /// Units that the member could use.
     pub need: u32,
-    /// Value of one unit to it, relative to the others; anything that is no finite number above 0 counts as 1.
+    /// Value of one unit to the member, relative to the other members; values that are not finite and positive count
+    /// as 1.
     pub weight: f64,
 }
 
@@ -22,18 +23,19 @@
     }
 }
 
-/// Fraction of an equal share that each member gets whatever it needs, so that one whose need jumps has something to
-/// use at once.
+/// Fraction of an equal share that each member gets regardless of its need, so that a member whose need jumps has units
+/// to use immediately.
 const MIN_FRACTION_OF_EQUAL_SHARE: f64 = 0.25;
 
-/// An allocation that is this little below a whole number of units is that number: the difference is the rounding error
-/// of the sums.
+/// A share that is at most this far below a whole number of units counts as that number: the difference is the rounding
+/// error of the sums.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Divides `units` among the claims, in their order. The allocations add up to `units` wherever there is a claim.
+/// Divides `units` among the claims and returns one allocation per claim, in the order of the claims. The allocations
+/// add up to `units` unless there are no claims.
 ///
-/// First each claim gets its minimum. What is left goes to those that need more, by their weights, and what nobody
-/// needs is spread evenly.
+/// Each claim first gets its minimum. The remaining units go to the claims that need more, in proportion to their
+/// weights, and units that no claim needs are spread evenly.
 ///
 /// ```
 /// use cottondyke_quota::{allocate, Claim};
@@ -50,44 +52,44 @@
     }
     let minimum = (f64::from(units) / count as f64 * MIN_FRACTION_OF_EQUAL_SHARE).floor();
     let mut shares = vec![minimum; count];
-    let left = f64::from(units) - minimum * count as f64;
-    let left = fill_by_weight(claims, &mut shares, left);
-    let surplus = left.max(0.0) / count as f64;
+    let remaining = f64::from(units) - minimum * count as f64;
+    let remaining = fill_by_weight(claims, &mut shares, remaining);
+    let surplus = remaining.max(0.0) / count as f64;
     for share in &mut shares {
         *share += surplus;
     }
     round_to_units(units, &shares)
 }
 
-/// Raises the shares of those that need more until all are satisfied or nothing is left; returns what is left.
-fn fill_by_weight(claims: &[Claim], shares: &mut [f64], mut left: f64) -> f64 {
-    let lacking =
+/// Raises the shares of unsatisfied claims until all are satisfied or no units remain; returns the remaining units.
+fn fill_by_weight(claims: &[Claim], shares: &mut [f64], mut remaining: f64) -> f64 {
+    let unmet_need =
         |shares: &[f64], index: usize| (f64::from(claims[index].need) - shares[index]).max(0.0);
-    // Each round satisfies at least one claim or spends all that is left.
+    // Each round satisfies at least one claim or assigns all remaining units.
     for _ in 0..=claims.len() {
         let unsatisfied: Vec<usize> = (0..claims.len())
-            .filter(|index| lacking(shares, *index) > 0.0)
+            .filter(|index| unmet_need(shares, *index) > 0.0)
             .collect();
-        if unsatisfied.is_empty() || left <= 0.0 {
+        if unsatisfied.is_empty() || remaining <= 0.0 {
             break;
         }
         let total_weight: f64 = unsatisfied
             .iter()
             .map(|index| claims[*index].effective_weight())
             .sum();
-        let rise_per_weight = unsatisfied
+        let increase_per_weight = unsatisfied
             .iter()
-            .map(|index| lacking(shares, *index) / claims[*index].effective_weight())
-            .fold(left / total_weight, f64::min);
+            .map(|index| unmet_need(shares, *index) / claims[*index].effective_weight())
+            .fold(remaining / total_weight, f64::min);
         for index in unsatisfied {
-            shares[index] += rise_per_weight * claims[index].effective_weight();
+            shares[index] += increase_per_weight * claims[index].effective_weight();
         }
-        left -= rise_per_weight * total_weight;
+        remaining -= increase_per_weight * total_weight;
     }
-    left
+    remaining
 }
 
-/// Whole units by the largest remainder method; of two equal remainders the earlier one comes first.
+/// Rounds the shares to whole units by the largest remainder method; of equal remainders the earlier claim comes first.
 fn round_to_units(total: u32, shares: &[f64]) -> Vec<u32> {
     let mut units: Vec<u32> = shares
         .iter()
--- a/crates/quota/src/command.rs
+++ b/crates/quota/src/command.rs
@@ -1,17 +1,17 @@
-//! The commands that change the replicated table, and why one is rejected.
+//! Commands that change the replicated table, and the reasons for which one is rejected.
 //!
 //! The order of variants and fields is the format of the replicated log (postcard) and must not change.
 
 use crate::{Epoch, Holder};
 use serde::{Deserialize, Serialize};
 
-/// A change of the replicated table. Those of a quota are compare-and-set: they name the epoch of the quota that they
-/// were made from, and are rejected where another change came first.
+/// A change to the replicated table. Changes to a quota are compare-and-set operations: they carry the epoch of the
+/// quota on which they are based, and are rejected if the quota has another epoch by then.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// No lease that was granted before this table was bootstrapped is in force any longer: quotas may be granted.
+    /// Allows quotas to be granted: no lease from before this table was bootstrapped is in force any longer.
     Open,
-    /// Creates or resizes a budget. While a smaller budget is over-allocated, no quota of it is raised.
+    /// Creates or resizes a budget. While a reduced budget is over-allocated, none of its quotas is enlarged.
     SetBudget {
         /// The budget's name.
         budget: String,
@@ -20,59 +20,59 @@
         /// See [`Budget::post_cancel_grace`](crate::Budget::post_cancel_grace), in tenths of a millisecond.
         post_cancel_grace: i64,
     },
-    /// Grants a holder more units; rejected where these are not free.
+    /// Grants a holder more units; rejected if they are not free.
     RaiseQuota {
         /// The budget's name.
         budget: String,
         /// Whose quota is raised.
         holder: Holder,
-        /// The quota's new size in units; a smaller one than it has changes its epoch only.
+        /// The quota's new size in units. If it is below the current size, the size stays and only the epoch changes.
         amount: u32,
-        /// The epoch of the quota before; `None` where the holder has none.
+        /// The epoch of the quota before the change; `None` if the holder has no quota.
         expected_epoch: Option<Epoch>,
     },
-    /// Takes back units that the holder stated not to use any more.
+    /// Reclaims units that the holder reported to retain no longer.
     LowerQuota {
         /// The budget's name.
         budget: String,
         /// Whose quota is lowered.
         holder: Holder,
-        /// The quota's new size in units; a larger one than it has changes nothing.
+        /// The quota's new size in units. If it is above the current size, nothing changes.
         amount: u32,
-        /// The epoch of the quota before, which it keeps.
+        /// The current epoch of the quota, which stays the same.
         expected_epoch: Epoch,
     },
-    /// Takes back a quota whose lease expired, and whose units cannot be in use any longer.
+    /// Reclaims a quota whose lease expired and whose units, except for quarantined ones, can no longer be in use.
     FenceHolder {
         /// The budget's name.
         budget: String,
-        /// Whose quota is taken back.
+        /// Whose quota is reclaimed.
         holder: Holder,
-        /// Units that stay quarantined; with none the quota is removed.
+        /// Units that stay quarantined; with 0 the quota is removed.
         quarantined: u32,
-        /// The epoch of the quota before.
+        /// The epoch of the quota before the change.
         expected_epoch: Epoch,
     },
 }
 
-/// Why a command changed nothing.
+/// Why a command was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandRejected {
     /// The table has no budget of this name.
     #[error("unknown budget {budget}")]
     UnknownBudget {
-        /// The name that the command bears.
+        /// The name in the command.
         budget: String,
     },
-    /// Leases from before this table was bootstrapped may be in force still.
+    /// Leases from before this table was bootstrapped may still be in force.
     #[error("quotas are not granted before the table is opened")]
     NotOpen,
-    /// The command was made from another state of the quota than the one it met.
+    /// The quota has another epoch than the one on which the command is based.
     #[error("stale epoch: expected {expected:?}, found {found:?}")]
     StaleEpoch {
-        /// The epoch that the command names; `None` for no quota.
+        /// The epoch in the command; `None` if it expects no quota.
         expected: Option<Epoch>,
-        /// The epoch of the quota as it is; `None` for no quota.
+        /// The quota's current epoch; `None` if the holder has no quota.
         found: Option<Epoch>,
     },
     /// The raise needs more units than the budget has free.
@@ -80,13 +80,13 @@
     BudgetExceeded {
         /// Units by which the quota would grow.
         needed: u32,
-        /// Units of the budget that nobody holds.
+        /// Units of the budget that are neither granted nor quarantined.
         free: u32,
     },
-    /// The table holds as many entries of this kind as it may.
+    /// The table already holds the maximum number of entries of this kind.
     #[error("table full: at most {limit} entries")]
     TableFull {
-        /// The bound that was reached.
+        /// The limit that was reached.
         limit: usize,
     },
 }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,41 +1,43 @@
-//! Settings of the lease protocol, which all members must have alike, and the bounds of its state.
+//! Settings of the lease protocol, which must be the same on all members, and limits on the size of its state.
 
 use cottondyke_types::Time;
 
-/// Fraction of a lease by which the clock of the leader and that of a holder may drift apart while the lease runs.
+/// Maximum drift between the leader's clock and a holder's clock during a lease, as a fraction of the lease duration.
 pub const MAX_CLOCK_DRIFT: f64 = 0.02;
 
-/// Budgets in the replicated table, and in use at one member; further ones are rejected.
+/// Maximum number of budgets in the replicated table, which rejects further ones, and at one member, which ignores
+/// further ones.
 pub const MAX_BUDGETS: usize = 256;
 
-/// Holders of one budget in the replicated table; further ones are rejected.
+/// Maximum number of holders of one budget in the replicated table; further ones are rejected.
 pub const MAX_HOLDERS: usize = 2_048;
 
-/// A point in time before any that occurs, far enough from overflow that durations can be added to it.
+/// Earlier than any point in time that occurs; far enough from overflow that durations can be added to it.
 pub(crate) const DISTANT_PAST: Time = Time(i64::MIN / 4);
 
-/// Durations of the lease protocol. Every member and the leader must run with the same ones.
+/// Parameters of the lease protocol. The leader and all members must use the same durations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// How long a quota may be used after the request whose answer granted it was made.
+    /// How long a quota may be used, counted from when the request was made whose answer granted it.
     pub lease_duration: Time,
-    /// How long one unit of a quota stays quarantined after its lease expired: a process that was suspended between
-    /// checking its lease and sending a call sends that one call when it resumes.
+    /// How long one unit of a fenced quota stays quarantined after its lease expired: a process that was suspended
+    /// between checking its lease and sending a call sends that one call when it resumes.
     pub max_process_pause: Time,
-    /// Which safeguards are on.
+    /// Which safeguards are enabled.
     pub safeguards: Safeguards,
 }
 
-/// Parts of the protocol that trials can switch off to show what they guard against. All are on by default.
+/// Parts of the protocol that tests and experiments can disable to show what they guard against. All are enabled by
+/// default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// Holders stop using a quota when their lease has expired.
     pub lease: bool,
-    /// What a holder states to retain counts only under the current epoch of its quota.
+    /// The units that a holder reports to retain count only under the current epoch of its quota.
     pub fence: bool,
-    /// After its lease expired, a quota is reclaimed only once its units cannot be in use any longer.
+    /// After its lease expired, a quota is reclaimed only once its units can no longer be in use.
     pub post_cancel_grace: bool,
-    /// Quotas follow need and weight; without, all members get equal ones.
+    /// Quotas follow need and weight; if disabled, all members get equal quotas.
     pub demand: bool,
 }
 
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,34 +1,35 @@
-//! A member's side of the protocol: what it may use of each budget now, and when it requests a new lease. It uses a
-//! quota until the lease expires by its own clock, counted from before the request was sent, and not a moment longer.
+//! The member's side of the protocol: how many units of each budget it may use now, and when it requests a new lease.
+//! It uses a quota only until the lease expires on its own clock, counted from before the request was sent.
 
 use crate::config::DISTANT_PAST;
 use crate::{Demand, Epoch, Holder, LeaseConfig, LeaseRequest, LeaseResponse, Nonce, MAX_BUDGETS};
 use cottondyke_types::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fraction of a lease after which it is renewed.
+/// Interval between renewals, as a fraction of the lease duration.
 const RENEWAL_INTERVAL: f64 = 0.25;
-/// Fraction of a lease after which an unanswered request is followed by another one.
+/// Interval after which an unanswered request is followed by another one, as a fraction of the lease duration.
 const RETRY_INTERVAL: f64 = 0.1;
-/// Fraction of a lease that lies at least between two requests, also where a need changed or units were released.
+/// Minimum interval between two requests, even if a need changed or units were released, as a fraction of the lease
+/// duration.
 const MIN_REQUEST_INTERVAL: f64 = 0.01;
-/// Requests whose answers are awaited; answers to older ones are ignored.
+/// Maximum number of requests that await an answer; answers to older ones are ignored.
 const MAX_UNANSWERED_REQUESTS: usize = 64;
 
-/// What a member observes of its own use of one budget.
+/// A member's current use of one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Units in use, including those that a cancelled call may still occupy.
     pub in_use: u32,
-    /// Units that it could use, including those in use.
+    /// Units that the member could use, including those in use.
     pub needed: u32,
-    /// Value of one unit to this member, relative to the others.
+    /// Value of one unit to this member, relative to the other members.
     pub weight: f64,
 }
 
-/// What the last request stated of one budget.
+/// The demand for one budget as the last request contained it.
 #[derive(Clone, Copy, Debug, Default)]
-struct StatedDemand {
+struct SentDemand {
     needed: u32,
     retained: u32,
     epoch: Epoch,
@@ -39,13 +40,13 @@
 struct HeldQuota {
     epoch: Epoch,
     amount: u32,
-    /// Only responses that name this budget extend it: a notification about another budget that overtakes a lost answer
-    /// must not revive the quota from before the lease expired.
+    /// Extended only by responses that contain this budget: if the answer to a request is lost, a notification about
+    /// another budget with the nonce of that request must not revive a quota whose lease expired.
     lease_expiry: Time,
     usage: Usage,
-    /// The largest amount allowed since usage was last recorded: so many units may have come into use meanwhile.
+    /// The largest amount since usage was last recorded: up to this many units may have come into use since then.
     max_amount_since_usage: u32,
-    last_stated: StatedDemand,
+    last_sent: SentDemand,
 }
 
 impl Default for HeldQuota {
@@ -56,7 +57,7 @@
             lease_expiry: DISTANT_PAST,
             usage: Usage::default(),
             max_amount_since_usage: 0,
-            last_stated: StatedDemand::default(),
+            last_sent: SentDemand::default(),
         }
     }
 }
@@ -79,10 +80,10 @@
         }
     }
 
-    /// Whether the leader should know of this demand before the next renewal.
-    fn differs_from_last_stated(&self, demand: &Demand) -> bool {
-        let last = &self.last_stated;
-        // What was released under an earlier epoch does not count under a new one, and is stated again.
+    /// Whether the demand must be sent to the leader before the next renewal is due.
+    fn differs_from_last_sent(&self, demand: &Demand) -> bool {
+        let last = &self.last_sent;
+        // A release under an earlier epoch does not count under the new one and must be sent again.
         demand.epoch != last.epoch
             || demand.retained < last.retained
             || demand.needed > last.needed.max(self.amount)
@@ -90,7 +91,7 @@
     }
 }
 
-/// A request, and when it was made.
+/// The nonce of a request, and when the request was made.
 #[derive(Clone, Copy, Debug)]
 struct SentRequest {
     nonce: Nonce,
@@ -100,7 +101,8 @@
 /// A member's leases on its quotas.
 ///
 /// The caller sends what [`next_request`](Self::next_request) returns to the leader and passes the responses to
-/// [`handle_response`](Self::handle_response). [`next_timer`](Self::next_timer) says when to ask for a request again.
+/// [`handle_response`](Self::handle_response). [`next_timer`](Self::next_timer) is the latest time at which to call
+/// `next_request` again.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     holder: Holder,
@@ -112,12 +114,12 @@
     last_sent_at: Option<Time>,
     last_answered: SentRequest,
     draining: bool,
-    renewal_hastened: bool,
+    early_renewal: bool,
 }
 
 impl LeaseHolder {
-    /// A member without any budget. `previous_incarnation` is an earlier incarnation of the same name whose process is
-    /// known to have ended.
+    /// Creates the state of a member without budgets. `previous_incarnation` is an earlier incarnation of the same name
+    /// whose process is known to have ended.
     pub fn new(holder: Holder, previous_incarnation: Option<u64>, config: LeaseConfig) -> Self {
         LeaseHolder {
             holder,
@@ -132,16 +134,16 @@
                 sent_at: DISTANT_PAST,
             },
             draining: false,
-            renewal_hastened: false,
+            early_renewal: false,
         }
     }
 
-    /// Under which identity this member holds its quotas.
+    /// The identity under which this member holds its quotas.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 
-    /// Sets which budgets are used here; the quotas of others are dropped. Names beyond [`MAX_BUDGETS`] are ignored.
+    /// Sets which budgets this member uses and drops the quotas of others. Names beyond [`MAX_BUDGETS`] are ignored.
     pub fn set_budgets(&mut self, budgets: impl Iterator<Item = String>) {
         let names: Vec<String> = budgets.take(MAX_BUDGETS).collect();
         self.quotas.retain(|name, _| names.contains(name));
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Records what is in use and needed at this moment.
+    /// Records the current use of a budget. Ignored for a budget that this member does not use.
     pub fn record_usage(&mut self, budget: &str, usage: Usage) {
         if let Some(quota) = self.quotas.get_mut(budget) {
             quota.usage = usage;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// From now on this member needs nothing, and gives units back as they come out of use.
+    /// Starts draining: from now on this member needs no units, and releases its units as they come out of use.
     pub fn release_all(&mut self) {
         self.draining = true;
     }
@@ -171,7 +173,7 @@
             .map_or(0, |quota| quota.amount)
     }
 
-    /// Until when [`available`](Self::available) stands unless a response changes it: the lease's expiry.
+    /// Until when the result of [`available`](Self::available) holds unless a response changes it: the lease's expiry.
     pub fn valid_until(&self, budget: &str) -> Time {
         if self.config.safeguards.lease {
             self.quotas
@@ -182,7 +184,7 @@
         }
     }
 
-    /// When the last of its leases expires.
+    /// When the last of this member's leases expires.
     pub fn lease_end(&self) -> Time {
         self.quotas
             .keys()
@@ -191,16 +193,16 @@
             .unwrap_or(DISTANT_PAST)
     }
 
-    /// The epoch of its quota of a budget; the lowest one where it has none.
+    /// The epoch of this member's quota of a budget; the lowest epoch if it has none.
     pub fn epoch(&self, budget: &str) -> Epoch {
         self.quotas
             .get(budget)
             .map_or(Epoch::default(), |quota| quota.epoch)
     }
 
-    /// Hastens the next request, since the last one went to a replica that could not answer it.
+    /// Makes the next request due early, because the last one went to a replica that could not answer it.
     pub fn renew_soon(&mut self) {
-        self.renewal_hastened = true;
+        self.early_renewal = true;
     }
 
     /// When the next request is due at the latest. A change in usage can make it due earlier.
@@ -208,7 +210,7 @@
         let Some(last_sent_at) = self.last_sent_at else {
             return DISTANT_PAST;
         };
-        let interval = if self.renewal_hastened {
+        let interval = if self.early_renewal {
             MIN_REQUEST_INTERVAL
         } else if self.unanswered.is_empty() {
             RENEWAL_INTERVAL
@@ -218,7 +220,7 @@
         last_sent_at + self.config.lease_duration.scaled(interval)
     }
 
-    /// A request, where one is due. Its lease counts from `now`, before it is sent.
+    /// Returns a request if one is due. Its lease counts from `now`, which is before it is sent.
     pub fn next_request(&mut self, now: Time) -> Option<LeaseRequest> {
         if self.quotas.is_empty() {
             return None;
@@ -232,7 +234,7 @@
             .quotas
             .values()
             .zip(&demands)
-            .any(|(quota, demand)| quota.differs_from_last_stated(demand));
+            .any(|(quota, demand)| quota.differs_from_last_sent(demand));
         let interval_passed = self.last_sent_at.is_none_or(|last_sent_at| {
             now >= last_sent_at + self.config.lease_duration.scaled(MIN_REQUEST_INTERVAL)
         });
@@ -250,7 +252,7 @@
 
     fn record_sent(&mut self, now: Time, demands: &[Demand]) {
         for (quota, demand) in self.quotas.values_mut().zip(demands) {
-            quota.last_stated = StatedDemand {
+            quota.last_sent = SentDemand {
                 needed: demand.needed,
                 retained: demand.retained,
                 epoch: demand.epoch,
@@ -258,7 +260,7 @@
         }
         self.last_nonce.0 += 1;
         self.last_sent_at = Some(now);
-        self.renewal_hastened = false;
+        self.early_renewal = false;
         self.unanswered.push_back(SentRequest {
             nonce: self.last_nonce,
             sent_at: now,
@@ -268,8 +270,8 @@
         }
     }
 
-    /// Takes in a response of the leader. Late, repeated and foreign ones do no harm: an answer counts once and from
-    /// when its own request was made, and under one epoch an amount only falls.
+    /// Handles a response of the leader. Late, duplicate and misdirected responses are harmless: an answer counts once,
+    /// its lease counts from when its own request was made, and an amount never increases within an epoch.
     pub fn handle_response(&mut self, response: &LeaseResponse) {
         if response.holder != self.holder || response.nonce < self.last_answered.nonce {
             return;
--- a/crates/quota/src/lease_manager/allocation.rs
+++ b/crates/quota/src/lease_manager/allocation.rs
@@ -1,4 +1,4 @@
-//! Granting units: what each live member is to have of a budget, and which raises follow from that.
+//! Granting units: the target of each live member for a budget, and which raises follow from the targets.
 
 use super::context::LeaseContext;
 use crate::{allocate, Budget, Claim, Command, Holder, Quota};
@@ -6,13 +6,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A target is not lowered by less than this fraction of it: the allocation would wander with every change of a need.
+/// A target is not lowered by less than this fraction of it: otherwise the allocation would fluctuate with every change
+/// in need.
 const MIN_RELATIVE_DECREASE: f64 = 0.125;
 
-/// Units that each live holder is to have of one budget.
+/// The target of each live holder for one budget, in units.
 pub(super) type Targets = BTreeMap<Holder, u32>;
 
-/// A live holder and what it claims.
+/// A live holder and its claim.
 struct LiveHolder<'a> {
     holder: &'a Holder,
     claim: Claim,
@@ -27,8 +28,8 @@
         .map_or(0, |quota| quota.amount)
 }
 
-/// Units that are left for live holders: those that silent ones hold are quarantined until they can be taken back.
-fn units_for_live(budget: &Budget, live: &[LiveHolder]) -> u32 {
+/// Units to divide among the live holders: those of silent holders are quarantined until they can be reclaimed.
+fn units_for_live_holders(budget: &Budget, live: &[LiveHolder]) -> u32 {
     let live: BTreeSet<&Holder> = live.iter().map(|live| live.holder).collect();
     let quarantined: u32 = budget
         .quotas
@@ -40,7 +41,8 @@
 }
 
 impl LeaseContext<'_> {
-    /// Allocates a budget anew among the live members.
+    /// Recomputes the targets of the live members for a budget. The previous targets stay while the holders and the
+    /// units are the same, all needs are met and the budget is not over-allocated.
     pub(super) fn compute_targets(
         &self,
         now: Time,
@@ -50,7 +52,7 @@
     ) -> Targets {
         let live = self.live_holders(now, budget_name);
         let claims: Vec<Claim> = live.iter().map(|live| live.claim).collect();
-        let units = units_for_live(budget, &live);
+        let units = units_for_live_holders(budget, &live);
         let shares = allocate(units, &claims);
         let over_allocated = budget.allocated() > budget.units;
         let needs_are_met = live
@@ -59,7 +61,7 @@
             .all(|(live, share)| live.claim.need.min(*share) <= usable_amount(budget, live.holder));
         let same_holders = previous.len() == live.len()
             && live.iter().all(|live| previous.contains_key(live.holder));
-        // Units that came free since are spread as well.
+        // Units that became free since the previous targets were computed are spread as well.
         let all_units_assigned = previous.values().sum::<u32>() == units;
         if same_holders && all_units_assigned && needs_are_met && !over_allocated {
             return previous;
@@ -102,7 +104,8 @@
             .collect()
     }
 
-    /// Raises the quotas of holders that have less than their target, as far as units are free.
+    /// Adds commands that raise the quotas of holders below their target, as far as units are free. Holders with the
+    /// largest shortfall come first.
     pub(super) fn raise_quotas(
         &self,
         budget_name: &str,
@@ -111,14 +114,14 @@
         commands: &mut Vec<Command>,
     ) {
         let mut free = budget.free();
-        let mut by_lack: Vec<(&Holder, u32)> = targets
+        let mut by_shortfall: Vec<(&Holder, u32)> = targets
             .iter()
             .map(|(holder, target)| (holder, *target))
             .collect();
-        by_lack.sort_by_key(|(holder, target)| {
+        by_shortfall.sort_by_key(|(holder, target)| {
             Reverse(target.saturating_sub(usable_amount(budget, holder)))
         });
-        for (holder, target) in by_lack {
+        for (holder, target) in by_shortfall {
             let quota = budget.quotas.get(holder);
             let current = quota.map_or(0, |quota| quota.amount);
             let amount = target.min(current + free);
@@ -137,8 +140,8 @@
         }
     }
 
-    /// What the holder takes its quota to be. That may be less than the quota; since an amount only falls under one
-    /// epoch, it then needs a raise to a new epoch to use more again.
+    /// The amount of its quota that the holder knows of. It may be less than the quota; since an amount never increases
+    /// within an epoch, the holder then needs a raise to a new epoch to use more again.
     fn notified_amount(&self, budget_name: &str, holder: &Holder, quota: Option<&Quota>) -> u32 {
         let Some(quota) = quota.filter(|quota| !quota.fenced) else {
             return 0;
--- a/crates/quota/src/lease_manager/members.rs
+++ b/crates/quota/src/lease_manager/members.rs
@@ -1,13 +1,13 @@
-//! What this leader received from the members itself, and what it granted them. It starts empty with each leadership.
+//! What this leader itself received from the members and granted to them. It starts empty with each leadership.
 
 use crate::{Demand, Epoch, GrantedQuota, Holder, LeaseRequest, Nonce, QuotaTable};
 use cottondyke_types::Time;
 use std::collections::BTreeMap;
 
-/// Members that are remembered; requests of further ones are dropped.
+/// Maximum number of members that are tracked; requests of further ones are dropped.
 const MAX_MEMBERS: usize = 4_096;
-/// Lease durations after which a silent member without any quota is forgotten.
-const FORGET_AFTER_LEASES: f64 = 2.0;
+/// Lease durations after which a silent member without any quota is removed.
+const IDLE_RETENTION_LEASES: f64 = 2.0;
 
 /// The epoch and amount that a holder was last notified of.
 #[derive(Clone, Copy, Debug)]
@@ -17,13 +17,13 @@
 }
 
 impl NotifiedQuota {
-    /// Whether the holder has to be notified of a quota: it got a new epoch, or fell under the one it has.
+    /// Whether the holder must be notified of `granted`: it has a newer epoch, or a smaller amount in the same epoch.
     pub(super) fn is_outdated_by(&self, granted: &GrantedQuota) -> bool {
         granted.epoch > self.epoch || (granted.epoch == self.epoch && granted.amount < self.amount)
     }
 }
 
-/// What is known of one holder and one budget.
+/// What this leader knows about one holder and one budget.
 #[derive(Clone, Debug)]
 pub(super) struct HolderState {
     /// When the last demand was received.
@@ -36,7 +36,7 @@
 struct Member {
     budgets: BTreeMap<String, HolderState>,
     last_answered: Option<Nonce>,
-    /// Since when its process is known to have ended.
+    /// The time since which its process is known to have ended.
     terminated_at: Option<Time>,
 }
 
@@ -54,12 +54,12 @@
 }
 
 impl Members {
-    /// Whether the holder is known, or may still be added.
+    /// Whether the holder is tracked already or there is room to add it.
     pub(super) fn admits(&self, holder: &Holder) -> bool {
         self.by_holder.contains_key(holder) || self.by_holder.len() < MAX_MEMBERS
     }
 
-    /// The process of this holder has ended, `now` at the latest.
+    /// Records that the process of this holder has ended, at `now` at the latest.
     pub(super) fn record_termination(&mut self, now: Time, holder: Holder) {
         if self.admits(&holder) {
             let member = self.by_holder.entry(holder).or_default();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A request was received.
+    /// Records the demands of a request that was received.
     pub(super) fn record_request(&mut self, now: Time, request: &LeaseRequest) {
         let member = self.by_holder.entry(request.holder.clone()).or_default();
         for demand in &request.demands {
@@ -76,7 +76,7 @@
                 .get(&demand.budget)
                 .map(|state| state.notified)
                 .filter(|notified| notified.epoch == demand.epoch);
-            // The holder retains at least what it was notified of, or it would have been notified of less.
+            // A holder retains at least the amount that it knows of: if it retains less, it knows of a smaller amount.
             let amount = notified.map_or(demand.retained, |notified| {
                 notified.amount.min(demand.retained)
             });
@@ -92,14 +92,14 @@
         }
     }
 
-    /// A request of the holder was answered.
+    /// Records that a request of the holder was answered.
     pub(super) fn record_answer(&mut self, holder: &Holder, nonce: Nonce) {
         if let Some(member) = self.by_holder.get_mut(holder) {
             member.last_answered = member.last_answered.max(Some(nonce));
         }
     }
 
-    /// The holder is notified of these quotas.
+    /// Records the quotas of which the holder is notified.
     pub(super) fn record_notified(&mut self, holder: &Holder, granted: &[GrantedQuota]) {
         let Some(member) = self.by_holder.get_mut(holder) else {
             return;
@@ -118,7 +118,7 @@
         self.by_holder.get(holder)?.budgets.get(budget)
     }
 
-    /// The holders that stated a demand of this budget and are not known to have ended.
+    /// The holders that sent a demand for this budget and are not known to have ended.
     pub(super) fn running<'a>(
         &'a self,
         budget: &'a str,
@@ -152,15 +152,15 @@
         })
     }
 
-    /// Forgets members that have been silent for long and hold nothing.
-    pub(super) fn forget_idle(
+    /// Removes members that have been silent for `IDLE_RETENTION_LEASES` lease durations and hold no quota.
+    pub(super) fn remove_idle(
         &mut self,
         now: Time,
         leader_since: Time,
         lease_duration: Time,
         table: &QuotaTable,
     ) {
-        let retention = lease_duration.scaled(FORGET_AFTER_LEASES);
+        let retention = lease_duration.scaled(IDLE_RETENTION_LEASES);
         let holds_quota = |holder: &Holder| {
             let mut budgets = table.budgets.values();
             budgets.any(|budget| budget.quotas.contains_key(holder))
--- a/crates/quota/src/lease_manager/mod.rs
+++ b/crates/quota/src/lease_manager/mod.rs
@@ -1,15 +1,16 @@
-//! The leader's side of the protocol: when it received which demand, and the commands that follow. All of this is
-//! this leader's own knowledge and starts empty with its leadership; what must outlive it is in the replicated table.
+//! The leader's side of the protocol: which demands it received at which time, and the commands that follow. This state
+//! is local to one leadership and starts empty; what must outlive a leadership is in the replicated table.
 //!
-//! # Why a quota that was freed cannot be in use any more
+//! # Why a reclaimed quota can no longer be in use
 //!
 //! A holder's lease counts from before it sent the request. A leader answers a request only after a majority confirmed,
-//! by a read index round that was started after the request came, that it still leads. So any later leader's term began
-//! after that request, and that leader waits a whole lease from the beginning of its term before it takes back the quota
-//! of a holder that it has not heard from itself. By then the lease has expired on the holder's clock, with
-//! [`MAX_CLOCK_DRIFT`](crate::MAX_CLOCK_DRIFT) allowed for, and the grace after it covers calls that the dependency goes
-//! on with. A process that was suspended between checking its lease and sending a call can still send that one call:
-//! therefore a unit of each fenced quota stays quarantined for [`LeaseConfig::max_process_pause`].
+//! in a read index round that started after the request arrived, that it is still the leader. Any later leader's term
+//! therefore began after that request, and a leader waits a whole lease from the beginning of its term before it
+//! reclaims the quota of a holder from which it has not received a request itself. By then the lease has expired on the
+//! holder's clock, allowing for [`MAX_CLOCK_DRIFT`](crate::MAX_CLOCK_DRIFT), and the grace after it covers calls that
+//! the dependency continues to process. A process that was suspended between checking its lease and sending a call can
+//! still send that one call: therefore a unit of each fenced quota stays quarantined for
+//! [`LeaseConfig::max_process_pause`].
 
 mod allocation;
 mod context;
@@ -33,18 +34,18 @@
 use revocations::Revocations;
 use std::collections::BTreeMap;
 
-/// Commands that are proposed at a time.
+/// Maximum number of commands that are proposed at a time.
 const MAX_COMMANDS: usize = 256;
-/// Fraction of a lease after which commands that were not applied are proposed again.
+/// Time after which commands that were not applied are proposed again, as a fraction of the lease duration.
 const PROPOSAL_TIMEOUT: f64 = 0.1;
-/// Fraction of a lease between two planning runs: their cost grows with the number of members, and so does the rate of
-/// requests.
+/// Interval between two planning runs, as a fraction of the lease duration. Planning does not run on every request
+/// because both its cost and the rate of requests grow with the number of members.
 const PLANNING_INTERVAL: f64 = 0.003;
-/// The same where no request came and nothing was applied since the last run.
+/// The same if no request arrived and no command was applied since the last run.
 const IDLE_PLANNING_INTERVAL: f64 = 0.02;
 
-/// The leader's part of the lease protocol: confirms leadership, answers lease requests, and proposes how the
-/// replicated table is to change.
+/// The leader's side of the lease protocol: confirms leadership, answers lease requests and proposes changes to the
+/// replicated table.
 #[derive(Clone, Debug)]
 pub struct LeaseManager {
     config: LeaseConfig,
@@ -52,17 +53,17 @@
     members: Members,
     read_index: ReadIndexQueue,
     revocations: Revocations,
-    /// By the name of the budget.
+    /// The targets of each budget, by its name.
     targets: BTreeMap<String, Targets>,
-    /// When the commands were proposed that are not applied yet.
+    /// When the commands that are not applied yet were proposed.
     proposed_at: Option<Time>,
     last_run: Time,
-    /// A request came or a command was applied since the last run.
+    /// Whether a request arrived or a command was applied since the last run.
     dirty: bool,
 }
 
 impl LeaseManager {
-    /// The manager of a replica that does not lead.
+    /// Creates the manager of a replica that is not the leader.
     pub fn new(config: LeaseConfig) -> Self {
         LeaseManager {
             config,
@@ -77,12 +78,13 @@
         }
     }
 
-    /// Whether this replica leads, so that it accepts requests.
+    /// Whether this replica is the leader and therefore accepts requests.
     pub fn is_leader(&self) -> bool {
         self.leader_since.is_some()
     }
 
-    /// Leadership began at the given time or, with `None`, ended. Nothing that was known before counts.
+    /// Starts leadership at the given time or, with `None`, ends it. All earlier state is discarded; only the numbering
+    /// of the read index rounds continues.
     pub fn set_leadership(&mut self, since: Option<Time>) {
         *self = LeaseManager {
             leader_since: since,
@@ -91,8 +93,8 @@
         };
     }
 
-    /// Queues a request until [`handle_read_index`](Self::handle_read_index) answers it. It is dropped where this
-    /// replica does not lead or knows of too many requests or members.
+    /// Queues a request until [`handle_read_index`](Self::handle_read_index) answers it. It is dropped if this
+    /// replica is not the leader or already tracks too many requests or members.
     pub fn handle_request(&mut self, now: Time, request: LeaseRequest) {
         let accepted =
             self.is_leader() && !self.read_index.is_full() && self.members.admits(&request.holder);
@@ -114,18 +116,20 @@
         self.read_index.push(request);
     }
 
-    /// The number of a confirmation of leadership (a read index round) that is to be asked for now, where any request
-    /// waits for one and none is in flight.
+    /// Starts a confirmation of leadership (a read index round) if a request waits for one and none is in flight.
+    /// Returns the number of the round, whose confirmation the caller requests.
     pub fn start_read_index(&mut self) -> Option<u64> {
         self.read_index.start()
     }
 
-    /// The confirmation in flight did not come in time: another one may be started, and this one counts no more.
+    /// Aborts the round in flight, whose confirmation did not arrive in time. Another one may be started, and a late
+    /// confirmation of this one is ignored.
     pub fn abort_read_index(&mut self) {
         self.read_index.abort();
     }
 
-    /// The confirmation came: this replica still led after it was asked for. Answers the requests from before that.
+    /// Handles the confirmation that this replica was still the leader after the round started. Answers the requests
+    /// that arrived before the start.
     pub fn handle_read_index(&mut self, round: u64, table: &QuotaTable) -> Vec<LeaseResponse> {
         let requests = self.read_index.complete(round);
         requests
@@ -135,9 +139,9 @@
     }
 
     fn answer(&mut self, request: &LeaseRequest, table: &QuotaTable) -> LeaseResponse {
-        // A quota that is gone is granted as nothing: the lease that this answer brings must not revive what the holder
-        // had before it was silent for so long that nothing of it is quarantined any more.
-        let nothing = |demand: &Demand| GrantedQuota {
+        // A quota that no longer exists is granted with amount 0: its holder was silent for so long that nothing of it
+        // is quarantined any more, and the lease that this answer grants must not revive the amount that it had.
+        let empty_grant = |demand: &Demand| GrantedQuota {
             budget: demand.budget.clone(),
             epoch: demand.epoch,
             amount: 0,
@@ -147,7 +151,7 @@
             .iter()
             .map(|demand| {
                 self.granted_quota(&demand.budget, &request.holder, table)
-                    .unwrap_or_else(|| nothing(demand))
+                    .unwrap_or_else(|| empty_grant(demand))
             })
             .collect();
         self.members.record_answer(&request.holder, request.nonce);
@@ -159,7 +163,7 @@
         }
     }
 
-    /// What a holder may use: its quota, or less where that is to shrink.
+    /// What a holder may use: its quota, but at most its target, and 0 if the quota is fenced or its fencing pending.
     fn granted_quota(
         &self,
         budget: &str,
@@ -208,21 +212,21 @@
         notifications
     }
 
-    /// Commands were applied to the table, which may settle what was proposed.
+    /// Records that commands were applied to the table, which may settle proposed fencings.
     pub fn handle_applied(&mut self, table: &QuotaTable) {
         self.proposed_at = None;
         self.dirty = true;
         self.revocations.settle(table);
     }
 
-    /// Quotas of silent holders, and until when they are quarantined by this leader's clock. Empty where this replica
-    /// does not lead.
+    /// Quotas of fenced or silent holders, and until when they are quarantined on this leader's clock. Empty if this
+    /// replica is not the leader.
     pub fn quarantined(&self, now: Time, table: &QuotaTable) -> Vec<QuarantinedQuota> {
         self.lease_context()
             .map_or(Vec::new(), |context| context.quarantined(now, table))
     }
 
-    /// The units that each live member is to have of a budget, by the member's name.
+    /// The target of each live member for a budget, in units, with the member's name.
     pub fn targets(&self, budget: &str) -> Vec<(String, u32)> {
         self.targets
             .get(budget)
@@ -242,7 +246,7 @@
         self.last_run + self.config.lease_duration.scaled(interval)
     }
 
-    /// What to propose now; `specs` are the budgets of the leader's configuration.
+    /// Returns the commands to propose now. `specs` are the budgets of the leader's configuration.
     pub fn plan_commands(
         &mut self,
         now: Time,
@@ -257,7 +261,7 @@
         if self.awaits_proposed_commands(now) {
             return Vec::new();
         }
-        let mut commands = changed_budgets(table, specs);
+        let mut commands = plan_budgets(table, specs);
         if table.open {
             self.plan_quotas(now, table, &mut commands);
         } else if self.may_open(now, leader_since, specs) {
@@ -269,7 +273,7 @@
         }
         self.proposed_at = (!commands.is_empty()).then_some(now);
         self.members
-            .forget_idle(now, leader_since, self.config.lease_duration, table);
+            .remove_idle(now, leader_since, self.config.lease_duration, table);
         commands
     }
 
@@ -279,7 +283,7 @@
             .is_some_and(|proposed_at| now < proposed_at + timeout)
     }
 
-    /// Whether no lease can be in force that was granted by a cluster before this one was bootstrapped.
+    /// Whether no lease can be in force any longer that an earlier cluster granted before this one was bootstrapped.
     fn may_open(&self, now: Time, leader_since: Time, specs: &[BudgetSpec]) -> bool {
         let longest_grace = specs
             .iter()
@@ -313,8 +317,8 @@
     }
 }
 
-/// Sets the budgets that stand in the table otherwise than they are configured.
-fn changed_budgets(table: &QuotaTable, specs: &[BudgetSpec]) -> Vec<Command> {
+/// Commands that set the budgets whose entry in the table differs from the configuration.
+fn plan_budgets(table: &QuotaTable, specs: &[BudgetSpec]) -> Vec<Command> {
     let is_applied = |budget: &Budget, spec: &BudgetSpec| {
         let grace = budget.post_cancel_grace();
         // The table keeps a longer grace while any quota is in force.
--- a/crates/quota/src/lease_manager/reclaim.rs
+++ b/crates/quota/src/lease_manager/reclaim.rs
@@ -1,36 +1,36 @@
-//! Taking quotas back: when the units of a quota cannot be in use any longer, and which commands follow from that.
+//! Reclaiming quotas: when the units of a quota can no longer be in use, and which commands follow from that.
 
 use super::context::{max_lease_duration, LeaseContext};
 use crate::{Budget, Command, Holder, Quota, QuotaTable};
 use cottondyke_types::Time;
 
-/// Units of a fenced quota that stay quarantined: a suspended process sends one call when it resumes, and looks at its
+/// Units of a fenced quota that stay quarantined: a suspended process sends one call when it resumes, and checks its
 /// lease before the next one.
 const QUARANTINED_UNITS: u32 = 1;
 
-/// Units that nobody may use until their former holder cannot be using them any more, for operators to see.
+/// Units that no member may use until their former holder can no longer be using them. Shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedQuota {
     /// The budget's name.
     pub budget: String,
     /// Whose quota it is or was.
     pub holder: Holder,
-    /// How many units.
+    /// The number of quarantined units.
     pub units: u32,
-    /// Until when, by the leader's clock.
+    /// Until when they are quarantined, on the leader's clock.
     pub until: Time,
 }
 
-/// When a quota, or the quarantined part of it, can be taken back.
+/// When a quota, or the quarantined part of it, can be reclaimed.
 struct Reclaimable {
-    /// By the leader's clock.
+    /// The time on the leader's clock.
     at: Time,
     /// Units of the quota that must be quarantined from then on.
     quarantined: u32,
 }
 
 impl LeaseContext<'_> {
-    /// When the quota's units cannot be in use any longer.
+    /// When the quota's units can no longer be in use.
     fn reclaimable(
         &self,
         budget_name: &str,
@@ -43,17 +43,18 @@
         } else {
             Time(0)
         };
-        // A holder that this leader did not hear from may have been granted a lease by the previous leader, but not
-        // after this leadership began.
+        // A holder from which this leader received no request may have a lease from the previous leader, but none that
+        // started after this leadership began.
         let lease_start = self
             .members
             .state(budget_name, holder)
             .map_or(self.leader_since, |state| state.received_at);
-        let lease_end = lease_start + max_lease_duration(self.config) + grace;
+        let grace_end = lease_start + max_lease_duration(self.config) + grace;
         if let Some(terminated_at) = self.members.terminated_at(holder) {
-            // The process's connections ended with it: only calls that the dependency goes on with are left.
+            // The process's connections closed when it ended: only calls that the dependency continues to process
+            // remain.
             return Reclaimable {
-                at: lease_end.min(terminated_at + grace),
+                at: grace_end.min(terminated_at + grace),
                 quarantined: 0,
             };
         }
@@ -68,12 +69,13 @@
             };
         }
         Reclaimable {
-            at: lease_end,
+            at: grace_end,
             quarantined: QUARANTINED_UNITS,
         }
     }
 
-    /// Fences the holders whose quotas can be taken back, and lowers the quotas of those that stated to retain less.
+    /// Adds commands that fence the holders whose quotas can be reclaimed, and that lower the quotas of holders that
+    /// reported to retain less.
     pub(super) fn reclaim_expired(
         &self,
         now: Time,
@@ -83,8 +85,8 @@
     ) {
         for (holder, quota) in &budget.quotas {
             let reclaimable = self.reclaimable(budget_name, budget, holder, quota);
-            // A fencing that was proposed and is not settled is proposed again, though the holder may have sent a
-            // request meanwhile: until it is settled the holder is granted nothing.
+            // A proposed fencing that is not settled is proposed again, even if the holder has sent a request since:
+            // until it is settled, the holder is granted nothing.
             let pending = self
                 .revocations
                 .is_pending_at(budget_name, holder, quota.epoch);
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The units that the holder stated to retain, where these are fewer than its quota.
+    /// The units that the holder reported to retain, if these are fewer than its quota.
     fn retained_below(&self, budget_name: &str, holder: &Holder, quota: &Quota) -> Option<u32> {
         let demand = &self.members.state(budget_name, holder)?.demand;
         let is_current = demand.epoch == quota.epoch || !self.config.safeguards.fence;
--- a/crates/quota/src/lease_manager/revocations.rs
+++ b/crates/quota/src/lease_manager/revocations.rs
@@ -1,10 +1,11 @@
-//! Fencings that this leader proposed: those that are not settled yet, and since when the fenced quotas are quarantined.
+//! Fencings that this leader proposed: those that are not settled yet, and when the quarantine of each fenced quota
+//! started.
 
 use crate::{Command, Epoch, Holder, QuotaTable};
 use cottondyke_types::Time;
 use std::collections::BTreeMap;
 
-/// Names one quota.
+/// Identifies one quota.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QuotaKey {
     budget: String,
@@ -23,15 +24,15 @@
 /// The proposed fencings of one leadership.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Revocations {
-    /// The epoch that each proposed fencing expects. Until it is settled the holder may not be granted anything, though
-    /// it should have sent a request meanwhile: the fencing may be committed at any moment.
+    /// The epoch that each proposed fencing expects. Until it is settled, the holder must not be granted anything, even
+    /// if it has sent a request since: the fencing may be committed at any moment.
     pending_revocations: BTreeMap<QuotaKey, Epoch>,
-    /// When the fencing of a quota was proposed, of which units stay quarantined.
+    /// When each fencing that leaves units quarantined was proposed.
     fenced_at: BTreeMap<QuotaKey, Time>,
 }
 
 impl Revocations {
-    /// Takes note of a proposed command, where it is a fencing.
+    /// Records a proposed command if it is a fencing.
     pub(super) fn record(&mut self, now: Time, command: &Command) {
         let Command::FenceHolder {
             budget,
@@ -49,9 +50,9 @@
         self.pending_revocations.insert(key, *expected_epoch);
     }
 
-    /// Drops what the commands that were applied to the table have settled.
+    /// Removes the entries that are settled by commands that were applied to the table.
     pub(super) fn settle(&mut self, table: &QuotaTable) {
-        // A raise may have been committed before a fencing. That is void then, since the epoch is another one.
+        // A raise may have been committed before a fencing. The fencing is then rejected because of its old epoch.
         self.pending_revocations.retain(|key, expected_epoch| {
             table
                 .quota(&key.budget, &key.holder)
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,20 +1,22 @@
-//! Budgets that all members of a cluster share, divided into quotas that are leased to the members. No I/O, clock or
-//! randomness of its own: the caller passes in the time and carries the messages.
+//! Budgets shared by all members of a cluster, divided into quotas that are leased to the members. The crate has no
+//! I/O, clock or randomness of its own: the caller passes in the time and transports the messages.
 //!
 //! - [`QuotaTable`] is the replicated state. It changes only by [`Command`]s that a majority committed.
 //! - [`LeaseManager`] is the leader's side. It answers lease requests and proposes commands.
-//! - [`LeaseHolder`] is the side of each member, the leader included.
-//! - [`allocate()`] decides how many units each member should have.
+//! - [`LeaseHolder`] is the member's side; the leader runs one as well.
+//! - [`allocate()`] computes how many units each member should have.
 //!
-//! # What is promised
+//! # Guarantees
 //!
 //! The units that all members use together never exceed the budget. A member uses no more than its quota, and nothing
-//! once its lease has expired; the lease counts by the member's own clock from before it sent the request. The table
-//! lowers a quota only where its holder stated to use no more, or where the lease and the longest time that a unit can
-//! stay in use after it have passed on the leader's clock, with [`MAX_CLOCK_DRIFT`] allowed for between the two clocks.
-//! The test `model` checks this in every order of events that its search reaches.
+//! once its lease has expired; the lease is measured on the member's own clock, from before the request was sent. The
+//! table lowers a quota only if its holder reported that it uses no more than the lower amount, or once the lease and
+//! the longest time that a unit can stay in use after it have elapsed on the leader's clock, allowing for
+//! [`MAX_CLOCK_DRIFT`] between the two clocks. The test `model` checks this in every order of events that its search
+//! reaches.
 //!
-//! Not promised: that all units of a budget can be used at any time. Those of a silent member are quarantined first.
+//! It is not guaranteed that all units of a budget are usable at all times: the units of a silent member are
+//! quarantined before others can use them.
 //!
 //! # Example
 //!
@@ -29,7 +31,7 @@
 //! };
 //! let specs = [BudgetSpec { name: "db".into(), units: 8, post_cancel_grace: SECOND }];
 //!
-//! // A leader. Its table is opened already, and its commands are committed at once.
+//! // The leader. Its table is already open, and its commands are committed immediately.
 //! let mut table = QuotaTable::default();
 //! table.apply(&Command::Open).unwrap();
 //! let mut manager = LeaseManager::new(config);
@@ -56,7 +58,7 @@
 //!     holder.handle_response(&response);
 //! }
 //!
-//! // The only member gets all units. Its lease counts from its request.
+//! // The only member gets all units. Its lease starts when its request is made.
 //! assert_eq!(holder.available(Time(3), "db"), 8);
 //! assert_eq!(holder.valid_until("db"), Time(1) + config.lease_duration);
 //! assert_eq!(holder.available(Time(1) + config.lease_duration, "db"), 0);
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,24 +1,24 @@
-//! What a member and the leader send each other to request and grant leases.
+//! Messages between a member and the leader to request and grant leases.
 //!
 //! The order of the fields is the wire format (postcard) and must not change.
 
 use crate::{Epoch, Holder};
 use serde::{Deserialize, Serialize};
 
-/// Numbers the lease requests of one holder, in ascending order from 1.
+/// Sequence number of a holder's lease requests, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Nonce(pub u64);
 
-/// What a member states and needs of one budget.
+/// A member's demand for one budget: what it needs and what it retains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The budget's name.
     pub budget: String,
     /// Units that the member could use, including those in use.
     pub needed: u32,
-    /// Value of one unit to this member, relative to the others.
+    /// Value of one unit to this member, relative to the other members.
     pub weight: f64,
-    /// Units that the member keeps: from now on it uses no more than these under `epoch`.
+    /// Units that the member retains: from now on it uses at most this many under `epoch`.
     pub retained: u32,
     /// The epoch of the member's quota to which `retained` refers.
     pub epoch: Epoch,
@@ -27,7 +27,7 @@
 /// Asks the leader for a new lease on the quotas of all budgets that the member uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who asks.
+    /// The requesting holder.
     pub holder: Holder,
     /// The number of this request.
     pub nonce: Nonce,
@@ -44,17 +44,18 @@
     pub budget: String,
     /// The epoch under which `amount` holds.
     pub epoch: Epoch,
-    /// Units that may be used under this epoch. Under one epoch it only falls.
+    /// Units that may be used under this epoch. The amount never increases within an epoch.
     pub amount: u32,
 }
 
 /// Answers a lease request, or notifies a holder of a quota that changed since.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// To whom it is sent.
+    /// The recipient.
     pub holder: Holder,
-    /// The request that is answered; the lease counts from when that was made.
+    /// The request that is answered, or in a notification the last answered one; the lease counts from when that
+    /// request was made.
     pub nonce: Nonce,
-    /// The quotas that are granted: all that were asked for in an answer, only the changed ones in a notification.
+    /// The granted quotas: in an answer those of all requested budgets, in a notification only the changed ones.
     pub granted: Vec<GrantedQuota>,
 }
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -1,5 +1,5 @@
-//! The replicated state: budgets, and who holds how much of them under which epoch. It changes by committed commands
-//! only, in their order, and is the same on every replica that applied the same commands.
+//! The replicated state: the budgets, and the quota and epoch of each holder. It changes only by committed commands, in
+//! the order of the log, and is the same on every replica that applied the same commands.
 //!
 //! The order of the fields is the snapshot's format (postcard) and must not change.
 
@@ -8,24 +8,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one holder may use of one budget.
+/// The share of one budget that is granted to one holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units.
+    /// The quota's size in units.
     pub amount: u32,
-    /// The number of the last raise or fencing.
+    /// The epoch that the last raise or fencing assigned.
     pub epoch: Epoch,
-    /// The lease expired. What remains of the quota is quarantined for a call that a suspended process may still send.
+    /// Whether the lease expired and the rest of the quota is quarantined, for a call that a suspended process may
+    /// still send.
     pub fenced: bool,
 }
 
-/// A number of units that all members share.
+/// A number of units shared by all members, and their quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// Units that all members together may use.
     pub units: u32,
-    /// The longest, in tenths of a millisecond, that a unit stays in use after its holder's lease expired: a call's time
-    /// limit plus how long the dependency may go on with it, or the window of a rate.
+    /// How long a unit can stay in use at most after its holder's lease expired, in tenths of a millisecond: a call's
+    /// time limit plus how long the dependency may continue to process it, or the window of a rate.
     pub post_cancel_grace: i64,
     /// The quotas in force, quarantined ones included.
     pub quotas: BTreeMap<Holder, Quota>,
@@ -37,7 +38,7 @@
         self.quotas.values().map(|quota| quota.amount).sum()
     }
 
-    /// Units that nobody holds; none while the budget is over-allocated.
+    /// Units that are neither granted nor quarantined; 0 while the budget is over-allocated.
     pub fn free(&self) -> u32 {
         self.units.saturating_sub(self.allocated())
     }
@@ -47,7 +48,7 @@
         Time(self.post_cancel_grace)
     }
 
-    /// The quota of a holder, where its epoch is the expected one.
+    /// The quota of a holder if its epoch is the expected one.
     fn quota_at(
         &mut self,
         holder: &Holder,
@@ -129,9 +130,10 @@
 /// The replicated state machine: all budgets with their quotas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaTable {
-    /// Until this is set no quota is granted: an earlier cluster, lost with all its disks, may have leases in force.
+    /// Whether quotas may be granted. Until this is set, leases of an earlier cluster that lost all its disks may still
+    /// be in force.
     pub open: bool,
-    /// The budgets by their names.
+    /// The budgets by name.
     pub budgets: BTreeMap<String, Budget>,
     last_epoch: Epoch,
 }
@@ -141,8 +143,8 @@
     ///
     /// # Errors
     ///
-    /// Where the command does not fit the state that it meets. It then changes nothing, but a rejected raise of an open
-    /// table and a rejected fencing use up an epoch, which every replica must count alike.
+    /// If the command does not match the current state. It then changes nothing, except that a rejected raise on an
+    /// open table and a rejected fencing consume an epoch; every replica must do so to stay identical.
     pub fn apply(&mut self, command: &Command) -> Result<(), CommandRejected> {
         match command {
             Command::Open => {
@@ -216,14 +218,14 @@
             return Err(CommandRejected::TableFull { limit: MAX_BUDGETS });
         }
         let budget = self.budgets.entry(name.to_string()).or_default();
-        // Calls in flight may have been sent under the longer grace: while there are quotas it only grows.
-        let shortest = if budget.quotas.is_empty() {
+        // Calls in flight may have been sent under the longer grace, so it is not reduced while there are quotas.
+        let min_grace = if budget.quotas.is_empty() {
             0
         } else {
             budget.post_cancel_grace
         };
         budget.units = units;
-        budget.post_cancel_grace = post_cancel_grace.max(shortest);
+        budget.post_cancel_grace = post_cancel_grace.max(min_grace);
         Ok(())
     }
 }
--- a/crates/quota/tests/allocate.rs
+++ b/crates/quota/tests/allocate.rs
@@ -2,7 +2,7 @@
 
 use cottondyke_quota::{allocate, Claim};
 
-/// Allocates among claims given as pairs of need and weight.
+/// Calls `allocate` with claims given as pairs of need and weight.
 fn allocate_among(units: u32, claims: &[(u32, f64)]) -> Vec<u32> {
     let claims: Vec<Claim> = claims
         .iter()
@@ -36,7 +36,7 @@
     assert_eq!(invalid_weights.iter().sum::<u32>(), 5);
 }
 
-/// Guards the budget: whatever the claims, the allocations add up to the budget and no more.
+/// Guards against over-allocation: for any claims, the allocations add up to exactly the budget.
 #[test]
 fn allocates_exactly_the_budget_for_any_claims() {
     let mut random = fastrand::Rng::with_seed(1);
--- a/crates/quota/tests/lease_holder.rs
+++ b/crates/quota/tests/lease_holder.rs
@@ -1,4 +1,4 @@
-//! Sequences of requests and responses at one member.
+//! Sequences of requests and responses at one lease holder.
 
 use cottondyke_quota::{
     Epoch, GrantedQuota, Holder, LeaseConfig, LeaseHolder, LeaseResponse, Nonce, Safeguards, Usage,
@@ -20,7 +20,7 @@
     lease_holder
 }
 
-/// A response that names a single budget.
+/// Passes the holder a response that contains a single budget.
 fn respond(lease_holder: &mut LeaseHolder, nonce: Nonce, budget: &str, epoch: u64, amount: u32) {
     let granted = GrantedQuota {
         budget: budget.to_string(),
@@ -47,12 +47,13 @@
     lease_holder.next_request(now).unwrap().nonce
 }
 
-/// The units that the request that is due now states to retain.
+/// The units that the holder reports to retain in the request that is due now.
 fn requested_retained(lease_holder: &mut LeaseHolder, now: Time) -> u32 {
     lease_holder.next_request(now).unwrap().demands[0].retained
 }
 
-/// Guards the budget: calls that began after usage was recorded and before the quota shrank are not given back.
+/// Guards against exceeding the budget: the units of calls that began after usage was recorded and before the quota
+/// shrank must not be released.
 #[test]
 fn retains_units_that_may_have_come_into_use_since_usage_was_recorded() {
     let mut lease_holder = lease_holder();
@@ -67,8 +68,8 @@
     assert_eq!(requested_retained(&mut lease_holder, Time(59_000)), 5);
 }
 
-/// Guards the budget: a lease counts from its request, a late answer to an earlier request changes nothing, and under
-/// one epoch an amount only falls.
+/// Guards against exceeding the budget: a lease counts from its request, a late answer to an earlier request changes
+/// nothing, and an amount never increases within an epoch.
 #[test]
 fn counts_an_answer_once_and_from_when_its_request_was_made() {
     let mut lease_holder = lease_holder();
@@ -79,13 +80,13 @@
     respond(&mut lease_holder, second, "calls", 2, 9);
     assert_eq!(lease_holder.available(Time(39_999), "calls"), 4);
     assert_eq!(lease_holder.available(Time(40_000), "calls"), 0);
-    // No request bears this nonce.
+    // No request had this nonce.
     respond(&mut lease_holder, Nonce(99), "calls", 3, 9);
     assert_eq!(lease_holder.available(Time(39_999), "calls"), 4);
 }
 
-/// Guards the budget: a holder returns, the answer to its request is lost, and a notification about another budget comes
-/// with the nonce of that request.
+/// Guards against exceeding the budget: a holder returns after its lease expired, the answer to its request is lost,
+/// and a notification about another budget arrives with the nonce of that request.
 #[test]
 fn does_not_extend_a_lease_when_notified_of_another_budget() {
     let mut lease_holder = lease_holder();
--- a/crates/quota/tests/lease_manager.rs
+++ b/crates/quota/tests/lease_manager.rs
@@ -1,4 +1,4 @@
-//! Orders of events at the leader that were faults once, or nearly.
+//! Regression tests: orders of events at the leader that caused a fault, or nearly did.
 
 use cottondyke_quota::{
     BudgetSpec, Command, Demand, Epoch, Holder, LeaseConfig, LeaseHolder, LeaseManager,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A request of holder `a`, which needs all units and has none in use.
+/// A request of holder `a`, which needs all units and retains none.
 fn request(nonce: u64, epoch: Epoch) -> LeaseRequest {
     let demand = Demand {
         budget: BUDGET.into(),
@@ -52,7 +52,7 @@
     }]
 }
 
-/// A leader since time 0, whose table is open and has the budget.
+/// A manager that has been the leader since time 0, and an open table that contains the budget.
 fn leader() -> (LeaseManager, QuotaTable) {
     let mut manager = LeaseManager::new(CONFIG);
     manager.set_leadership(Some(Time(0)));
@@ -77,7 +77,8 @@
     }
 }
 
-/// Guards leases: a confirmation that was asked for before a request came, and comes late, does not answer it.
+/// Guards against leases granted without leadership: a late confirmation of a read index round that started before a
+/// request arrived must not answer that request.
 #[test]
 fn ignores_an_aborted_read_index_when_its_confirmation_comes_late() {
     let (mut manager, table) = leader();
@@ -90,7 +91,8 @@
     assert_eq!(manager.handle_read_index(second, &table).len(), 2);
 }
 
-/// Guards holders: a fencing that a raise overtook is void, and its holder is granted its quota again.
+/// Guards against a holder that is granted nothing for good: a fencing is rejected if a raise was committed before it,
+/// and its holder must be granted its quota again.
 #[test]
 fn grants_a_quota_again_when_a_raise_overtook_its_fencing() {
     let (mut manager, mut table) = leader();
@@ -114,8 +116,8 @@
     assert_eq!(responses[0].granted[0].amount, 8);
 }
 
-/// Guards the budget: a unit of a silent holder's quota stays quarantined for as long as its process may be suspended,
-/// also where another command of the same run is applied before the fencing.
+/// Guards against exceeding the budget: a unit of a silent holder's quota stays quarantined for as long as its process
+/// may be suspended, even if another command of the same planning run is applied before the fencing.
 #[test]
 fn keeps_a_unit_quarantined_when_its_fencing_is_applied_late() {
     let (mut manager, mut table) = leader();
@@ -129,7 +131,8 @@
         "{fence:?}"
     );
     manager.handle_applied(&table);
-    // Should it be lost, it is proposed again, though its holder is back: until then that is granted nothing.
+    // In case the fencing is lost, it is proposed again even though its holder is back. Until it is applied, the holder
+    // is granted nothing.
     manager.handle_request(Time(40_001), request(2, Epoch(0)));
     let proposed_again = manager.plan_commands(Time(40_002), &table, &specs());
     assert_eq!(proposed_again, fence);
@@ -147,7 +150,7 @@
     );
 }
 
-/// Requests, confirms and answers a lease at once; returns what the holder may use.
+/// Requests a lease, confirms leadership and delivers the answer at `now`; returns the units that the holder may use.
 fn exchange(
     manager: &mut LeaseManager,
     lease_holder: &mut LeaseHolder,
@@ -162,8 +165,8 @@
     lease_holder.available(now, BUDGET)
 }
 
-/// Guards the budget: a holder returns when nothing is left of its quota, which others may have by then. The answer
-/// brings it a lease, and must not revive what it had.
+/// Guards against exceeding the budget: a holder returns after its quota was removed and its units were granted to
+/// another. The answer extends its lease, but must not revive the amount that it had.
 #[test]
 fn does_not_revive_a_removed_quota_when_its_holder_returns() {
     let (mut manager, mut table) = leader();
--- a/crates/quota/tests/model/cluster.rs
+++ b/crates/quota/tests/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The state of the model: a cluster with one budget, one leader at a time and two members, and what happens to it.
+//! The state of the model and its transitions: a cluster with one budget, one leader at a time and two members.
 
 use cottondyke_quota::*;
 use cottondyke_types::Time;
@@ -6,14 +6,14 @@
 
 pub(crate) const BUDGET: &str = "calls";
 pub(crate) const UNITS: u32 = 2;
-/// The clock advances by half a lease. A call goes on for three of these at the most, and no process is suspended for
+/// The clock advances in steps of half a lease. A call lasts for at most three steps, and no process is suspended for
 /// longer than one.
 pub(crate) const CLOCK_STEP: i64 = 500;
 pub(crate) const LEASE_DURATION: Time = Time(2 * CLOCK_STEP);
 pub(crate) const POST_CANCEL_GRACE: Time = Time(3 * CLOCK_STEP);
 pub(crate) const MAX_PROCESS_PAUSE: Time = Time(CLOCK_STEP);
 pub(crate) const MAX_CLOCK_STEPS: i64 = 12;
-/// Messages in flight at one time; further ones are lost.
+/// Maximum number of messages in flight; further ones are lost.
 pub(crate) const MAX_MESSAGES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -26,15 +26,15 @@
 pub(crate) struct Member {
     pub(crate) incarnation: u64,
     pub(crate) lease_holder: LeaseHolder,
-    /// When its calls began.
+    /// The start times of its calls.
     pub(crate) calls: Vec<Time>,
-    /// Since when it is suspended, after its lease allowed it a call and before it sent that.
+    /// Since when it is suspended between checking its lease and sending a call.
     pub(crate) suspended_at: Option<Time>,
-    needs_units_at_first: bool,
+    needs_units_initially: bool,
 }
 
 impl Member {
-    /// The member of this index. The first one needs all units at first, the other one later.
+    /// Creates the member with this index. The first member needs all units initially, the second one later.
     pub(crate) fn new(
         index: usize,
         incarnation: u64,
@@ -52,13 +52,13 @@
             lease_holder,
             calls: Vec::new(),
             suspended_at: None,
-            needs_units_at_first: index == 0,
+            needs_units_initially: index == 0,
         }
     }
 
     /// The request that is due, if any.
     pub(crate) fn next_request(&mut self, now: Time) -> Option<LeaseRequest> {
-        let needs_units = self.needs_units_at_first == (now < Time(CLOCK_STEP));
+        let needs_units = self.needs_units_initially == (now < Time(CLOCK_STEP));
         let usage = Usage {
             in_use: self.units_in_use(),
             needed: if needs_units { UNITS } else { 0 },
@@ -72,7 +72,7 @@
         self.calls.len() as u32
     }
 
-    /// Units in use, and those that could be without another message.
+    /// Units that are in use, or could be without another message.
     pub(crate) fn usable_units(&self, now: Time) -> u32 {
         if self.suspended_at.is_some() {
             return self.units_in_use() + 1;
@@ -82,7 +82,7 @@
     }
 }
 
-/// How many more faults of each kind may happen.
+/// How many more faults of each kind the model may inject.
 #[derive(Clone, Debug)]
 pub(crate) struct RemainingFaults {
     pub(crate) duplicates: u8,
@@ -101,7 +101,7 @@
     pub(crate) proposed: Vec<Command>,
     pub(crate) messages: Vec<Message>,
     pub(crate) members: Vec<Member>,
-    /// When those calls began that go on though their process crashed.
+    /// The start times of calls that the dependency still processes although the process that sent them crashed.
     pub(crate) orphaned_calls: Vec<Time>,
     pub(crate) remaining: RemainingFaults,
 }
@@ -119,7 +119,7 @@
 }
 
 impl ClusterState {
-    /// The first member has all units, and was just answered.
+    /// The initial state: the first member holds all units and has just received an answer.
     pub(crate) fn new(config: LeaseConfig) -> Self {
         let mut state = ClusterState {
             now: Time(0),
@@ -156,7 +156,7 @@
         state
     }
 
-    /// Sends a message, or loses it where too many are in flight.
+    /// Sends a message, or loses it if too many are in flight.
     pub(crate) fn send(&mut self, message: Message) {
         if self.messages.len() < MAX_MESSAGES {
             self.messages.push(message);
@@ -178,8 +178,8 @@
         }
     }
 
-    /// The leader plans, and all proposed commands but the last `uncommitted` ones are committed. Then it confirms its
-    /// leadership, answers requests and notifies holders.
+    /// The leader plans, and all proposed commands except the last `uncommitted` ones are committed. Then it confirms
+    /// its leadership, answers requests and notifies holders.
     pub(crate) fn run_leader(&mut self, uncommitted: usize) {
         let specs = [BudgetSpec {
             name: BUDGET.to_string(),
@@ -192,7 +192,7 @@
         self.proposed.extend(planned);
         let committed = self.proposed.len().saturating_sub(uncommitted);
         for command in self.proposed.drain(..committed) {
-            // Commands that were overtaken are rejected, as they are by the replicas.
+            // Stale commands are rejected here as they are on the replicas.
             let _ = self.table.apply(&command);
             self.lease_manager.handle_applied(&self.table);
         }
@@ -209,11 +209,11 @@
     pub(crate) fn advance_clock(&mut self) {
         self.now += Time(CLOCK_STEP);
         let now = self.now;
-        let goes_on = |began: &Time| *began + POST_CANCEL_GRACE > now;
+        let in_progress = |started_at: &Time| *started_at + POST_CANCEL_GRACE > now;
         for member in &mut self.members {
-            member.calls.retain(goes_on);
+            member.calls.retain(in_progress);
         }
-        self.orphaned_calls.retain(goes_on);
+        self.orphaned_calls.retain(in_progress);
     }
 
     pub(crate) fn usable_units(&self) -> u32 {
--- a/crates/quota/tests/model/main.rs
+++ b/crates/quota/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! The lease protocol as a model that stateright searches: the table, the leader's and the holders' sides as they are,
-//! and what may happen between them in any order that a bounded search reaches. Messages are lost, late and duplicated,
-//! commands are committed one by one, leaders succeed each other, holders crash or are suspended in the middle of a call,
-//! and the cluster is bootstrapped anew. In every state the units that are in use, or usable without another message,
-//! must not exceed the budget.
+//! Model checking of the lease protocol with stateright. The model runs the real table, lease manager and lease
+//! holders, and a bounded search explores the orders of events between them: messages are lost, late or duplicated,
+//! commands are committed one by one, the leader changes, holders crash or are suspended in the middle of a call, and
+//! the cluster is bootstrapped again. In every state the units that are in use, or usable without another message, must
+//! not exceed the budget.
 
 mod cluster;
 
@@ -37,17 +37,17 @@
     Duplicate {
         message: usize,
     },
-    Lose {
+    Drop {
         message: usize,
     },
     RunLeader {
         uncommitted: usize,
     },
     ChangeLeader,
-    /// A process ends and starts again. Whether it knows that the earlier one ended is part of the action.
+    /// A process ends and is restarted, with or without the knowledge that the earlier one ended.
     Crash {
         member: usize,
-        end_is_known: bool,
+        termination_known: bool,
     },
     Bootstrap,
 }
@@ -75,7 +75,7 @@
     }
 
     fn actions(&self, state: &ClusterState, actions: &mut Vec<Action>) {
-        // A suspended process resumes in time.
+        // A suspended process resumes within `MAX_PROCESS_PAUSE`, so the clock waits for it.
         let must_resume = state.members.iter().any(|member| {
             member
                 .suspended_at
@@ -88,7 +88,7 @@
             member_actions(state, index, member, actions);
         }
         for message in 0..state.messages.len() {
-            actions.extend([Action::Deliver { message }, Action::Lose { message }]);
+            actions.extend([Action::Deliver { message }, Action::Drop { message }]);
             actions
                 .extend((state.remaining.duplicates > 0).then_some(Action::Duplicate { message }));
         }
@@ -122,7 +122,7 @@
                 let message = next.messages[message].clone();
                 next.deliver(message);
             }
-            Action::Lose { message } => drop(next.messages.remove(message)),
+            Action::Drop { message } => drop(next.messages.remove(message)),
             Action::RunLeader { uncommitted } => next.run_leader(uncommitted),
             Action::ChangeLeader => {
                 next.remaining.leader_changes -= 1;
@@ -130,12 +130,12 @@
             }
             Action::Crash {
                 member: index,
-                end_is_known,
+                termination_known,
             } => {
                 next.remaining.crashes -= 1;
                 let old = next.members[index].clone();
                 next.orphaned_calls.extend(old.calls);
-                let previous = end_is_known.then_some(old.incarnation);
+                let previous = termination_known.then_some(old.incarnation);
                 next.members[index] =
                     Member::new(index, old.incarnation + 2, previous, self.config());
             }
@@ -159,7 +159,7 @@
 
 fn member_actions(state: &ClusterState, index: usize, member: &Member, actions: &mut Vec<Action>) {
     if let Some(at) = member.suspended_at {
-        // No process is suspended for longer than is allowed for.
+        // No process is suspended for longer than `MAX_PROCESS_PAUSE`.
         let may_resume = state.now <= at + MAX_PROCESS_PAUSE;
         actions.extend(may_resume.then_some(Action::Resume { member: index }));
         return;
@@ -174,26 +174,26 @@
         ]);
     }
     if state.remaining.crashes > 0 {
-        actions.extend([true, false].map(|end_is_known| Action::Crash {
+        actions.extend([true, false].map(|termination_known| Action::Crash {
             member: index,
-            end_is_known,
+            termination_known,
         }));
     }
 }
 
-/// States that a search looks at; it ends earlier where it finds a counterexample.
+/// Number of states that a search visits; it ends earlier if it finds a counterexample.
 const MAX_STATES: usize = 200_000;
 
-/// How states are chosen.
+/// The order in which states are visited.
 #[derive(Clone, Copy)]
 enum Search {
     /// All orders of events, the shortest first.
     BreadthFirst,
-    /// Long orders of events, chosen by a random generator with this seed.
+    /// Long random orders of events, generated from this seed.
     Simulation { seed: u64 },
 }
 
-/// The actions that lead to a violation, if the search finds one.
+/// The sequence of actions that leads to a violation, if the search finds one.
 fn find_violation(safeguards: Safeguards, search: Search) -> Option<Vec<Action>> {
     let checker = LeaseModel { safeguards }
         .checker()
@@ -209,7 +209,8 @@
     violation.map(|path| path.into_actions())
 }
 
-/// Guards the budget in every order of events that the search reaches: all short ones, and long ones by chance.
+/// Guards against exceeding the budget in any order of events that the search reaches: all short ones, and a random
+/// sample of long ones.
 #[test]
 fn never_exceeds_the_budget_in_any_order_of_events() {
     let all = Safeguards::default();
@@ -217,7 +218,8 @@
     assert_eq!(find_violation(all, Search::Simulation { seed: 1 }), None);
 }
 
-/// Guards the model: without any one of the safeguards it finds how the budget is exceeded.
+/// Guards against a model that cannot detect violations: with the lease, the fence or the post-cancel grace disabled,
+/// the search must find one.
 #[test]
 fn finds_a_violation_when_any_safeguard_is_off() {
     let all = Safeguards::default();
--- a/crates/quota/tests/table.rs
+++ b/crates/quota/tests/table.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// An open table with a budget, of which holder `a` has five units under epoch 1.
+/// An open table with one budget, of which holder `a` has a quota of five units with epoch 1.
 fn table() -> QuotaTable {
     let mut table = QuotaTable::default();
     let set_budget = Command::SetBudget {
@@ -80,7 +80,7 @@
     assert_rejected(&fence, stale(other, None));
 }
 
-/// Guards the budget: quotas never add up to more than its units.
+/// Guards against over-allocation: quotas never add up to more than the budget's units.
 #[test]
 fn rejects_a_raise_when_the_units_are_not_free() {
     let exceeded = CommandRejected::BudgetExceeded { needed: 4, free: 3 };
