--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,18 +1,18 @@
-//! How the first group of replicas is formed, and how a replica without a state announces itself.
+//! The formation of the initial group of replicas, and the probes by which a replica without a state announces itself.
 //!
-//! No replica forms a group alone: the first one in the order of names does so, only after all others reported that they
-//! have no state either, and it stores the initial members before it sends them to anyone.
+//! No replica decides alone to form a group: the one whose name sorts first does so, and only after all others have
+//! reported that they have no state either. It stores the initial members before it sends them to any other replica.
 use crate::ReplicaId;
 use cottondyke_types::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long a received probe counts (2 s).
+/// How long a received probe is valid (2 s).
 const PROBE_VALIDITY: Time = Time(20_000);
-/// Time between two probes of one replica (200 ms).
+/// The interval at which a replica sends probes (200 ms).
 const PROBE_INTERVAL: Time = Time(2_000);
 
-/// The statement of a replica that it has no state yet.
+/// A replica's report that it has no state yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapProbe {
     /// The configured name of the sender.
@@ -21,14 +21,14 @@
     pub id: ReplicaId,
 }
 
-/// The last probe of another replica.
+/// The latest probe from another replica.
 #[derive(Debug)]
 struct ReceivedProbe {
     id: ReplicaId,
     received_at: Time,
 }
 
-/// The bootstrap of one replica that has no state: when it sends probes, and whether it may form the group.
+/// The bootstrap of one replica that has no state: decides when it sends probes, and whether it may form the group.
 #[derive(Debug)]
 pub struct Bootstrap {
     own_probe: BootstrapProbe,
@@ -37,7 +37,7 @@
 }
 
 impl Bootstrap {
-    /// A bootstrap in which no probe was sent or received.
+    /// Creates a bootstrap that has neither sent nor received a probe.
     pub fn new(name: &str, id: ReplicaId) -> Self {
         Bootstrap {
             own_probe: BootstrapProbe {
@@ -58,8 +58,8 @@
         Some(self.own_probe.clone())
     }
 
-    /// Records that another replica has no state either, and returns the initial members where this replica is to form
-    /// the group. `replica_names` are the configured replicas; probes of any other name are ignored.
+    /// Records that another replica has no state either, and returns the initial members if this replica is to form the
+    /// group. `replica_names` are the configured replicas; probes with any other name are ignored.
     pub fn handle_probe(
         &mut self,
         now: Time,
@@ -77,8 +77,8 @@
         self.initial_members(now, replica_names)
     }
 
-    /// The initial members, where this replica is the first of `replica_names` in their order and holds a valid probe of
-    /// each of the others.
+    /// The initial members, if this replica's name sorts first in `replica_names` and a valid probe from each of the
+    /// others was received.
     pub fn initial_members(
         &self,
         now: Time,
@@ -96,7 +96,7 @@
             }
             members.insert(probe.id, name.clone());
         }
-        // Two names with one id would make a smaller group than configured.
+        // Two names with the same id would result in a smaller group than configured.
         (members.len() == replica_names.len()).then_some(members)
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small replicated state machine: the Raft algorithm by the crate `raft` (its `RawNode`), without I/O.
+//! A small replicated state machine without I/O, on top of the Raft implementation of the crate `raft` (its `RawNode`).
 //!
 //! [`Replica`] is one member of the group. It has no socket, disk or clock of its own: it is driven by ticks, messages
-//! of other replicas and proposals, and returns [`Effect`]s. What must be on disk before a message may be sent is one
-//! [`StorageOperation`], and the message waits until the caller reports it as stored. [`sqlite`] is such a storage.
+//! from other replicas and proposals, and returns [`Effect`]s. The data that must be on disk before a message may be
+//! sent forms one [`StorageOperation`], and the message is held back until the caller reports the operation as stored.
+//! [`sqlite`] implements such a storage.
 //!
-//! The id of a replica is made with its store and lost with it: a replica that lost its disk returns under another id,
-//! so it never votes twice in one term. It joins as a learner, and replaces the previous voter of its name once it has
-//! caught up. [`Bootstrap`] forms the first group.
+//! The id of a replica is generated with its store and lost with it: a replica that lost its disk returns under a new
+//! id, so it never votes twice in one term. It joins as a learner, and replaces the previous voter with its name once
+//! it has caught up. [`Bootstrap`] forms the initial group.
 //!
 //! ```
 //! use cottondyke_consensus::{Effect, PersistedState, Replica, ReplicaId, RestoreError, StateMachine};
@@ -29,7 +30,7 @@
 //!     }
 //! }
 //!
-//! /// Stores at once what the replica wants stored; there is no other replica to send to.
+//! /// Performs each storage operation immediately; there is no other replica to send messages to.
 //! fn perform(replica: &mut Replica<Sum>, disk: &mut PersistedState, effects: Vec<Effect>) {
 //!     for effect in effects {
 //!         if let Effect::Store(operation) = effect {
@@ -50,7 +51,7 @@
 //!     let effects = replica.tick();
 //!     perform(&mut replica, &mut disk, effects);
 //! }
-//! let effects = replica.propose(vec![2, 3]).expect("a leader takes proposals");
+//! let effects = replica.propose(vec![2, 3]).expect("the leader accepts proposals");
 //! perform(&mut replica, &mut disk, effects);
 //! assert_eq!(replica.state.0, 5);
 //! # Ok::<(), cottondyke_consensus::OpenError>(())
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,5 +1,5 @@
-//! The Raft log in memory, as the crate `raft` reads it through its `Storage` trait. What raft asked to have stored is
-//! visible here at once; [`Replica`](crate::Replica) tracks whether it is on disk yet.
+//! The in-memory Raft log, which the crate `raft` reads through its `Storage` trait. Everything that raft asks to be
+//! stored is visible here immediately; [`Replica`](crate::Replica) tracks whether it is on disk yet.
 use crate::storage::PersistedState;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -10,14 +10,14 @@
 pub(crate) struct RaftLog {
     pub(crate) hard_state: HardState,
     pub(crate) configuration: ConfState,
-    /// Its data is the state at its index.
+    /// Its data is the state as of its index.
     pub(crate) snapshot: Snapshot,
-    /// Consecutive, the first at the index after the snapshot's.
+    /// Consecutive entries that start at the index after the snapshot's.
     entries: Vec<Entry>,
 }
 
 impl RaftLog {
-    /// Decodes what is on disk.
+    /// Decodes the persisted snapshot, entries and hard state.
     pub(crate) fn restore(persisted: &PersistedState) -> Result<Self> {
         let mut log = RaftLog::default();
         if let Some(bytes) = &persisted.hard_state {
@@ -39,12 +39,12 @@
         self.entries.len()
     }
 
-    /// The index of the snapshot, 0 where there is none.
+    /// The index of the snapshot, or 0 if there is none.
     pub(crate) fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// Appends consecutive entries; they replace all from the index of the first of them on.
+    /// Appends consecutive entries, which replace all existing entries from the index of the first one onwards.
     pub(crate) fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let retained = first.index.saturating_sub(self.snapshot_index() + 1) as usize;
@@ -52,7 +52,7 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Takes a snapshot that the leader sent or that was made here, and removes the entries that it covers.
+    /// Installs a snapshot that the leader sent or that this replica made, and removes the entries that it covers.
     pub(crate) fn install_snapshot(&mut self, snapshot: Snapshot) {
         let metadata = snapshot.get_metadata();
         let covered = metadata.index.saturating_sub(self.snapshot_index()) as usize;
@@ -97,7 +97,7 @@
         let mut selected = Vec::new();
         for entry in &self.entries[start..end] {
             let size = u64::from(entry.compute_size());
-            // The trait requires one entry at least, whatever its size.
+            // The trait requires at least one entry, whatever its size.
             if !selected.is_empty() && size > remaining_bytes {
                 break;
             }
--- a/crates/consensus/src/replica/configuration.rs
+++ b/crates/consensus/src/replica/configuration.rs
@@ -1,5 +1,5 @@
-//! Who is a member: learners that join, their promotion to voters, and the removal of members that are no longer
-//! configured.
+//! Changes to the members of the group: learners that join, their promotion to voters, and the removal of members that
+//! are no longer configured.
 use super::{Effect, Replica};
 use crate::state_machine::StateMachine;
 use crate::ReplicaId;
@@ -9,12 +9,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Committed entries that a learner may lack and still be made a voter.
+/// The maximum number of committed entries that a learner may lack when it is promoted to a voter.
 const MAX_PROMOTION_LAG: u64 = 64;
-/// Ticks between two proposals of a configuration change.
+/// The minimum number of ticks between two proposals of a configuration change.
 const CONFIGURATION_CHANGE_INTERVAL_TICKS: u64 = 10;
 
-/// The member that a configuration change adds, as its entry carries it. The order of the fields is part of the
+/// The member that a configuration change adds, as encoded in its log entry. The order of the fields is part of the
 /// serialized form.
 #[derive(Serialize, Deserialize)]
 struct AddedMember {
@@ -23,8 +23,8 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// Proposes that a replica without a state joins, as a learner at first. `replica_names` are the configured
-    /// replicas; any other name is ignored, as is a member.
+    /// Proposes to add a replica without a state, first as a learner. `replica_names` are the configured replicas; any
+    /// other name is ignored, as is a replica that is a member already.
     pub fn add_learner(
         &mut self,
         id: ReplicaId,
@@ -35,8 +35,8 @@
         if is_member || !replica_names.iter().any(|configured| configured == name) {
             return Vec::new();
         }
-        // Learners of the same name that never caught up are removed: each attempt of a replica that loses its disk
-        // again leaves one.
+        // Learners with the same name that never caught up are removed: a replica that loses its disk again leaves one
+        // behind each time.
         let is_replaced = |learner: &u64| {
             let learner_name = self.member_names.get(&ReplicaId(*learner));
             learner_name.is_none_or(|learner_name| learner_name == name)
@@ -48,9 +48,9 @@
         self.propose_configuration(changes, Some(AddedMember { id, name }))
     }
 
-    /// Proposes the next change that the configuration needs, to be called by the leader at each tick: a learner that
-    /// has caught up replaces the previous voter of its name, and members that `replica_names` no longer has are
-    /// removed. One change at a time.
+    /// Proposes the next change that the configuration needs, one at a time; the leader must call this at each tick. A
+    /// learner that has caught up replaces the previous voter with its name, and members that are no longer in
+    /// `replica_names` are removed.
     pub fn reconcile_members(&mut self, replica_names: &[String]) -> Vec<Effect> {
         let configuration = self.configuration();
         let mut learners = configuration.learners.iter().copied();
@@ -98,7 +98,8 @@
         changes: Vec<ConfChangeSingle>,
         added: Option<AddedMember>,
     ) -> Vec<Effect> {
-        let next_change_tick = self.last_change_tick + CONFIGURATION_CHANGE_INTERVAL_TICKS;
+        let next_change_tick =
+            self.last_configuration_change_tick + CONFIGURATION_CHANGE_INTERVAL_TICKS;
         if !self.is_leader || self.failed || self.ticks < next_change_tick {
             return Vec::new();
         }
@@ -110,12 +111,12 @@
         change.set_changes(changes.into());
         change.context = context.clone().into();
         if self.raw_node.propose_conf_change(context, change).is_ok() {
-            self.last_change_tick = self.ticks;
+            self.last_configuration_change_tick = self.ticks;
         }
         self.collect_effects()
     }
 
-    /// Applies a committed configuration change, and forgets the names of those that are members no longer.
+    /// Applies a committed configuration change, and removes the names of replicas that are no longer members.
     pub(super) fn apply_configuration_change(&mut self, entry: &Entry) {
         let Ok(change) = ConfChangeV2::parse_from_bytes(&entry.data) else {
             return;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Whether a replica is in a configuration, or in the one that a joint change leads from or to.
+/// Whether a replica is in a configuration; for a joint one, in its old or its new configuration.
 fn contains_member(configuration: &ConfState, id: ReplicaId) -> bool {
     let lists = [
         &configuration.voters,
--- a/crates/consensus/src/replica/election_timeout.rs
+++ b/crates/consensus/src/replica/election_timeout.rs
@@ -1,9 +1,9 @@
-//! The election timeout of a replica, drawn from a seed.
+//! The randomized election timeout of a replica, derived from a seed.
 use super::ELECTION_TICKS;
 use raft::StateRole;
 
-/// A random number of ticks that is drawn anew with each term and role. The crate `raft` draws its own from the system's
-/// randomness; runs could not be repeated by their seed with that.
+/// A random number of ticks that is drawn again for each term and role. The crate `raft` draws its own from the
+/// system's random number generator, which would make runs impossible to reproduce from their seed.
 #[derive(Debug)]
 pub(super) struct ElectionTimeout {
     drawn_for_term: u64,
--- a/crates/consensus/src/replica/encoding.rs
+++ b/crates/consensus/src/replica/encoding.rs
@@ -3,7 +3,7 @@
 use crate::ReplicaId;
 use raft::eraftpb::Message;
 
-/// Encodes a message of the protocol. Fails only where a required field is missing, and proto3 has none.
+/// Encodes a protobuf message. Encoding fails only if a required field is missing, and proto3 has no required fields.
 pub(super) fn encode(message: &impl protobuf::Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
--- a/crates/consensus/src/replica/message_check.rs
+++ b/crates/consensus/src/replica/message_check.rs
@@ -1,28 +1,29 @@
-//! What of a received message is checked before the crate `raft` steps it.
+//! The checks of a received message before it is passed to the crate `raft`.
 use super::Replica;
 use crate::state_machine::StateMachine;
 use raft::eraftpb::{Message, MessageType};
 
 impl<S: StateMachine> Replica<S> {
-    /// Whether a message may be given to raft: it is for this replica, not local, and keeps what raft takes for granted.
+    /// Whether a message may be passed to raft: it is addressed to this replica, not of a local type, and satisfies
+    /// what raft assumes of its peers.
     pub(super) fn accepts_message(&self, message: &Message) -> bool {
         !is_local(message.get_msg_type())
             && message.to == self.id.0
             && message.from != self.id.0
             && message.from != 0
             && has_consecutive_entries(message)
-            && self.knows_committed_entries(message)
+            && self.has_committed_entries(message)
     }
 
-    /// Raft panics where a heartbeat commits entries that this replica's log lacks.
-    fn knows_committed_entries(&self, message: &Message) -> bool {
+    /// Whether the log has all entries that a heartbeat commits; raft panics if it does not.
+    fn has_committed_entries(&self, message: &Message) -> bool {
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
         !is_heartbeat || message.commit <= self.raw_node.raft.raft_log.last_index()
     }
 }
 
-/// Whether messages of this type are made by a replica for itself. Proposals and reads are among them: a leader takes
-/// only its own, since one that another replica forwards would be older than the leadership.
+/// Whether a replica creates messages of this type only for itself. Proposals and reads are among them: a leader
+/// accepts only its own, since one that another replica forwards would predate the leadership.
 fn is_local(message_type: MessageType) -> bool {
     matches!(
         message_type,
--- a/crates/consensus/src/replica/open.rs
+++ b/crates/consensus/src/replica/open.rs
@@ -1,4 +1,4 @@
-//! How a replica begins: the first state of a new group, and a replica from what is on disk.
+//! The start of a replica: the initial state of a new group, and opening a replica from its persisted state.
 use super::encoding::encode;
 use super::snapshot::{build_snapshot, encode_snapshot, SnapshotContents};
 use super::{
@@ -14,13 +14,14 @@
 
 /// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of the entries in one message.
+/// The maximum size of the entries in one message, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// Messages with entries that are sent to a member before it confirms the first of them.
+/// The maximum number of messages with entries that are sent to a member before it acknowledges the first of them.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Bytes that are proposed and not committed yet, and bytes of committed entries that are applied at once.
+/// The maximum number of bytes that are proposed and not committed yet, and of committed bytes that are applied in one
+/// batch.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
-/// The index and the term of the snapshot that a new group begins with.
+/// The index and the term of the snapshot that a new group starts with.
 const BOOTSTRAP_INDEX: u64 = 1;
 const BOOTSTRAP_TERM: u64 = 1;
 
@@ -33,16 +34,17 @@
     /// The contents of the snapshot cannot be decoded.
     #[error("the keeper's snapshot cannot be read: {0}")]
     Snapshot(#[source] postcard::Error),
-    /// The state machine does not take the state in the snapshot.
-    #[error("the keeper's table cannot be read: expected one that this version wrote")]
+    /// The state machine rejects the state in the snapshot.
+    #[error("the keeper's state cannot be read: expected a state that this version wrote")]
     State(#[source] RestoreError),
-    /// Raft does not take the log.
+    /// Raft rejects the log.
     #[error("the keeper cannot start: {0}")]
     Raft(#[source] raft::Error),
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// The first state of a new group with these members, to be stored by each of them before it is opened.
+    /// The operation that stores the initial state of a new group with these members. Each of them must store it before
+    /// its replica starts.
     pub fn bootstrap_operation(
         members: &BTreeMap<ReplicaId, String>,
         state: &S,
@@ -70,11 +72,11 @@
         }
     }
 
-    /// Opens a replica from what is on disk. Without a snapshot it is no member of a group, and joins by what the leader
-    /// sends. `seed` determines its election timeouts.
+    /// Opens a replica from its persisted state. Without a snapshot it is not a member of a group yet, and joins one
+    /// through the messages of its leader. `seed` determines the election timeouts.
     ///
     /// # Errors
-    /// Where what is on disk cannot be decoded.
+    /// If the persisted state cannot be decoded, or raft rejects it.
     pub fn open(persisted: &PersistedState, mut state: S, seed: u64) -> Result<Self, OpenError> {
         let log = RaftLog::restore(persisted).map_err(OpenError::Log)?;
         let applied_index = log.snapshot_index();
@@ -95,11 +97,11 @@
             is_leader: false,
             election_timeout: ElectionTimeout::new(seed ^ persisted.id.0),
             ticks: 0,
-            last_change_tick: 0,
+            last_configuration_change_tick: 0,
             failed: false,
         };
-        // Applies the entries that are known to be committed, and sets the election timeout. There is nothing to send
-        // yet, and a compaction that is lost here is made again after the next start.
+        // Applies the entries that are known to be committed, and sets the election timeout. The effects are discarded:
+        // there is nothing to send yet, and a compaction that is lost here is repeated after the next start.
         replica.collect_effects();
         Ok(replica)
     }
--- a/crates/consensus/src/replica/pending_operations.rs
+++ b/crates/consensus/src/replica/pending_operations.rs
@@ -1,4 +1,4 @@
-//! Storage operations that are not reported as stored yet, and what waits for them.
+//! Storage operations that are not reported as stored yet, and the messages that wait for them.
 use raft::eraftpb::Message;
 use std::collections::VecDeque;
 
@@ -7,15 +7,15 @@
     number: u64,
     /// Must not be sent before the operation is on disk.
     messages: Vec<Message>,
-    /// The number of the `Ready` that the operation was made from.
+    /// The number of the `Ready` that the operation results from, if any.
     ready_number: Option<u64>,
 }
 
-/// What becomes possible when operations are on disk.
+/// What to send and report once operations are on disk.
 #[derive(Debug, Default)]
 pub(super) struct StoredOperations {
     pub(super) messages: Vec<Message>,
-    /// The latest `Ready` that is on disk by this, to be reported to raft.
+    /// The number of the latest `Ready` that is now on disk, to be reported to raft.
     pub(super) ready_number: Option<u64>,
 }
 
@@ -46,7 +46,7 @@
         });
     }
 
-    /// All operations up to this number are on disk.
+    /// Removes all operations up to this number, which are on disk, and returns what waited for them.
     pub(super) fn take_stored(&mut self, number: u64) -> StoredOperations {
         let mut stored = StoredOperations::default();
         while let Some(operation) = self
--- a/crates/consensus/src/replica/pending_reads.rs
+++ b/crates/consensus/src/replica/pending_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that a majority has confirmed, and that wait until what was committed is applied.
+//! Reads that a majority has confirmed, and that wait until all entries up to their commit index are applied.
 use raft::ReadState;
 use std::collections::VecDeque;
 
@@ -21,7 +21,7 @@
         number.to_be_bytes().to_vec()
     }
 
-    /// Adds reads that raft reports as confirmed; any with a context of another form is ignored.
+    /// Adds reads that raft reports as confirmed; a read whose context is not a number is ignored.
     pub(super) fn add(&mut self, confirmed: Vec<ReadState>) {
         for read in confirmed {
             if let Ok(number) = read.request_ctx.as_slice().try_into() {
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -1,4 +1,5 @@
-//! From raft's `Ready` to effects: one storage operation each, and what waits until it is on disk.
+//! The conversion of raft's `Ready` to effects: one storage operation each, and the messages that wait until it is on
+//! disk.
 use super::encoding::{encode, send_effect};
 use super::snapshot::encode_snapshot;
 use super::{Effect, Replica};
@@ -8,7 +9,7 @@
 use raft::{Ready, StateRole};
 
 impl<S: StateMachine> Replica<S> {
-    /// The storage operation with this number, and all before it, are on disk.
+    /// Handles the report that the storage operation with this number, and all before it, are on disk.
     pub fn handle_stored(&mut self, number: u64) -> Vec<Effect> {
         let stored = self.pending_operations.take_stored(number);
         let mut effects: Vec<Effect> = stored.messages.iter().map(send_effect).collect();
@@ -25,7 +26,7 @@
         effects
     }
 
-    /// Takes from raft everything that is to be done.
+    /// Collects from raft everything that the caller has to do.
     pub(super) fn collect_effects(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         let raft = &mut self.raw_node.raft;
@@ -63,7 +64,8 @@
         self.compact_log(effects);
     }
 
-    /// Records what is to be stored in the log in memory, and returns it as one operation.
+    /// Adds the `Ready`'s snapshot, entries and hard state to the in-memory log, and returns them as one storage
+    /// operation.
     fn record_in_log(&mut self, ready: &Ready) -> Result<StorageOperation, RestoreError> {
         let mut operation = StorageOperation {
             number: self.pending_operations.next_number(),
@@ -84,8 +86,8 @@
         Ok(operation)
     }
 
-    /// Has the operation stored, and its messages sent after that. Where there is nothing to store, the messages may be
-    /// sent once everything before them is on disk.
+    /// Requests that the operation is stored, and that its messages are sent after that. If there is nothing to store,
+    /// the messages only wait for earlier operations to be on disk.
     fn persist(
         &mut self,
         ready: Ready,
@@ -108,17 +110,17 @@
     fn apply_entry(&mut self, entry: &Entry) {
         self.applied_index = entry.index;
         match entry.get_entry_type() {
-            // A leader begins its term with an empty entry.
+            // A leader starts its term with an empty entry.
             EntryType::EntryNormal if entry.data.is_empty() => {}
             EntryType::EntryNormal => self.state.apply(&entry.data),
-            // Of the older form, which is never proposed.
+            // The older form of a configuration change, which is never proposed.
             EntryType::EntryConfChange => {}
             EntryType::EntryConfChangeV2 => self.apply_configuration_change(entry),
         }
     }
 
-    /// A leader counts as one only once it has applied an entry of its own term: before that it may lack committed
-    /// entries of earlier terms.
+    /// Updates whether this replica counts as the leader. A leader must first apply an entry of its own term: before
+    /// that, its state may lack committed entries of earlier terms.
     fn update_leadership(&mut self, effects: &mut Vec<Effect>) {
         let raft = &self.raw_node.raft;
         let applied_term = raft.raft_log.term(self.applied_index);
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: their contents, those that the leader sends, and the compaction of the log.
+//! Snapshots: their contents, their transfer from the leader, and log compaction.
 use super::encoding::encode;
 use super::{Effect, Replica};
 use crate::state_machine::{RestoreError, StateMachine};
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Entries after the snapshot at which the log is compacted.
+/// The number of entries after the snapshot at which the log is compacted.
 const COMPACTION_ENTRIES: usize = 512;
-/// Applied entries after the snapshot below which that is not worth it.
+/// The number of applied entries after the snapshot below which compaction is not worthwhile.
 const MIN_COMPACTED_ENTRIES: u64 = COMPACTION_ENTRIES as u64 / 2;
 
 /// The data of a snapshot. The order of the fields is part of the serialized form.
@@ -22,7 +22,7 @@
     pub(super) state: Vec<u8>,
 }
 
-/// Makes a snapshot with everything up to the entry of this index and term applied.
+/// Builds a snapshot with every entry up to the one of this index and term applied.
 pub(super) fn build_snapshot(
     index: u64,
     term: u64,
@@ -41,7 +41,7 @@
     snapshot
 }
 
-/// A snapshot as it is stored.
+/// Encodes a snapshot for the storage.
 pub(super) fn encode_snapshot(snapshot: &Snapshot) -> EncodedSnapshot {
     EncodedSnapshot {
         index: snapshot.get_metadata().index,
@@ -50,7 +50,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// The members to which a snapshot is on its way.
+    /// The members to which a snapshot is being sent.
     pub fn pending_snapshots(&self) -> Vec<ReplicaId> {
         let progress = self.raw_node.raft.prs().iter();
         progress
@@ -59,13 +59,13 @@
             .collect()
     }
 
-    /// Reports that a snapshot arrived, or is taken to have arrived. Raft sends the member nothing else before that; if
-    /// the member has not got it after all, raft sends it again.
+    /// Reports to raft that a snapshot arrived at a member, or is assumed to have arrived. Until then raft sends no log
+    /// entries to the member; if the snapshot was lost, raft sends it again after the report.
     pub fn report_snapshot_delivered(&mut self, to: ReplicaId) {
         self.raw_node.report_snapshot(to.0, SnapshotStatus::Finish);
     }
 
-    /// Takes a snapshot that the leader sent.
+    /// Installs a snapshot that the leader sent.
     pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), RestoreError> {
         let contents: SnapshotContents =
             postcard::from_bytes(&snapshot.data).map_err(|_| RestoreError)?;
@@ -75,7 +75,7 @@
         self.state.restore(&contents.state)
     }
 
-    /// Replaces applied entries by a snapshot of the state, where that is due.
+    /// Replaces applied entries with a snapshot of the state, if compaction is due.
     pub(super) fn compact_log(&mut self, effects: &mut Vec<Effect>) {
         if !self.compaction_is_due() {
             return;
@@ -107,7 +107,7 @@
         }
         let log_is_long = log.len() >= COMPACTION_ENTRIES;
         let is_worthwhile = self.applied_index >= snapshot_index + MIN_COMPACTED_ENTRIES;
-        // A replica that joins does not take a snapshot whose configuration lacks it.
+        // A joining replica rejects a snapshot whose configuration does not include it.
         let snapshot_configuration = log.snapshot.get_metadata().get_conf_state();
         let configuration_changed = *snapshot_configuration != log.configuration;
         log_is_long && is_worthwhile || configuration_changed && self.applied_index > snapshot_index
--- a/crates/consensus/src/sqlite.rs
+++ b/crates/consensus/src/sqlite.rs
@@ -1,5 +1,6 @@
 //! The storage of a replica in one SQLite file. Each batch of operations is one transaction that is on disk before
-//! [`SqliteStorage::apply`] returns (WAL, `synchronous = FULL`). Calls block: it belongs on a thread of its own.
+//! [`SqliteStorage::apply`] returns (WAL, `synchronous = FULL`). Calls block, so the storage belongs on a dedicated
+//! thread.
 use crate::storage::{EncodedSnapshot, PersistedState, StorageOperation};
 use crate::ReplicaId;
 use rusqlite::{params, Connection, OptionalExtension, Row, Transaction, TransactionBehavior};
@@ -8,19 +9,19 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The layout of the file that this version writes, and the newest that it reads.
+/// The layout version of the files that this program writes, and the newest that it reads.
 const LAYOUT_VERSION: i64 = 1;
-/// How long a statement waits for a lock that another connection has.
+/// How long a statement waits for a lock that another connection holds.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Creates what is missing. Its last pragma is [`LAYOUT_VERSION`].
+/// Creates the tables that do not exist yet, and sets `user_version` to [`LAYOUT_VERSION`].
 const CREATE_TABLES: &str = "PRAGMA journal_mode = WAL; PRAGMA synchronous = FULL;
      BEGIN IMMEDIATE;
      CREATE TABLE IF NOT EXISTS one (name TEXT PRIMARY KEY, number INTEGER, bytes BLOB) WITHOUT ROWID;
      CREATE TABLE IF NOT EXISTS entry (place INTEGER PRIMARY KEY, bytes BLOB NOT NULL);
      PRAGMA user_version = 1;
      COMMIT;";
-/// Stores one row of the table `one`.
+/// Inserts or replaces one row of the table `one`.
 const PUT_ROW: &str = "INSERT OR REPLACE INTO one VALUES (?1, ?2, ?3)";
 
 /// The `name` of each row of the table `one`.
@@ -34,7 +35,7 @@
 /// Why a replica's file cannot be used. The message is one line.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The file cannot be opened, read or prepared, for instance because it is no SQLite file.
+    /// The file cannot be opened, read or prepared, for instance because it is not a SQLite file.
     #[error("{}: {source}", path.display())]
     Open {
         /// The file.
@@ -43,7 +44,10 @@
         source: rusqlite::Error,
     },
     /// The file was written by a newer version of this program.
-    #[error("{}: layout {found} is newer than this program: expected at most {supported}", path.display())]
+    #[error(
+        "{}: layout version {found} is newer than this program supports: expected at most {supported}",
+        path.display()
+    )]
     UnsupportedLayout {
         /// The file.
         path: PathBuf,
@@ -52,14 +56,14 @@
         /// The newest layout version that this program reads.
         supported: i64,
     },
-    /// Operations could not be written. What of them is on disk is unknown.
+    /// Operations could not be written. It is unknown whether they are on disk.
     #[error("{0}")]
     Write(#[source] rusqlite::Error),
 }
 
 /// One row of the table `one`.
 struct StoredRow {
-    /// 0 where the row has no number.
+    /// 0 if the row has no number.
     number: i64,
     bytes: Option<Vec<u8>>,
 }
@@ -71,8 +75,8 @@
 }
 
 impl SqliteStorage {
-    /// Opens a file, or creates it with `id` as the id of its replica; a file that exists keeps its own id. Returns what
-    /// the file holds as well.
+    /// Opens a file, or creates it with `id` as the id of its replica; an existing file keeps its own id. Also returns
+    /// the state that the file holds.
     ///
     /// # Errors
     /// [`StorageError::Open`] and [`StorageError::UnsupportedLayout`].
@@ -96,10 +100,10 @@
         Ok((storage, persisted))
     }
 
-    /// Applies the operations in their order, in one transaction that is on disk on return.
+    /// Applies the operations in order, in one transaction that is on disk when this returns.
     ///
     /// # Errors
-    /// [`StorageError::Write`]. The state on disk is unknown then, and the replica must not continue.
+    /// [`StorageError::Write`]. The state on disk is then unknown, and the replica must not continue.
     pub fn apply(&mut self, operations: &[StorageOperation]) -> Result<(), StorageError> {
         self.apply_in_transaction(operations)
             .map_err(StorageError::Write)
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,9 +1,9 @@
-//! What a replica has on disk, and the operations that change it.
+//! The state that a replica has on disk, and the operations that change it.
 use crate::ReplicaId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A snapshot as it is stored. Its serialized form is that of the pair of its fields, in this order.
+/// A snapshot in its stored form. It is serialized as the pair of its fields, in this order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EncodedSnapshot {
     /// The index of the last log entry that the snapshot covers.
@@ -12,7 +12,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A log entry as it is stored.
+/// A log entry in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedEntry {
     /// The index of the entry in the log.
@@ -21,23 +21,23 @@
     pub bytes: Vec<u8>,
 }
 
-/// One atomic change of what is stored. Operations are applied in the order of their numbers.
+/// One atomic change of the stored state. Operations are applied in the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StorageOperation {
-    /// The number that [`Replica::handle_stored`](crate::Replica::handle_stored) is called with once this is on disk.
+    /// The number to call [`Replica::handle_stored`](crate::Replica::handle_stored) with once the operation is on disk.
     pub number: u64,
     /// The encoded `eraftpb::HardState`: term, vote and commit index.
     pub hard_state: Option<Vec<u8>>,
-    /// Replaces the snapshot and all entries up to its index.
+    /// A snapshot that replaces the stored one and all entries up to its index.
     pub snapshot: Option<EncodedSnapshot>,
-    /// Consecutive entries; they replace all stored entries from the index of the first of them on.
+    /// Consecutive entries that replace all stored entries from the index of the first one onwards.
     pub entries: Vec<EncodedEntry>,
-    /// The members that formed the group, stored once.
+    /// The initial members of the group, stored once.
     pub bootstrap_members: Option<BTreeMap<ReplicaId, String>>,
 }
 
 impl StorageOperation {
-    /// Whether nothing would be stored.
+    /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
         *self
             == StorageOperation {
@@ -50,7 +50,7 @@
 /// Everything that a replica has on disk. The order of the fields is part of the serialized form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The id of the store, made with it.
+    /// The id of the store, generated when it was created.
     pub id: ReplicaId,
     /// The encoded `eraftpb::HardState`, if one was stored.
     pub hard_state: Option<Vec<u8>>,
@@ -58,12 +58,12 @@
     pub snapshot: Option<EncodedSnapshot>,
     /// Encoded entries after the snapshot, by index.
     pub entries: BTreeMap<u64, Vec<u8>>,
-    /// The members that formed the group, if this replica was among them.
+    /// The initial members of the group, if this replica was one of them.
     pub bootstrap_members: Option<BTreeMap<ReplicaId, String>>,
 }
 
 impl PersistedState {
-    /// A new store that holds nothing but its id.
+    /// A new store that holds only its id.
     pub fn new(id: ReplicaId) -> Self {
         PersistedState {
             id,
--- a/crates/consensus/tests/persisted_state.rs
+++ b/crates/consensus/tests/persisted_state.rs
@@ -1,9 +1,9 @@
-//! The serialized form of what a replica stores, which other packages write to files.
+//! The serialized form of a replica's persisted state, which other packages write to files.
 use cottondyke_consensus::{EncodedSnapshot, PersistedState, ReplicaId};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The fields of `PersistedState` by their shape alone.
+/// A type with the same serialized shape as `PersistedState`.
 #[derive(Serialize)]
 struct Shape {
     id: u64,
--- a/crates/consensus/tests/replicas.rs
+++ b/crates/consensus/tests/replicas.rs
@@ -1,14 +1,14 @@
-//! Replicas that exchange messages in memory, each with a storage that is written at once.
+//! Replicas that exchange messages in memory, each with a storage that is written immediately.
 use cottondyke_consensus::{
     Effect, EncodedSnapshot, OpenError, PersistedState, Replica, ReplicaId, RestoreError,
     StateMachine,
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A state that cannot be restored.
+/// A state that [`CommandLog`] cannot restore.
 const UNREADABLE_STATE: &[u8] = b"unreadable";
 
-/// The bytes of all commands in their order.
+/// A state machine that appends the bytes of all commands.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct CommandLog(Vec<u8>);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A replica's group with its storages and network.
+/// A group of replicas with their storages and network.
 #[derive(Default)]
 struct Group {
     replicas: BTreeMap<ReplicaId, Replica<CommandLog>>,
@@ -106,7 +106,7 @@
     fn leader(&self) -> ReplicaId {
         let mut replicas = self.replicas.iter();
         let leader = replicas.find(|(_, replica)| replica.is_leader());
-        *leader.expect("one leads").0
+        *leader.expect("a replica is the leader").0
     }
 
     fn propose(&mut self, command: &[u8]) {
@@ -117,8 +117,9 @@
     }
 }
 
-/// Guards the group's majority: a replica whose disk is lost is replaced under a new id and votes again, so that another
-/// may be lost after it. It stayed a learner for ever once, since no snapshot held it.
+/// A replica that lost its disk is replaced under a new id and becomes a voter again, so that the group keeps its
+/// majority when another disk is lost later. Such a replica used to stay a learner forever, since no snapshot's
+/// configuration included it.
 #[test]
 fn promotes_a_replica_that_lost_its_disk_when_it_has_caught_up() {
     let mut group = Group::bootstrapped();
@@ -150,7 +151,8 @@
     assert_eq!(group.replicas[&ReplicaId(13)].state.0, b"1xxx");
 }
 
-/// Guards what was committed: a replica that is opened again has it, from a snapshot and the entries after it.
+/// No committed command may be lost when a replica is opened again: it recovers them from a snapshot and the entries
+/// after it.
 #[test]
 fn recovers_all_committed_commands_when_opened_again() {
     let mut group = Group::bootstrapped();
@@ -173,7 +175,7 @@
     assert!(replicas.all(|replica| replica.state == committed));
 }
 
-/// Guards the lease manager: a leader that reaches no majority is not confirmed, one that reaches it is.
+/// The lease manager relies on this: the reads of a leader are confirmed if it reaches a majority, and not otherwise.
 #[test]
 fn confirms_reads_only_when_a_majority_is_reached() {
     let mut group = Group::bootstrapped();
@@ -191,12 +193,12 @@
     assert!(!group.replicas[&leader].is_leader());
 }
 
-/// Guards the line that is printed when a replica's file holds what this program did not write.
+/// Checks the line that is printed when a replica's file holds data that this program did not write.
 #[test]
 fn reports_what_cannot_be_decoded_when_opened() {
     let open_error = |persisted: &PersistedState| {
         let opened = Replica::open(persisted, CommandLog::default(), 7);
-        opened.err().expect("cannot be opened")
+        opened.err().expect("opening fails")
     };
     let mut persisted = PersistedState::new(ReplicaId(1));
     persisted.hard_state = Some(vec![0xff]);
@@ -209,7 +211,7 @@
     let members = BTreeMap::from([(ReplicaId(1), "a".to_string())]);
     let operation = Replica::bootstrap_operation(&members, &CommandLog::default());
     let mut snapshot = operation.snapshot.unwrap();
-    // The snapshot's data comes first: its tag, its length, and the number of members.
+    // The encoded snapshot begins with the data field: its tag, its length, and the number of members.
     assert_eq!(snapshot.bytes[2], 1);
     snapshot.bytes[2] = 9;
     persisted.hard_state = None;
@@ -227,6 +229,6 @@
     persisted.apply(Replica::bootstrap_operation(&members, &unreadable));
     let error = open_error(&persisted);
     assert!(matches!(error, OpenError::State(_)));
-    let line = "the keeper's table cannot be read: expected one that this version wrote";
+    let line = "the keeper's state cannot be read: expected a state that this version wrote";
     assert_eq!(error.to_string(), line);
 }
--- a/crates/consensus/tests/sqlite_storage.rs
+++ b/crates/consensus/tests/sqlite_storage.rs
@@ -1,4 +1,4 @@
-//! The SQLite storage: what is written is read again, and a file that cannot be used is reported.
+//! The SQLite storage: data that was written is read back, and a file that cannot be used is reported.
 use cottondyke_consensus::sqlite::{SqliteStorage, StorageError};
 use cottondyke_consensus::{
     EncodedEntry, EncodedSnapshot, PersistedState, ReplicaId, StorageOperation,
@@ -7,7 +7,7 @@
 
 const ID: ReplicaId = ReplicaId(u64::MAX - 5);
 
-/// A folder for one file, removed with it.
+/// A folder for one file, removed when this value is dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -70,7 +70,7 @@
     storage.apply(&operations[2..]).unwrap();
 }
 
-/// Guards what a replica stated: all that was written is read again, in order.
+/// A replica must not lose what its messages to others rest on: everything that was written is read back, in order.
 #[test]
 fn reads_what_was_written_when_opened_again() {
     let folder = TestFolder::new("storage-reads");
@@ -79,14 +79,14 @@
     for operation in operations() {
         expected.apply(operation);
     }
-    // Another id is offered: that of the file stays.
+    // A different id is passed in; the file keeps its own.
     let (_storage, persisted) = SqliteStorage::open(&folder.file(), ReplicaId(1)).unwrap();
     assert_eq!(persisted, expected);
     let indexes: Vec<u64> = persisted.entries.keys().copied().collect();
     assert_eq!(indexes, [5, 6, 7]);
 }
 
-/// Guards newer files against older programs, and the line that is printed.
+/// A program must not open a file that a newer version wrote. Also checks the line that is printed.
 #[test]
 fn rejects_the_file_when_its_layout_is_newer() {
     let folder = TestFolder::new("storage-layout");
@@ -104,13 +104,13 @@
     };
     assert_eq!(layouts, (9, 1));
     let expected = format!(
-        "{}: layout 9 is newer than this program: expected at most 1",
+        "{}: layout version 9 is newer than this program supports: expected at most 1",
         path.display()
     );
     assert_eq!(error.to_string(), expected);
 }
 
-/// Guards the line that is printed when the file is of another kind.
+/// Checks the line that is printed when the file is not a SQLite database.
 #[test]
 fn rejects_the_file_when_it_is_no_database() {
     let folder = TestFolder::new("storage-garbage");
@@ -123,7 +123,7 @@
     assert_eq!(error.to_string(), expected);
 }
 
-/// Guards the line that is logged when a write fails: SQLite's own, without the path.
+/// Checks the line that is logged when a write fails: SQLite's own message, without the path.
 #[test]
 fn reports_a_write_error_when_entries_collide() {
     let folder = TestFolder::new("storage-write");
