--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,31 +1,31 @@
-//! The settings of a membership, and the parameters of SWIM that follow from them.
+//! The settings of a membership, and the SWIM parameters that are derived from them.
 use crate::timers::duration;
 use cottondyke_types::Time;
 use foca::{Config, PeriodicParams};
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 
-/// Probe periods after which a member that stopped is in no list: two until it is suspected, six until it is
-/// declared dead, and the rest until all know of it.
+/// Probe periods after which a member that stopped is in no list: two until it is suspected, six until it is declared
+/// dead, and the rest until all members have learned of it.
 pub const MAX_DETECTION_PERIODS: i64 = 12;
-/// The most bytes of one datagram, so that it fits an Ethernet frame.
+/// The maximum size of a datagram in bytes, so that it fits into an Ethernet frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Probe periods from the first suspicion of a member to its death.
+/// Probe periods from the first suspicion of a member until it is declared dead.
 const SUSPICION_PERIODS: i64 = 6;
-/// Members that are asked to probe another one that did not answer, that each round of gossip goes to, and that are
-/// asked at once by a member that nobody knows.
+/// The number of members that are asked to probe one that did not answer, that each round of gossip is sent to, and
+/// that a member contacts at a time while no other member knows it.
 pub(crate) const FANOUT: usize = 3;
-/// How often one change is transmitted.
+/// The maximum number of times that one membership change is transmitted.
 const MAX_TRANSMISSIONS: u8 = 30;
-/// Known members, with the dead ones that are not forgotten yet, past which datagrams are rejected.
+/// The number of known members above which datagrams are rejected. Dead members count until they are forgotten.
 pub(crate) const MAX_MEMBERS: usize = 4_096;
 /// Probe periods between two attempts to reach a seed that is not in the list.
 pub(crate) const SEED_CONTACT_PERIODS: i64 = 4;
-/// Probe periods between two attempts of a member that nobody knows to reach another.
+/// Probe periods between two attempts to reach other members while no other member knows this one.
 pub(crate) const REJOIN_PERIODS: f64 = 0.5;
 /// Probe periods after which a dead member is forgotten.
 const FORGET_DEAD_PERIODS: i64 = 120;
-/// Probe periods within which a probe is to be answered before others are asked to probe.
+/// Probe periods within which a probe must be answered before other members are asked to probe.
 const PROBE_TIMEOUT_PERIODS: f64 = 0.3;
 /// Probe periods between two rounds of gossip.
 const GOSSIP_PERIODS: f64 = 0.4;
@@ -39,15 +39,15 @@
 pub struct MembershipConfig {
     /// Names and addresses of members that are contacted while they are not in the list.
     pub seeds: Vec<(String, SocketAddr)>,
-    /// How often another member is probed.
+    /// The interval at which another member is probed.
     pub probe_period: Time,
-    /// False in experiments alone: a member that misses one probe is declared dead at once.
+    /// False only in experiments: a member that misses one probe is then declared dead at once.
     pub suspicion_enabled: bool,
     /// Determines which members are probed and gossiped to.
     pub random_seed: u64,
 }
 
-/// The parameters of SWIM.
+/// The SWIM parameters, as `foca` expects them.
 pub(crate) fn foca_config(config: &MembershipConfig) -> Config {
     let period = config.probe_period;
     let suspicion = if config.suspicion_enabled {
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -1,10 +1,10 @@
-//! What a membership wants done and reports, and how it is collected from `foca`.
+//! The effects that a membership returns to its caller, and their collection from `foca`.
 use crate::member::Member;
 use foca::{Notification, Runtime, Timer};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the caller is to do or to know, in the order in which effects are returned.
+/// An action for the caller or an event, in the order in which effects are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram. It may be lost.
@@ -14,28 +14,28 @@
         /// The datagram, at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) long.
         bytes: Vec<u8>,
     },
-    /// A member came into the list.
+    /// A member was added to the list.
     MemberUp(Member),
-    /// A member went out of the list.
+    /// A member was removed from the list.
     MemberDown(Member),
-    /// Others declared this member dead, and it returned under the next version.
+    /// Others declared this member dead, and it rejoined under the next version.
     SuspicionRefuted,
-    /// Another process has the name of this member, and a later incarnation.
+    /// Another process has the same name as this member, and a later incarnation.
     DuplicateName(Member),
 }
 
-/// A timer that `foca` asked for.
+/// A timer that `foca` requested.
 pub(crate) struct RequestedTimer {
     pub(crate) timer: Timer<Member>,
     pub(crate) after: Duration,
 }
 
-/// The runtime for one input to `foca`: collects what it asks for.
+/// The `foca` runtime for one input: collects the effects and timers that `foca` requests.
 pub(crate) struct EffectCollector {
     own_name: String,
     pub(crate) effects: Vec<Effect>,
     pub(crate) timers: Vec<RequestedTimer>,
-    /// Whether others know this identity now, where that changed.
+    /// Whether others know this identity now; `None` if that did not change.
     pub(crate) active: Option<bool>,
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Group membership by SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002), with the crate `foca`, without I/O.
+//! Group membership without I/O by the SWIM protocol (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+//! Infection-style Process Group Membership Protocol", 2002), as implemented by the crate `foca`.
 //!
 //! [`Membership`] has no socket, clock or source of randomness of its own: it is driven by datagrams and a timer, and
-//! returns [`Effect`]s. Its member list is weakly consistent: quick, and sometimes wrong. Nothing that must be right may
-//! be decided by it.
+//! returns [`Effect`]s. Its member list is weakly consistent: it is updated quickly, and is sometimes wrong. No
+//! decision that must be correct may depend on it.
 //!
-//! A member that stops is suspected within about two probe periods, and is declared dead a fixed number of probe periods
-//! after that, so it is in no list after [`MAX_DETECTION_PERIODS`]. One that is slow or hard to reach has that long to
-//! refute the suspicion.
+//! A member that stops is suspected within about two probe periods, and is declared dead a fixed number of probe
+//! periods after that, so it is in no list after [`MAX_DETECTION_PERIODS`]. A member that is slow or hard to reach has
+//! this fixed number of periods to refute the suspicion.
 //!
 //! ```
 //! use cottondyke_membership::{Effect, Member, Membership, MembershipConfig};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,21 +1,22 @@
-//! Who a member is, and what is known of it.
+//! The identity of a member, and its status in the member list.
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of one incarnation of a process. Of two with one name the later incarnation stays in the lists. The
-/// order of the fields is part of the datagrams.
+/// The identity of one incarnation of a process. Of two identities with the same name, the later incarnation stays in
+/// the lists. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Unique among the members.
+    /// The name of the member, unique within the group.
     pub name: String,
     /// The zone in which the process runs.
     pub zone: String,
-    /// Where other members reach it.
+    /// The address at which other members reach it.
     pub addr: SocketAddr,
-    /// Greater with each start of the process.
+    /// Increases with each start of the process.
     pub incarnation: u64,
-    /// Grows when the same incarnation returns after it was declared dead, and when it begins to leave.
+    /// Increases when the same incarnation rejoins after it was declared dead, and when it announces that it is
+    /// leaving.
     pub version: u32,
     /// Whether it announced that it is going to leave.
     pub leaving: bool,
@@ -52,7 +53,7 @@
     }
 }
 
-/// What is known of a member.
+/// The state of a member, as last known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers probes.
@@ -65,7 +66,7 @@
     Dead,
 }
 
-/// One line of the member list. The names in JSON and the order of the fields are part of the status of a node.
+/// One entry of the member list. The names in JSON and the order of the fields are part of the status of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The name of the member.
@@ -75,7 +76,7 @@
     /// Its latest known incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// What is known of it.
+    /// Its state, as last known.
     #[serde(rename = "standing")]
     pub state: MemberState,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of one process: its inputs, its member list, and how it reaches the first other members.
+//! The membership of one process: its inputs, its member list, and how it contacts members that do not know it yet.
 use crate::config::{
     foca_config, MembershipConfig, FANOUT, MAX_DATAGRAM_BYTES, MAX_MEMBERS, REJOIN_PERIODS,
     SEED_CONTACT_PERIODS,
@@ -18,7 +18,7 @@
 /// Why a datagram was dropped.
 #[derive(Debug, Error)]
 pub enum DatagramError {
-    /// This member left.
+    /// This member has left the group.
     #[error("this member has left")]
     HasLeft,
     /// The datagram is longer than any that a member sends.
@@ -27,39 +27,39 @@
         /// Its length.
         bytes: usize,
     },
-    /// So many members are known that no more are taken.
+    /// The limit of known members is exceeded.
     #[error("more than {MAX_MEMBERS} members are known")]
     TooManyMembers,
-    /// The datagram cannot be decoded, or no correct member sends it.
+    /// The datagram cannot be decoded, or is one that no correct member sends.
     #[error("the datagram is invalid: {0}")]
     Invalid(#[source] foca::Error),
 }
 
-/// What follows from a datagram. One that turns out to be invalid may have effects nevertheless.
+/// The outcome of handling a datagram. Even an invalid datagram may have effects.
 #[derive(Debug)]
 pub struct DatagramOutcome {
-    /// To be performed in their order, also after an error.
+    /// The effects to perform in order, even after an error.
     pub effects: Vec<Effect>,
-    /// Whether the datagram was taken completely.
+    /// Whether the datagram was processed completely.
     pub result: Result<(), DatagramError>,
 }
 
-/// One member of the group. Each input returns the [`Effect`]s that are to be performed in their order.
+/// One member of the group. Each input returns the [`Effect`]s to perform, in order.
 pub struct Membership {
     swim: Swim,
     timers: Timers,
     seeds: Vec<(String, SocketAddr)>,
     probe_period: Time,
     next_contact_at: Time,
-    /// Counts the contacts, so that each goes to another candidate.
+    /// The number of contacts so far, by which each one goes to the next candidate.
     contact_count: usize,
-    /// Whether another member is known to know this identity.
+    /// Whether this identity is known to at least one other member, as far as `foca` can tell.
     active: bool,
     has_left: bool,
 }
 
 impl Membership {
-    /// A member that knows no other one yet.
+    /// Creates a member that does not know any other member yet.
     pub fn new(identity: Member, config: MembershipConfig) -> Self {
         let random = StdRng::seed_from_u64(config.random_seed);
         Membership {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// The identity of this member now.
+    /// The current identity of this member.
     pub fn identity(&self) -> &Member {
         self.swim.identity()
     }
 
-    /// Replaces the members that are contacted while they are not in the list.
+    /// Replaces the seeds, the members that are contacted while they are not in the list.
     pub fn set_seeds(&mut self, seeds: Vec<(String, SocketAddr)>) {
         self.seeds = seeds;
     }
 
-    /// When [`Membership::handle_timer`] is to be called.
+    /// When [`Membership::handle_timer`] must be called next.
     pub fn next_timer(&self) -> Time {
         if self.has_left {
             return Time::MAX;
@@ -93,8 +93,8 @@
         next_due.map_or(self.next_contact_at, |due| due.min(self.next_contact_at))
     }
 
-    /// Does what is due. Timers of one time fire in the order in which `foca` asked for them; one that is late, since
-    /// the process was stopped, fires once.
+    /// Fires the timers that are due, and contacts other members if that is due. Timers that are due at the same time
+    /// fire in the order in which `foca` requested them; one that is late because the process was stopped fires once.
     pub fn handle_timer(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.has_left {
@@ -111,7 +111,7 @@
         effects
     }
 
-    /// Handles a datagram. One that cannot be decoded is dropped.
+    /// Handles a datagram. A datagram that cannot be decoded is dropped.
     pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) -> DatagramOutcome {
         if let Err(error) = self.check_limits(bytes) {
             return DatagramOutcome {
@@ -140,7 +140,8 @@
         })
     }
 
-    /// Leaves the group: others remove this member from their lists at once. Nothing follows from any input after that.
+    /// Leaves the group: others remove this member from their lists at once. Timers and datagrams have no effect after
+    /// that.
     pub fn leave(&mut self, now: Time) -> Vec<Effect> {
         let effects = self.run(now, |swim, mut collector| {
             let _ = swim.leave_cluster(&mut collector);
@@ -149,7 +150,7 @@
         effects
     }
 
-    /// All that is known, this member first and the others by name.
+    /// The status of all known members: this member first, then the others sorted by name.
     pub fn members(&self) -> Vec<MemberStatus> {
         let others = self.swim.iter_membership_state();
         let mut statuses: Vec<MemberStatus> = others.map(known_status).collect();
@@ -181,7 +182,7 @@
         Ok(())
     }
 
-    /// Gives one input to `foca`, and takes over what it asks for.
+    /// Passes one input to `foca`, adds the timers that it requests, and returns its effects.
     fn run(
         &mut self,
         now: Time,
@@ -201,7 +202,7 @@
         collector.effects
     }
 
-    /// Announces this member to some of those that do not seem to know it.
+    /// Announces this member to some of the members that do not seem to know it.
     fn contact_others(&mut self, now: Time) -> Vec<Effect> {
         let interval = if self.active {
             Time(self.probe_period.0 * SEED_CONTACT_PERIODS)
@@ -222,8 +223,9 @@
         effects
     }
 
-    /// The seeds that are not in the list. A member that others declared dead has a new version that nobody knows, and
-    /// `foca` stays silent until another member contacts it: so all that it knows are candidates until one answers.
+    /// The seeds that are not in the list. A member that others declared dead has a new version that no other member
+    /// knows, and `foca` stays silent until another member contacts it: until one answers, all known members are
+    /// candidates too.
     fn contact_candidates(&self) -> Vec<Member> {
         let own_name = &self.identity().name;
         let listed = self.swim.iter_members().map(|member| member.id());
@@ -242,7 +244,7 @@
     }
 }
 
-/// The identity under which a seed is contacted; its true one comes with its answer.
+/// A placeholder identity to contact a seed with; the seed's answer contains its real one.
 fn seed_identity(name: &str, addr: SocketAddr) -> Member {
     Member {
         name: name.to_string(),
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that `foca` asked for, and the conversion between its durations and [`Time`].
+//! The timers that `foca` requested, and the conversion between its durations and [`Time`].
 use crate::member::Member;
 use cottondyke_types::Time;
 use foca::Timer;
@@ -8,7 +8,7 @@
 /// One unit of [`Time`].
 const MICROSECONDS_PER_UNIT: u64 = 100;
 
-/// A span of time as `foca` takes it, one unit at least.
+/// Converts to a duration for `foca`, at least one unit long.
 pub(crate) fn duration(time: Time) -> Duration {
     Duration::from_micros(time.0.max(1) as u64 * MICROSECONDS_PER_UNIT)
 }
--- a/crates/membership/tests/member_lists.rs
+++ b/crates/membership/tests/member_lists.rs
@@ -1,4 +1,4 @@
-//! Members in a simulated network: datagrams that are delayed and lost, one clock, and lists observed from outside.
+//! Members in a simulated network that delays and loses datagrams, with one clock; the tests check the member lists.
 use cottondyke_membership::{
     DatagramError, Effect, Member, MemberState, MemberStatus, Membership, MembershipConfig,
     MAX_DATAGRAM_BYTES, MAX_DETECTION_PERIODS,
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 
 const PROBE_PERIOD: i64 = 5_000;
-/// How often the simulation runs the timers.
+/// The interval at which the simulation delivers datagrams and runs the timers.
 const STEP: i64 = 20;
 const MIN_DELAY: i64 = 2;
 
 struct Simulation {
     now: i64,
     random: fastrand::Rng,
-    /// By their index; `None` for a process that does not run.
+    /// By index; `None` for a process that is not running.
     members: Vec<Option<Membership>>,
-    /// Datagrams under way, by the time of their arrival and a number.
+    /// Datagrams in transit, by arrival time and sequence number.
     datagrams: BTreeMap<(i64, u64), (SocketAddr, Vec<u8>)>,
     last_datagram: u64,
     loss: f64,
@@ -134,7 +134,7 @@
         self.members[index].as_mut().unwrap()
     }
 
-    /// In how many lists of others a member stands and is not dead.
+    /// The number of other members that list this member in any state but dead.
     fn count_listing(&self, name: &str) -> usize {
         let is_listed =
             |status: &MemberStatus| status.name == name && status.state != MemberState::Dead;
@@ -144,7 +144,7 @@
             .count()
     }
 
-    /// Whether each running member has all others in its list, and no more.
+    /// Whether each running member lists as many peers as there are other running members.
     fn lists_are_complete(&self) -> bool {
         let running = self.members.iter().flatten().count();
         let mut members = self.members.iter().flatten();
@@ -152,7 +152,7 @@
     }
 }
 
-/// Guards the lists: a member that stops is out of all of them within the stated time, for any seed and size tried.
+/// A member that stops must be out of all lists within [`MAX_DETECTION_PERIODS`], for each seed and group size tried.
 #[test]
 fn removes_a_dead_member_from_all_lists_within_the_detection_time() {
     for (seed, count) in [(1, 5), (2, 8), (3, 20), (4, 60)] {
@@ -170,8 +170,8 @@
     }
 }
 
-/// Guards members on bad links: a fifth of all datagrams lost, and none is declared dead in 60 s. Without suspicion some
-/// always are.
+/// Members with bad links must not be declared dead: none is in 60 s with a fifth of all datagrams lost. Without
+/// suspicion some always are.
 #[test]
 fn declares_no_member_dead_when_datagrams_are_lost() {
     let down_events = |suspicion_enabled| {
@@ -189,8 +189,8 @@
     assert!(down_events(false) > 0);
 }
 
-/// Guards drains and restarts: one that leaves is seen to leave and is gone at once; its next incarnation is back at
-/// once.
+/// Covers drains and restarts: a member that announces that it is leaving is listed as leaving, is removed at once when
+/// it leaves, and its next incarnation is listed at once.
 #[test]
 fn updates_all_lists_at_once_when_a_member_leaves_and_returns() {
     let mut simulation = Simulation::new(7, 6, true);
@@ -217,7 +217,7 @@
     assert!(simulation.lists_are_complete());
 }
 
-/// Guards against garbage: what is truncated, too long or no datagram of a member changes no list.
+/// Bytes that are truncated, too long or not a member's datagram must not change a list.
 #[test]
 fn changes_no_list_when_datagrams_are_garbage() {
     let mut simulation = Simulation::new(3, 5, true);
@@ -232,12 +232,12 @@
     assert_eq!(simulation.member(0).members(), before);
 }
 
-/// Guards the limits: each reason for which a datagram is dropped is its own.
+/// Each reason for which a datagram is dropped must be reported as its own error.
 #[test]
 fn reports_why_a_datagram_is_dropped() {
     let now = Time(0);
     let mut receiver = membership(0, 1, true, 1);
-    // No string is as long as its first bytes state. (Zeros alone are a valid header.)
+    // Invalid, since no string is as long as the first bytes state. (Bytes that are all zero are a valid header.)
     let longest = vec![0xff; MAX_DATAGRAM_BYTES];
     let outcome = receiver.handle_datagram(now, &longest);
     assert!(matches!(outcome.result, Err(DatagramError::Invalid(_))));
