--- a/crates/dependency/src/aggregator/audit.rs
+++ b/crates/dependency/src/aggregator/audit.rs
@@ -1,4 +1,4 @@
-//! The check of what must hold after every input.
+//! Checks of the invariants that hold after every input.
 use super::state::{GateId, Phase, Run, Step, StepId, Timer};
 use super::Aggregator;
 use crate::error::InvariantViolation;
@@ -6,32 +6,32 @@
 use crate::messages::{CallId, PartId};
 use cottondyke_types::{RequestId, Time};
 
-/// Calls that a step may have active at once: the first and its hedge.
+/// Maximum number of active calls of a step: one call and its hedge.
 const MAX_ACTIVE_CALLS: usize = 2;
 
 impl Aggregator {
     /// Checks the invariants of the state after an input at `now`.
     pub fn audit(&self, now: Time) -> Result<(), InvariantViolation> {
         for (id, gate) in &self.gates {
-            self.audit_gate(*id, gate)?;
+            self.check_gate(*id, gate)?;
         }
         for (request, run) in &self.runs {
-            self.audit_run(now, *request, run)?;
+            self.check_run(now, *request, run)?;
         }
         let counted = self.stale_cache.bytes();
         let actual = self.stale_cache.recount_bytes();
         if counted != actual {
-            return Err(InvariantViolation::CacheBytes { actual, counted });
+            return Err(InvariantViolation::CacheSizeMismatch { actual, counted });
         }
         Ok(())
     }
 
-    fn audit_gate(&self, id: GateId, gate: &DependencyGate) -> Result<(), InvariantViolation> {
+    fn check_gate(&self, id: GateId, gate: &DependencyGate) -> Result<(), InvariantViolation> {
         let dependency = || gate.spec.name.clone();
         let active = self.calls.values().filter(|call| call.gate == id).count();
         let counted = gate.active_calls();
         if active != counted {
-            return Err(InvariantViolation::ActiveCalls {
+            return Err(InvariantViolation::ActiveCallCountMismatch {
                 dependency: dependency(),
                 actual: active,
                 counted,
@@ -50,7 +50,7 @@
                 .is_some_and(|call| call.gate == id && !call.is_abandoned)
         };
         if !gate.hedge_queue.iter().all(is_active) {
-            return Err(InvariantViolation::HedgeWithoutCall {
+            return Err(InvariantViolation::HedgeWithoutActiveCall {
                 dependency: dependency(),
             });
         }
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    fn audit_run(
+    fn check_run(
         &self,
         now: Time,
         request: RequestId,
@@ -87,7 +87,7 @@
             }
             let latest = run.request.deadline.min(self.drain_deadline).max(now);
             if step.deadline <= now || step.deadline > latest {
-                return Err(InvariantViolation::StepDeadline {
+                return Err(InvariantViolation::StepDeadlineOutOfRange {
                     part,
                     deadline: step.deadline,
                 });
@@ -98,11 +98,11 @@
             };
             let timer = (step.deadline, Timer::StepDeadline(id));
             if !self.timers.contains(&timer) {
-                return Err(InvariantViolation::MissingTimer { part });
+                return Err(InvariantViolation::MissingDeadlineTimer { part });
             }
         }
         if run.steps.iter().all(Step::is_settled) {
-            return Err(InvariantViolation::NotCompleted { request });
+            return Err(InvariantViolation::RunNotCompleted { request });
         }
         Ok(())
     }
--- a/crates/dependency/src/aggregator/call.rs
+++ b/crates/dependency/src/aggregator/call.rs
@@ -1,6 +1,6 @@
-//! Calls: issuing them, taking their results, abandoning them, and what each teaches the gate of its dependency.
+//! Calls: issuing and abandoning them, handling their results, and reporting their ends to the gates.
 use super::state::{Call, GateId, Phase, Timer};
-use super::{gate_changed, Aggregator};
+use super::{circuit_change_action, Aggregator};
 use crate::circuit_breaker::{CallKind, UniformDraw};
 use crate::gate::{CallObservation, CallSignal, DependencyGate};
 use crate::latency::LatencySample;
@@ -9,11 +9,11 @@
 use cottondyke_types::Time;
 use std::rc::Rc;
 
-/// Calls that one step may make, the first included.
+/// Maximum number of calls of one step, including the first.
 pub(super) const MAX_ATTEMPTS: u32 = 3;
-/// The time that a retry is taken to need before any latency is known.
-const MIN_RETRY_TIME: Time = Time(1);
-const NO_TIME: Time = Time(0);
+/// The time that a retry is assumed to need before any latency has been observed.
+const INITIAL_EXPECTED_LATENCY: Time = Time(1);
+const ZERO_DURATION: Time = Time(0);
 
 fn signal_of(result: &CallResult) -> CallSignal {
     match result {
@@ -27,7 +27,7 @@
 }
 
 impl Aggregator {
-    /// Issues the first call of a step, and sets the timer for its hedge.
+    /// Issues the first call of a step and, if it may be hedged, sets the timer for that.
     pub(super) fn issue_first_call(&mut self, now: Time, part: PartId, kind: CallKind) {
         let gate = self.runs[&part.request].steps[part.index].gate;
         if let Some(gate) = self.gates.get_mut(&gate) {
@@ -36,7 +36,7 @@
         }
         let call = self.issue_call(now, part, kind);
         let run = &self.runs[&part.request];
-        if !run.request.may_repeat || !run.in_force.plan.safeguards.hedge {
+        if !run.request.may_repeat || !run.installed_plan.plan.safeguards.hedge {
             return;
         }
         let deadline = run.steps[part.index].deadline;
@@ -53,8 +53,8 @@
 
     /// Issues a call for the part's current step.
     pub(super) fn issue_call(&mut self, now: Time, part: PartId, kind: CallKind) -> CallId {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
         let Some(run) = self.runs.get_mut(&part.request) else {
             return id;
         };
@@ -67,13 +67,13 @@
         let Some(gate) = self.gates.get_mut(&gate_id) else {
             return id;
         };
-        let dependency = match run.in_force.dependency_index(gate_id) {
-            Some(index) => run.in_force.plan.dependencies[index].clone(),
+        let dependency = match run.installed_plan.dependency_index(gate_id) {
+            Some(index) => run.installed_plan.plan.dependencies[index].clone(),
             None => gate.spec.clone(),
         };
         let timestamp = Rc::new(dependency.issue_timestamp());
         if let Some(state) = gate.record_issue(now, kind, &timestamp) {
-            self.actions.push(gate_changed(gate, state));
+            self.actions.push(circuit_change_action(gate, state));
         }
         self.actions.push(Action::Call {
             call: id,
@@ -97,13 +97,14 @@
         id
     }
 
-    /// A call has ended, or the driver listens to it no longer ([`CallResult::TimedOut`]).
+    /// Handles the end of a call, or of the driver's wait for its response ([`CallResult::TimedOut`]).
     pub fn handle_call_result(&mut self, now: Time, id: CallId, result: CallResult) -> Vec<Action> {
         let Some(call) = self.calls.remove(&id) else {
             return Vec::new();
         };
         call.timestamp.finish();
-        // Guards the ceiling: a connection that broke proves nothing of the call that was sent on it.
+        // Calls in flight must never exceed the maximum, and a broken connection does not prove that the call sent on
+        // it has ended.
         let may_still_run = matches!(
             result,
             CallResult::TimedOut | CallResult::Interrupted | CallResult::StaleConnection
@@ -142,11 +143,11 @@
         };
         let observation = CallObservation { kind, signal, draw };
         if let Some(state) = gate.observe(now, observation) {
-            self.actions.push(gate_changed(gate, state));
+            self.actions.push(circuit_change_action(gate, state));
         }
     }
 
-    /// What the result of a call means for the part that waits for it.
+    /// Applies the result of a call to the part that waits for it.
     fn settle_call(&mut self, now: Time, id: CallId, call: &Call, result: CallResult) {
         let Some(run) = self.runs.get_mut(&call.part.request) else {
             return;
@@ -156,14 +157,14 @@
         };
         step.calls.retain(|other| *other != id);
         match result {
-            CallResult::Success(body) => self.accept_answer(now, call, body),
+            CallResult::Success(body) => self.accept_response(now, call, body),
             // The other call of the step is still active.
             _ if !step.calls.is_empty() => {}
             result => self.retry_or_fall_back(now, call, &result),
         }
     }
 
-    fn accept_answer(&mut self, now: Time, call: &Call, body: Rc<[u8]>) {
+    fn accept_response(&mut self, now: Time, call: &Call, body: Rc<[u8]>) {
         let run = &self.runs[&call.part.request];
         let dependency = self.gates[&call.gate].spec.name.clone();
         let source = if run.steps[call.part.index].number == 0 {
@@ -172,9 +173,9 @@
             PartSource::Secondary(dependency.clone())
         };
         let is_cached = run
-            .in_force
+            .installed_plan
             .dependency_index(call.gate)
-            .is_some_and(|index| run.in_force.plan.uses_stale_cache(index));
+            .is_some_and(|index| run.installed_plan.plan.uses_stale_cache(index));
         if is_cached {
             let key = CacheKey {
                 dependency,
@@ -194,10 +195,10 @@
         let Some(gate) = self.gates.get_mut(&call.gate) else {
             return;
         };
-        let usual_time = gate.latency.baseline().unwrap_or(MIN_RETRY_TIME);
+        let expected_latency = gate.latency.baseline().unwrap_or(INITIAL_EXPECTED_LATENCY);
         let may_retry = (may_repeat || did_not_run)
             && step.attempts < MAX_ATTEMPTS
-            && step.deadline - now > usual_time;
+            && step.deadline - now > expected_latency;
         if may_retry && gate.try_retry(now) {
             gate.counters.retries += 1;
             self.issue_call(now, call.part, CallKind::Regular);
@@ -206,23 +207,30 @@
         }
     }
 
-    /// Abandons a call that is not needed any more, which says nothing about its dependency. It is listened to for the
-    /// rest of its time, since a call that ends frees its place at the gate at once.
+    /// Abandons a call that is no longer needed, which says nothing about its dependency. The driver keeps waiting for
+    /// its response for the rest of its timeout, because a call that is known to have ended frees its slot at once.
     pub(super) fn abandon_unneeded(&mut self, now: Time, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let time_left = call.issued_at + call.timeout - now;
-        self.abandon(now, id, CallSignal::Ignored, time_left.max(NO_TIME));
+        self.abandon(now, id, CallSignal::Ignored, time_left.max(ZERO_DURATION));
     }
 
-    /// Abandons a call whose run was cancelled, without listening to it any more.
+    /// Abandons a call whose run was cancelled; its connection is closed at once.
     pub(super) fn abandon_at_once(&mut self, now: Time, id: CallId) {
-        self.abandon(now, id, CallSignal::Ignored, NO_TIME);
+        self.abandon(now, id, CallSignal::Ignored, ZERO_DURATION);
     }
 
-    /// Stops waiting for a call. Where it is not listened to, its connection is closed: it may go on running unseen.
-    pub(super) fn abandon(&mut self, now: Time, id: CallId, signal: CallSignal, listen: Time) {
+    /// Stops waiting for a call, while the driver keeps waiting for its response for `late_response_wait`. If that is
+    /// zero, its connection is closed, and it may continue to run at the dependency unobserved.
+    pub(super) fn abandon(
+        &mut self,
+        now: Time,
+        id: CallId,
+        signal: CallSignal,
+        late_response_wait: Time,
+    ) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_abandoned) else {
             return;
         };
@@ -232,8 +240,11 @@
             gate.hedge_queue.retain(|other| *other != id);
         }
         self.observe(now, gate_id, kind, signal);
-        self.actions.push(Action::Abandon { call: id, listen });
-        if listen > NO_TIME {
+        self.actions.push(Action::Abandon {
+            call: id,
+            listen: late_response_wait,
+        });
+        if late_response_wait > ZERO_DURATION {
             return;
         }
         if let Some(call) = self.calls.remove(&id) {
--- a/crates/dependency/src/aggregator/fallback.rs
+++ b/crates/dependency/src/aggregator/fallback.rs
@@ -1,4 +1,4 @@
-//! Fallbacks: what a part takes when its dependency does not answer.
+//! Fallbacks: what a part uses when its dependency does not answer.
 use super::Aggregator;
 use crate::messages::{PartId, PartSource};
 use crate::plan::Fallback;
@@ -6,7 +6,7 @@
 use cottondyke_types::Time;
 
 impl Aggregator {
-    /// Goes on to the part's next fallbacks until one settles it or starts a step on another dependency.
+    /// Tries the part's remaining fallbacks in order until one settles the part or starts a step on another dependency.
     pub(super) fn fall_back(&mut self, now: Time, part: PartId) {
         while let Some(fallback) = self.next_fallback(part) {
             match fallback {
@@ -17,7 +17,7 @@
                     return self.settle_part(now, part, PartSource::Default, Some(body));
                 }
                 Fallback::Cached(max_age) => {
-                    if let Some(cached) = self.cached_answer(now, part, max_age) {
+                    if let Some(cached) = self.cached_response(now, part, max_age) {
                         let source = PartSource::Cached(cached.age);
                         return self.settle_part(now, part, source, Some(cached.body));
                     }
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Advances the part to its next step. Where no fallback is left, the part is omitted; `None` once its run has
-    /// ended.
+    /// Advances the part to its next step and returns that step's fallback: [`Fallback::Omit`] if none is left, `None`
+    /// if the run has ended.
     fn next_fallback(&mut self, part: PartId) -> Option<Fallback> {
         let run = self.runs.get_mut(&part.request)?;
         let step = &mut run.steps[part.index];
@@ -43,15 +43,17 @@
             .part(part.index)
             .fallbacks
             .get(number - 1)
-            .filter(|_| run.in_force.plan.safeguards.fallback);
+            .filter(|_| run.installed_plan.plan.safeguards.fallback);
         Some(fallback.cloned().unwrap_or(Fallback::Omit))
     }
 
-    fn cached_answer(&self, now: Time, part: PartId, max_age: Time) -> Option<CachedAnswer> {
+    fn cached_response(&self, now: Time, part: PartId, max_age: Time) -> Option<CachedAnswer> {
         let run = self.runs.get(&part.request)?;
         let dependency = run.part(part.index).dependency;
         let key = CacheKey {
-            dependency: run.in_force.plan.dependencies[dependency].name.clone(),
+            dependency: run.installed_plan.plan.dependencies[dependency]
+                .name
+                .clone(),
             tenant: run.request.tenant,
             request_body: run.request.body.clone(),
         };
--- a/crates/dependency/src/aggregator/mod.rs
+++ b/crates/dependency/src/aggregator/mod.rs
@@ -1,11 +1,11 @@
-//! Composes answers: one run for each request, with a current step for each of its parts.
+//! Composes responses: one run per request, with one current step per part.
 //!
-//! Every call ends once, by [`Aggregator::handle_call_result`] or by an [`Action::Abandon`] that does not listen; every
-//! run ends once, by [`Action::Completed`].
+//! Every call ends exactly once: by [`Aggregator::handle_call_result`], or by an [`Action::Abandon`] whose `listen` is
+//! zero. Every run ends exactly once, by [`Action::Completed`].
 //!
-//! This module holds the state and installs plans. Runs and their steps are in `run`, calls in `call`, the queues of the
-//! gates in `queue`, timers in `timers`, fallbacks in `fallback`, the usage of leased quotas in `usage`, and the check of
-//! the invariants in `audit`.
+//! This module holds the state and installs plans. Runs and their steps are in `run`, calls in `call`, the queues of
+//! the gates in `queue`, timers in `timers`, fallbacks in `fallback`, the usage of leased quotas in `usage`, and the
+//! invariant checks in `audit`.
 mod audit;
 mod call;
 mod fallback;
@@ -21,11 +21,11 @@
 use crate::plan::{Dependency, Plan};
 use crate::stale_cache::StaleCache;
 use cottondyke_types::{RequestId, Time};
-use state::{Call, GateId, PlanInForce, Run, Timer};
+use state::{Call, GateId, InstalledPlan, Run, Timer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Composes answers from the dependencies of a plan.
+/// Composes responses from the responses of a plan's dependencies.
 ///
 /// ```
 /// use cottondyke_dependency::{
@@ -78,40 +78,40 @@
 ///     panic!("one part makes one call");
 /// };
 ///
-/// let reply = CallResult::Success((*b"[3]").into());
-/// let actions = aggregator.handle_call_result(Time(100), call, reply);
+/// let response = CallResult::Success((*b"[3]").into());
+/// let actions = aggregator.handle_call_result(Time(100), call, response);
 /// let [Action::Completed { answer: AggregationResult::Parts(parts), .. }] = &actions[..] else {
-///     panic!("the only part is there");
+///     panic!("the run completes with its only part");
 /// };
 /// assert_eq!(parts[0].body.as_deref(), Some(&b"[3]"[..]));
 /// ```
 #[derive(Debug)]
 pub struct Aggregator {
-    in_force: Rc<PlanInForce>,
+    installed_plan: Rc<InstalledPlan>,
     gates: BTreeMap<GateId, DependencyGate>,
-    next_gate: usize,
+    next_gate_id: usize,
     runs: BTreeMap<RequestId, Run>,
     calls: BTreeMap<CallId, Call>,
-    last_call: u64,
+    last_call_id: u64,
     timers: BTreeSet<(Time, Timer)>,
     stale_cache: StaleCache,
-    /// While draining: when all runs must have ended.
+    /// When all runs must have ended; [`Time::MAX`] unless draining.
     drain_deadline: Time,
     random: fastrand::Rng,
-    /// Actions of the input being handled.
+    /// Actions that the current input has produced so far.
     actions: Vec<Action>,
 }
 
 impl Aggregator {
-    /// An aggregator without runs. `seed` determines the jitter of the circuit breakers.
+    /// Creates an aggregator without runs. `seed` determines the jitter of the circuit breakers.
     pub fn new(now: Time, plan: Plan, seed: u64, startup: Startup) -> Self {
         let mut aggregator = Aggregator {
-            in_force: Rc::default(),
+            installed_plan: Rc::default(),
             gates: BTreeMap::new(),
-            next_gate: 0,
+            next_gate_id: 0,
             runs: BTreeMap::new(),
             calls: BTreeMap::new(),
-            last_call: 0,
+            last_call_id: 0,
             timers: BTreeSet::new(),
             stale_cache: StaleCache::default(),
             drain_deadline: Time::MAX,
@@ -122,11 +122,11 @@
         aggregator
     }
 
-    /// Puts another plan in force for what starts from now on; runs end under the plan they began with. What was learned
-    /// of a dependency, and what is in flight there, is carried over by the dependency's name.
+    /// Installs another plan for runs that start from now on; open runs continue under the plan they started with. The
+    /// state of a gate (calls in flight, latency, limit, circuit breaker) is carried over by the dependency's name.
     pub fn install(&mut self, now: Time, plan: Plan) -> Vec<Action> {
         self.set_plan(now, plan, Startup::First);
-        for gate in &self.in_force.clone().gates {
+        for gate in &self.installed_plan.clone().gates {
             self.dispatch_waiting(now, *gate);
         }
         self.take_actions()
@@ -144,7 +144,7 @@
             0
         };
         self.stale_cache.set_capacity(cache_bytes);
-        self.in_force = Rc::new(PlanInForce { plan, gates });
+        self.installed_plan = Rc::new(InstalledPlan { plan, gates });
         self.remove_unused_gates(now);
     }
 
@@ -155,16 +155,16 @@
         plan: &Plan,
         startup: Startup,
     ) -> GateId {
-        let known = self
+        let existing = self
             .gates
             .iter_mut()
             .find(|(_, gate)| gate.spec.name == spec.name);
-        if let Some((id, gate)) = known {
+        if let Some((id, gate)) = existing {
             gate.reconfigure(now, spec.clone(), plan.safeguards);
             return *id;
         }
-        let id = GateId(self.next_gate);
-        self.next_gate += 1;
+        let id = GateId(self.next_gate_id);
+        self.next_gate_id += 1;
         let gate = DependencyGate::new(now, spec.clone(), plan.safeguards, startup);
         self.gates.insert(id, gate);
         self.schedule_release(now, id);
@@ -173,20 +173,20 @@
 
     fn remove_unused_gates(&mut self, now: Time) {
         let is_used = |id: &GateId| {
-            self.in_force.gates.contains(id)
+            self.installed_plan.gates.contains(id)
                 || self
                     .runs
                     .values()
-                    .any(|run| run.in_force.gates.contains(id))
+                    .any(|run| run.installed_plan.gates.contains(id))
         };
         self.gates.retain(|id, gate| {
             is_used(id) || gate.in_flight(now) > 0 || gate.recently_sent(now) > 0
         });
     }
 
-    /// The dependencies that the parts of an aggregation call first.
+    /// The primary dependencies of an aggregation's parts, by name.
     pub fn dependencies(&self, aggregation: usize) -> impl Iterator<Item = &str> {
-        let plan = &self.in_force.plan;
+        let plan = &self.installed_plan.plan;
         plan.aggregations
             .get(aggregation)
             .into_iter()
@@ -199,12 +199,12 @@
         self.runs.len()
     }
 
-    /// Bytes that cached answers take.
+    /// Bytes that cached responses take.
     pub fn cached_bytes(&self) -> usize {
         self.stale_cache.bytes()
     }
 
-    /// The gates of all dependencies, for the log to take their counters and changes.
+    /// The gates of all dependencies, mutable so that logging can take their counters and limit changes.
     pub fn gates(&mut self) -> impl Iterator<Item = &mut DependencyGate> {
         self.gates.values_mut()
     }
@@ -214,7 +214,7 @@
     }
 }
 
-fn gate_changed(gate: &DependencyGate, state: CircuitState) -> Action {
+fn circuit_change_action(gate: &DependencyGate, state: CircuitState) -> Action {
     Action::GateChanged {
         dependency: gate.spec.name.clone(),
         state,
--- a/crates/dependency/src/aggregator/queue.rs
+++ b/crates/dependency/src/aggregator/queue.rs
@@ -8,7 +8,7 @@
 use cottondyke_types::Time;
 
 impl Aggregator {
-    /// Issues the calls that wait at a gate, as far as it has capacity: hedges first, then the oldest part.
+    /// Issues the calls that wait at a gate while it has capacity: hedges first, then waiting parts, oldest first.
     pub(super) fn dispatch_waiting(&mut self, now: Time, gate_id: GateId) {
         while let Some(gate) = self.gates.get_mut(&gate_id) {
             let permit = gate.request_permit(now);
@@ -47,7 +47,7 @@
             .runs
             .get(&part.request)
             .map(|run| run.steps[part.index].deadline);
-        // A deadline that has passed: its timer has not fired yet.
+        // The deadline may have passed although its timer has not fired yet.
         if deadline.is_some_and(|deadline| deadline > now) {
             self.issue_first_call(now, part, kind);
         } else {
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Hedges a call that takes longer than nearly all; where the limit is reached, as soon as there is capacity: the
-    /// slow call is itself what uses it up, and has less time left than what waits.
+    /// Queues a hedge for a call that is slower than nearly all others; it is issued as soon as the gate has capacity.
+    /// Hedges precede waiting first calls: the slow call itself occupies a slot, and it has less time left than the
+    /// parts that wait.
     pub(super) fn queue_hedge(&mut self, now: Time, id: CallId) {
         let Some(call) = self.calls.get(&id).filter(|call| !call.is_abandoned) else {
             return;
@@ -69,7 +70,8 @@
         self.dispatch_waiting(now, gate_id);
     }
 
-    /// Issues a second call, where the first is still alone, there is time for it, and the retry budget pays.
+    /// Issues a second call if the first is still the only active one, enough time is left, and the retry budget allows
+    /// it.
     fn try_hedge(&mut self, now: Time, id: CallId) {
         let Some(call) = self.calls.get(&id).filter(|call| !call.is_abandoned) else {
             return;
@@ -91,14 +93,14 @@
         }
     }
 
-    /// Removes a part from the wait queue of a gate, where it is there.
-    pub(super) fn leave_wait_queue(&mut self, gate: GateId, part: PartId) {
+    /// Removes a part from the wait queue of a gate, if it is queued there.
+    pub(super) fn remove_from_wait_queue(&mut self, gate: GateId, part: PartId) {
         if let Some(gate) = self.gates.get_mut(&gate) {
             gate.wait_queue.retain(|waiting| *waiting != part);
         }
     }
 
-    /// Sets the timer for when the next call that nobody listens to ceases to count at a gate.
+    /// Sets the timer for the end of the next grace period or rate window, when a call stops counting at a gate.
     pub(super) fn schedule_release(&mut self, now: Time, gate_id: GateId) {
         let gate = self.gates.get(&gate_id);
         if let Some(at) = gate.and_then(|gate| gate.next_release(now)) {
--- a/crates/dependency/src/aggregator/run.rs
+++ b/crates/dependency/src/aggregator/run.rs
@@ -1,4 +1,4 @@
-//! The runs and the steps of their parts: from the start of a request to its one result.
+//! Runs and the steps of their parts, from the start of a request to its single result.
 use super::state::{Phase, Run, Step, StepId, Timer};
 use super::Aggregator;
 use crate::gate::Permit;
@@ -12,8 +12,8 @@
     /// Starts the aggregation of a request.
     pub fn start(&mut self, now: Time, request: AggregationRequest) -> Vec<Action> {
         let id = request.request;
-        let in_force = self.in_force.clone();
-        let Some(aggregation) = in_force.plan.aggregations.get(request.aggregation) else {
+        let installed_plan = self.installed_plan.clone();
+        let Some(aggregation) = installed_plan.plan.aggregations.get(request.aggregation) else {
             return vec![Action::Completed {
                 run: id,
                 answer: AggregationResult::Failed,
@@ -21,7 +21,7 @@
         };
         let first_step = |part: &PartSpec| Step {
             number: 0,
-            gate: in_force.gates[part.dependency],
+            gate: installed_plan.gates[part.dependency],
             deadline: now,
             attempts: 0,
             calls: Vec::new(),
@@ -29,7 +29,7 @@
         };
         let run = Run {
             request,
-            in_force: in_force.clone(),
+            installed_plan: installed_plan.clone(),
             steps: aggregation.parts.iter().map(first_step).collect(),
         };
         self.runs.insert(id, run);
@@ -43,13 +43,13 @@
         self.take_actions()
     }
 
-    /// Ends a run at once; its active calls are abandoned.
+    /// Cancels a run; its active calls are abandoned at once.
     pub fn cancel(&mut self, now: Time, request: RequestId) -> Vec<Action> {
         self.complete(now, request, AggregationResult::Cancelled);
         self.take_actions()
     }
 
-    /// From now on everything must be answered by `deadline`: current steps are shortened to it.
+    /// Requires all runs to end by `deadline`; current steps that end later are shortened to it.
     pub fn start_draining(&mut self, deadline: Time) {
         self.drain_deadline = deadline;
         for (request, run) in &mut self.runs {
@@ -69,9 +69,10 @@
         }
     }
 
-    /// The deadline of a step on the dependency at this index of the plan: its own time budget, or what is left to the
-    /// response target (to the request's deadline once the target has passed), whichever is less. Where fallbacks on
-    /// other dependencies follow, the time left is divided in proportion to the budgets.
+    /// The deadline of a step on the dependency at this index of the plan: its time budget, or the time left until the
+    /// response target (until the request's deadline once the target has passed), whichever is less. If fallbacks to
+    /// other dependencies follow and the time left is less than the sum of all these budgets, it is divided in
+    /// proportion to them.
     fn step_deadline(
         &self,
         now: Time,
@@ -80,7 +81,7 @@
         step: usize,
         dependency: usize,
     ) -> Time {
-        let plan = &run.in_force.plan;
+        let plan = &run.installed_plan.plan;
         let latest = run.request.deadline.min(self.drain_deadline) - RESERVE;
         if !plan.safeguards.time_budget {
             return latest;
@@ -112,16 +113,16 @@
         }
     }
 
-    /// Starts the part's current step on a dependency: with a call, or with a place in the wait queue of its gate. False
-    /// where neither can be had.
+    /// Starts the part's current step on a dependency, with a call or with a place in the wait queue of its gate.
+    /// Returns false if neither is possible.
     pub(super) fn try_start_step(&mut self, now: Time, part: PartId, dependency: usize) -> bool {
         let Some(run) = self.runs.get(&part.request) else {
             return false;
         };
-        let in_force = run.in_force.clone();
+        let installed_plan = run.installed_plan.clone();
         let number = run.steps[part.index].number;
         let deadline = self.step_deadline(now, run, run.part(part.index), number, dependency);
-        let gate_id = in_force.gates[dependency];
+        let gate_id = installed_plan.gates[dependency];
         let step_id = StepId { part, number };
         let Some(gate) = self.gates.get_mut(&gate_id) else {
             return false;
@@ -136,7 +137,7 @@
                 gate.counters.circuit_open += 1;
                 return false;
             }
-            // A part that cannot be answered in the time that would be left is better off with its fallback.
+            // A part falls back at once if waiting would leave too little time for a response.
             Permit::LimitReached
                 if gate.wait_queue.len() >= gate.spec.max_waiting || last_start <= now =>
             {
@@ -165,7 +166,7 @@
         true
     }
 
-    /// Gives a part its source and body; calls that are still active are no longer needed.
+    /// Sets the source and body of a part and abandons its calls that are still active.
     pub(super) fn settle_part(
         &mut self,
         now: Time,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Ends a run once all its parts are settled, or a required one is missing.
+    /// Ends a run if all its parts are settled or a required one is missing.
     pub(super) fn complete_if_settled(&mut self, now: Time, request: RequestId) {
         let Some(run) = self.runs.get(&request) else {
             return;
@@ -195,17 +196,17 @@
         }
     }
 
-    fn complete(&mut self, now: Time, request: RequestId, answer: AggregationResult) {
+    fn complete(&mut self, now: Time, request: RequestId, result: AggregationResult) {
         let Some(run) = self.runs.remove(&request) else {
             return;
         };
-        let is_cancelled = answer == AggregationResult::Cancelled;
+        let is_cancelled = result == AggregationResult::Cancelled;
         self.actions.push(Action::Completed {
             run: request,
-            answer,
+            answer: result,
         });
         for (index, step) in run.steps.iter().enumerate() {
-            self.leave_wait_queue(step.gate, PartId { request, index });
+            self.remove_from_wait_queue(step.gate, PartId { request, index });
             for call in &step.calls {
                 if is_cancelled {
                     self.abandon_at_once(now, *call);
--- a/crates/dependency/src/aggregator/state.rs
+++ b/crates/dependency/src/aggregator/state.rs
@@ -1,4 +1,4 @@
-//! What the aggregator holds of each aggregation, step and call.
+//! The aggregator's state per run, step and call, and its timers.
 use crate::circuit_breaker::CallKind;
 use crate::lease::SendTimestamp;
 use crate::messages::{AggregationRequest, CallId, PartId, PartResult, PartSource};
@@ -6,18 +6,18 @@
 use cottondyke_types::Time;
 use std::rc::Rc;
 
-/// Names the gate of one dependency; never used again once the gate is gone.
+/// Identifies the gate of one dependency; never reused after the gate is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GateId(pub(super) usize);
 
-/// A plan, and the gates of its dependencies in the plan's order.
+/// A plan and the gates of its dependencies, in the plan's order.
 #[derive(Debug, Default)]
-pub(super) struct PlanInForce {
+pub(super) struct InstalledPlan {
     pub(super) plan: Plan,
     pub(super) gates: Vec<GateId>,
 }
 
-impl PlanInForce {
+impl InstalledPlan {
     /// Index in the plan of the dependency behind a gate.
     pub(super) fn dependency_index(&self, gate: GateId) -> Option<usize> {
         self.gates.iter().position(|other| *other == gate)
@@ -35,23 +35,23 @@
 pub(super) enum Phase {
     /// In the wait queue of its gate.
     Waiting,
-    /// A call is active, or two.
+    /// One or two calls are active.
     Calling,
-    /// The part has its source, and its body unless it is missing.
+    /// The source of the part is decided; it has a body unless it is missing.
     Settled(PartSource, Option<Rc<[u8]>>),
 }
 
-/// What a part is doing: its dependency is the first step, and each fallback is one more.
+/// The current step of a part: the first step is its own dependency, and each fallback is a further step.
 #[derive(Debug)]
 pub(super) struct Step {
-    /// 0 for the part's own dependency, then one for each fallback.
+    /// 0 for the part's own dependency, then incremented for each fallback.
     pub(super) number: usize,
     pub(super) gate: GateId,
-    /// When the step must have an answer.
+    /// When the step must have a response.
     pub(super) deadline: Time,
-    /// Calls made by this step.
+    /// Number of calls that this step has made.
     pub(super) attempts: u32,
-    /// Calls that the step waits for.
+    /// Active calls whose results the step waits for.
     pub(super) calls: Vec<CallId>,
     pub(super) phase: Phase,
 }
@@ -62,26 +62,26 @@
     }
 }
 
-/// Names a step; a timer set for an earlier step of the part is thereby recognized.
+/// Identifies a step, so that timers set for an earlier step of the part can be recognized and ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct StepId {
     pub(super) part: PartId,
     pub(super) number: usize,
 }
 
-/// An aggregation that is running.
+/// A running aggregation.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) request: AggregationRequest,
-    /// The plan that it began under, and ends under.
-    pub(super) in_force: Rc<PlanInForce>,
+    /// The plan that was installed when the run started; it applies until the run ends.
+    pub(super) installed_plan: Rc<InstalledPlan>,
     /// The current step of each part.
     pub(super) steps: Vec<Step>,
 }
 
 impl Run {
     fn aggregation(&self) -> &Aggregation {
-        &self.in_force.plan.aggregations[self.request.aggregation]
+        &self.installed_plan.plan.aggregations[self.request.aggregation]
     }
 
     /// The configuration of one part.
@@ -89,9 +89,9 @@
         &self.aggregation().parts[index]
     }
 
-    /// Whether a part without which the aggregation fails is missing.
+    /// Whether a part is missing that the aggregation requires. With fallbacks disabled, all parts are required.
     pub(super) fn lacks_required_part(&self) -> bool {
-        let all_required = !self.in_force.plan.safeguards.fallback;
+        let all_required = !self.installed_plan.plan.safeguards.fallback;
         self.aggregation()
             .parts
             .iter()
@@ -102,7 +102,7 @@
             })
     }
 
-    /// All parts, once each is settled.
+    /// The results of all parts, or `None` while any part is not settled.
     pub(super) fn settled_parts(&self) -> Option<Vec<PartResult>> {
         self.aggregation()
             .parts
@@ -123,37 +123,37 @@
     fn is_json(&self, part: &PartSpec, source: &PartSource) -> bool {
         match source {
             PartSource::Secondary(name) => self
-                .in_force
+                .installed_plan
                 .dependency_named(name)
                 .is_some_and(|dependency| dependency.json),
-            _ => self.in_force.plan.dependencies[part.dependency].json,
+            _ => self.installed_plan.plan.dependencies[part.dependency].json,
         }
     }
 }
 
-/// A call whose end has not been reported.
+/// A call whose result has not been reported.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) part: PartId,
     pub(super) gate: GateId,
     pub(super) issued_at: Time,
-    /// How long its step would wait for it.
+    /// The time left until its step's deadline when it was issued.
     pub(super) timeout: Time,
     pub(super) kind: CallKind,
     pub(super) timestamp: Rc<SendTimestamp>,
-    /// Its part no longer waits for it, and the gate has learned from that.
+    /// Whether its part no longer waits for it; the gate has then already observed its end.
     pub(super) is_abandoned: bool,
 }
 
-/// What is due at a time. Timers are not removed when they become pointless, but ignored when they fire.
+/// What is due at a time. Obsolete timers are not removed but ignored when they fire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The step's deadline.
+    /// The step's deadline is reached.
     StepDeadline(StepId),
-    /// From now on the step could not be answered in the time left if it still waits for its first call.
+    /// If the step still waits for its first call, the time left is too short for a response.
     WaitDeadline(StepId),
-    /// The call is hedged if it is still active.
+    /// If the call is still active, it is hedged.
     Hedge(CallId),
-    /// A call that nobody listens to ceases to count at the gate.
+    /// A grace period or rate window ends, so that a call stops counting at the gate.
     Release(GateId),
 }
--- a/crates/dependency/src/aggregator/timers.rs
+++ b/crates/dependency/src/aggregator/timers.rs
@@ -1,13 +1,13 @@
-//! Timers: deadlines of steps, and what falls due at the gates.
+//! Timers: deadlines of steps, hedges, and the release of calls at the gates.
 use super::state::{Phase, Step, StepId, Timer};
 use super::Aggregator;
 use crate::gate::CallSignal;
 use crate::messages::{Action, CallId};
 use cottondyke_types::Time;
 
-/// Fraction of its timeout for which a call that timed out is still listened to: most late answers come then, free their
-/// place at once, and teach their latency.
-const LISTEN_RATIO: f64 = 0.5;
+/// How long the driver keeps waiting for the response of a call that timed out, as a fraction of its timeout: most
+/// late responses arrive within this time, and each frees its slot at once and adds a latency sample.
+const LATE_RESPONSE_WAIT_RATIO: f64 = 0.5;
 
 impl Aggregator {
     /// When [`handle_timer`](Self::handle_timer) is to be called next.
@@ -15,7 +15,7 @@
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Does what is due at `now`.
+    /// Handles all timers that are due at `now`.
     pub fn handle_timer(&mut self, now: Time) -> Vec<Action> {
         while let Some((_, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.pop_first();
@@ -34,7 +34,8 @@
         (step.number == id.number).then_some(step)
     }
 
-    /// The deadline of a step has come: what waits leaves the queue, what is active is listened to a little longer.
+    /// Handles a step's deadline: a waiting part leaves the queue, active calls time out (late responses are still
+    /// awaited for a while), and the part falls back.
     fn expire_step(&mut self, now: Time, id: StepId) {
         let Some(step) = self.current_step(id) else {
             return;
@@ -46,13 +47,13 @@
         for call in step.calls.clone() {
             self.time_out_call(now, call);
         }
-        self.leave_wait_queue(gate, id.part);
+        self.remove_from_wait_queue(gate, id.part);
         self.fall_back(now, id.part);
         self.complete_if_settled(now, id.part.request);
         self.dispatch_waiting(now, gate);
     }
 
-    /// A step that still waits could not be answered any more in the time left.
+    /// Handles a wait deadline: a step that still waits has too little time left for a response and falls back.
     fn expire_wait(&mut self, now: Time, id: StepId) {
         let Some(step) = self.current_step(id) else {
             return;
@@ -64,7 +65,7 @@
         if let Some(gate) = self.gates.get_mut(&gate_id) {
             gate.counters.limit_reached += 1;
         }
-        self.leave_wait_queue(gate_id, id.part);
+        self.remove_from_wait_queue(gate_id, id.part);
         self.fall_back(now, id.part);
         self.complete_if_settled(now, id.part.request);
     }
@@ -81,6 +82,6 @@
                 signal = CallSignal::Overload;
             }
         }
-        self.abandon(now, id, signal, timeout.scaled(LISTEN_RATIO));
+        self.abandon(now, id, signal, timeout.scaled(LATE_RESPONSE_WAIT_RATIO));
     }
 }
--- a/crates/dependency/src/aggregator/usage.rs
+++ b/crates/dependency/src/aggregator/usage.rs
@@ -1,4 +1,4 @@
-//! The usage of leased quotas, from which the lease manager learns how much to ask for.
+//! The usage of leased quotas, from which the lease manager derives how many units to request.
 use super::state::GateId;
 use super::Aggregator;
 use crate::gate::DependencyGate;
@@ -25,8 +25,8 @@
 }
 
 impl Aggregator {
-    /// Takes up changes of the leased quotas: what waits is issued as far as there is capacity now. Returns also the
-    /// usage of each leased quota afterwards.
+    /// Applies changes of the leased quotas and issues waiting calls while there is capacity. Also returns the usage of
+    /// each leased quota afterwards.
     pub fn poll_usage(&mut self, now: Time) -> (Vec<Action>, Vec<DependencyUsage>) {
         let leased: Vec<GateId> = self
             .gates
--- a/crates/dependency/src/error.rs
+++ b/crates/dependency/src/error.rs
@@ -1,5 +1,5 @@
-//! What [`Aggregator::audit`](crate::Aggregator::audit) can find violated. None of these occurs unless this package is
-//! faulty.
+//! The invariant violations that [`Aggregator::audit`](crate::Aggregator::audit) can detect. Each of them indicates a
+//! bug in this package.
 use crate::messages::PartId;
 use cottondyke_types::{RequestId, Time};
 use std::rc::Rc;
@@ -7,9 +7,9 @@
 /// An invariant of the aggregator that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// A gate counts another number of active calls than there are.
-    #[error("{dependency}: {actual} calls, {counted} counted")]
-    ActiveCalls {
+    /// The number of active calls that a gate counts differs from the actual one.
+    #[error("{dependency}: gate counts {counted} active calls, expected {actual}")]
+    ActiveCallCountMismatch {
         /// The dependency's name.
         dependency: Rc<str>,
         /// Active calls to it.
@@ -17,57 +17,57 @@
         /// Calls that the gate counts.
         counted: usize,
     },
-    /// More parts wait at a gate than may.
-    #[error("{dependency}: {waiting} wait")]
+    /// The wait queue of a gate holds more parts than it may.
+    #[error("{dependency}: too many parts in the wait queue: {waiting}")]
     TooManyWaiting {
         /// The dependency's name.
         dependency: Rc<str>,
-        /// Parts that wait.
+        /// Parts in the wait queue.
         waiting: usize,
     },
     /// A hedge is queued for a call that is no longer active.
-    #[error("{dependency}: a second call waits for one that is not out")]
-    HedgeWithoutCall {
+    #[error("{dependency}: a hedge is queued for a call that is not active")]
+    HedgeWithoutActiveCall {
         /// The dependency's name.
         dependency: Rc<str>,
     },
-    /// A part is in the wait queue of a gate and its step does not wait there.
-    #[error("{dependency}: what waits there does not")]
+    /// A part is in the wait queue of a gate, but its current step is not waiting at that gate.
+    #[error("{dependency}: a part in the wait queue has a step that is not waiting at this gate")]
     QueuedPartNotWaiting {
         /// The dependency's name.
         dependency: Rc<str>,
     },
     /// The phase of a step and its calls do not agree.
-    #[error("run {:?}, part {}: {step}", .part.request, .part.index)]
+    #[error("run {:?}, part {}: step phase and calls do not agree: {step}", .part.request, .part.index)]
     InconsistentStep {
         /// The part.
         part: PartId,
         /// The step's state, for debugging.
         step: String,
     },
-    /// The deadline of an open step has passed, or lies after that of its run.
-    #[error("run {:?}, part {}: its step ends {deadline:?}", .part.request, .part.index)]
-    StepDeadline {
+    /// The deadline of an unsettled step has passed, or is later than that of its run.
+    #[error("run {:?}, part {}: step deadline out of range: {deadline:?}", .part.request, .part.index)]
+    StepDeadlineOutOfRange {
         /// The part.
         part: PartId,
         /// The deadline of its step.
         deadline: Time,
     },
-    /// No timer is set for the deadline of an open step.
-    #[error("run {:?}, part {}: no timer", .part.request, .part.index)]
-    MissingTimer {
+    /// No timer is set for the deadline of an unsettled step.
+    #[error("run {:?}, part {}: no timer set for the step deadline", .part.request, .part.index)]
+    MissingDeadlineTimer {
         /// The part.
         part: PartId,
     },
-    /// All parts of a run are settled, and it has not ended.
-    #[error("run {request:?} has nothing open and has not ended")]
-    NotCompleted {
-        /// The request that it answers.
+    /// All parts of a run are settled, but the run has not ended.
+    #[error("run {request:?}: all parts are settled, but the run has not ended")]
+    RunNotCompleted {
+        /// The request that the run answers.
         request: RequestId,
     },
-    /// The cache counts another number of bytes than its entries take.
-    #[error("{actual} bytes kept, {counted} counted")]
-    CacheBytes {
+    /// The number of bytes that the stale cache counts differs from what its entries take.
+    #[error("stale cache counts {counted} bytes, expected {actual}")]
+    CacheSizeMismatch {
         /// Bytes that the entries take.
         actual: usize,
         /// Bytes that the cache counts.
--- a/crates/dependency/src/lease.rs
+++ b/crates/dependency/src/lease.rs
@@ -1,19 +1,19 @@
-//! What bounds the calls of this instance in time: quotas that are leased and may change or end at any moment, and the
-//! send timestamps by which calls are counted against a rate.
+//! Leased quotas, which may change or expire at any moment, and the send timestamps by which calls are counted against
+//! a rate.
 use cottondyke_types::Time;
 use std::cell::Cell;
 
-/// How long a call counts against a rate, from when it was sent: one second, and the time that the network may take
-/// longer for one call than for another.
+/// How long a call counts against a rate after it was sent: one second, plus an allowance for variation in network
+/// delay between calls.
 pub const RATE_WINDOW: Time = Time(12_500);
 
-/// A leased quota, which may change or end at any moment. Its owner sets it with [`renew`](Self::renew); the gate reads
-/// it again before each call.
+/// A leased quota, which may change or expire at any moment. Its owner sets it with [`renew`](Self::renew); the gate
+/// reads it before each call.
 #[derive(Debug)]
 pub struct LeasedQuota {
     units: Cell<usize>,
     expires_at: Cell<Time>,
-    /// Grows when an expired lease is renewed: others may have had its units in the meantime.
+    /// Incremented when an expired lease is renewed: other instances may have held its units in the meantime.
     term: Cell<u32>,
 }
 
@@ -71,8 +71,8 @@
     pub rate: u32,
 }
 
-/// When a call was sent. Until its first byte goes out, a call that was issued counts against the rate without end:
-/// connecting may take long, and so may a stop of the process.
+/// When a call was sent. An issued call counts against the rate until its first byte is sent, however long that takes:
+/// connecting may be slow, and the process may be suspended.
 #[derive(Debug)]
 pub struct SendTimestamp {
     sent_at: Cell<Time>,
@@ -80,7 +80,7 @@
 }
 
 impl SendTimestamp {
-    /// The timestamp of a call that is issued under these lease terms and not sent yet.
+    /// Creates the timestamp of a call that was issued under these lease terms and not sent yet.
     pub fn new(terms: LeaseTerms) -> Self {
         SendTimestamp {
             sent_at: Cell::new(Time::MAX),
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Records that the first byte of the call goes out now.
+    /// Records that the first byte of the call is sent now.
     pub fn record_send(&self, now: Time) {
         self.sent_at.set(now);
     }
 
-    /// Records that the call has ended; if it was never sent, it counts no longer.
+    /// Records that the call has ended; a call that was never sent no longer counts against the rate.
     pub fn finish(&self) {
         if self.sent_at.get() == Time::MAX {
             self.sent_at.set(Time(i64::MIN / 4));
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -1,11 +1,12 @@
-//! Answers composed from several services, with fallbacks: decided without I/O, clock or randomness of its own. Time and
-//! seed are arguments, inputs are method calls on [`Aggregator`], outputs are [`Action`]s that a driver carries out.
+//! Composes one response from the responses of several services, with fallbacks. The package does no I/O and has no
+//! clock or randomness of its own: the time and a seed are arguments, inputs are method calls on [`Aggregator`], and
+//! outputs are [`Action`]s that a driver carries out.
 //!
-//! An aggregation has parts. A part calls its dependency within a time budget and, if that brings no answer, tries its
-//! fallbacks in turn. Between parts and a dependency stands its [`gate::DependencyGate`]: an adaptive concurrency limit, a
-//! circuit breaker, the observed latency, and the retry budget that pays for hedges and retries.
+//! An aggregation has parts. Each part calls its dependency within a time budget and, if that yields no response, tries
+//! its fallbacks in order. All calls to a dependency pass through its [`gate::DependencyGate`], which holds an adaptive
+//! concurrency limit, a circuit breaker, latency statistics, and the retry budget that hedges and retries draw on.
 //!
-//! The options that were weighed are in `docs/dependencies.md`.
+//! The alternatives that were considered are described in `docs/dependencies.md`.
 
 pub mod aggregator;
 pub mod circuit_breaker;
--- a/crates/dependency/src/messages.rs
+++ b/crates/dependency/src/messages.rs
@@ -1,15 +1,15 @@
-//! What goes into and comes out of the [`Aggregator`](crate::Aggregator): ids, inputs, results and actions.
+//! The inputs and outputs of the [`Aggregator`](crate::Aggregator): ids, requests, results and actions.
 use crate::circuit_breaker::CircuitState;
 use crate::lease::SendTimestamp;
 use crate::plan::Dependency;
 use cottondyke_types::{RequestId, TenantId, Time};
 use std::rc::Rc;
 
-/// Names one call to a dependency; never used twice by an aggregator.
+/// Identifies one call to a dependency; an aggregator never reuses an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Names one part of an aggregation that is running.
+/// Identifies one part of a running aggregation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartId {
     /// The request that the aggregation answers.
@@ -21,68 +21,69 @@
 /// Whether this instance ran before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// No previous incarnation can have left calls at the dependencies.
+    /// No previous incarnation can have left calls running at the dependencies.
     First,
     /// A previous incarnation of this instance may have left calls running at the dependencies.
     Restarted,
 }
 
-/// A request that is to be answered by an aggregation.
+/// A request to be answered by an aggregation.
 #[derive(Clone, Debug)]
 pub struct AggregationRequest {
-    /// The request's id, under which the aggregation runs.
+    /// The request's id, which also identifies the run.
     pub request: RequestId,
     /// Index of the aggregation in the plan.
     pub aggregation: usize,
-    /// The body, sent on to each dependency.
+    /// The request body, sent to each dependency.
     pub body: Rc<[u8]>,
-    /// The tenant that asked; tenants never share cached answers.
+    /// The tenant that sent the request; cached responses are never shared between tenants.
     pub tenant: Option<TenantId>,
-    /// When the answer should be ready: the response target.
+    /// The response target: when the response should be ready.
     pub target: Time,
-    /// When the answer must be ready.
+    /// When the response must be ready.
     pub deadline: Time,
-    /// Whether its calls may be made again although they may have run.
+    /// Whether its calls may be repeated even though an earlier attempt may have been executed.
     pub may_repeat: bool,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResult {
-    /// A valid reply with this body.
+    /// A valid response with this body.
     Success(Rc<[u8]>),
-    /// Ended with an error or an invalid reply; it may have had its effect and is no longer running.
+    /// Ended with an error or an invalid response; it may have taken effect and is no longer running.
     Failure,
     /// The dependency refused this request as invalid, which says nothing about its health.
     InvalidRequest,
-    /// Known not to have run.
+    /// Known not to have been executed.
     Rejected,
-    /// It may have run and may still be running.
+    /// It may have been executed and may still be running.
     TimedOut,
-    /// Its connection broke once it was sent: it may have run and may still be running.
+    /// Its connection broke after it was sent: it may have been executed and may still be running.
     Interrupted,
-    /// A reused connection broke before any reply; mostly it was closed already, and nothing ran.
+    /// A reused connection broke before any response arrived; usually the peer had already closed it, and nothing was
+    /// executed.
     StaleConnection,
-    /// Known not to have run: the lease that it was issued under expired before it was sent.
+    /// Known not to have been executed: the lease under which it was issued expired before it was sent.
     LeaseExpired,
 }
 
-/// Where a part of an answer comes from.
+/// Where the body of a part comes from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PartSource {
     /// The part's own dependency.
     Primary,
-    /// An earlier answer of this age.
+    /// A cached response of this age.
     Cached(Time),
     /// The dependency of this name, as a fallback.
     Secondary(Rc<str>),
     /// The fixed body that the operator set.
     Default,
-    /// Nowhere: the part is missing.
+    /// No source had a body: the part is missing.
     Missing,
 }
 
-/// One part of an answer.
+/// One part of a composed response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartResult {
     /// The part's name.
@@ -98,7 +99,7 @@
 /// How an aggregation ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AggregationResult {
-    /// Every required part is there.
+    /// All parts; no required part is missing.
     Parts(Vec<PartResult>),
     /// A required part is missing.
     Failed,
@@ -106,31 +107,32 @@
     Cancelled,
 }
 
-/// What the driver must do after an input, in this order.
+/// What the driver must do after an input. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Make a call.
     Call {
-        /// The id to report its result under.
+        /// The id under which its result is reported.
         call: CallId,
-        /// The request that it is made for.
+        /// The request for which it is made.
         run: RequestId,
         /// The dependency to call.
         to: Rc<Dependency>,
         /// The body to send.
         body: Rc<[u8]>,
-        /// How long the caller will wait for the reply.
+        /// How long the caller will wait for the response.
         within: Time,
         /// Whether a pooled connection may be used; otherwise the call gets a connection of its own.
         reuse: bool,
-        /// To be set when its first byte goes out.
+        /// Where the driver records the time at which the first byte of the call is sent.
         stamp: Rc<SendTimestamp>,
     },
     /// Stop waiting for a call.
     Abandon {
         /// The call.
         call: CallId,
-        /// Go on listening for so long and report its result. If this is zero, close its connection and report nothing.
+        /// How long to keep waiting for its response: its result is reported when it ends, or as
+        /// [`CallResult::TimedOut`] after this time. If zero, its connection is closed and no result is reported.
         listen: Time,
     },
     /// An aggregation has ended.
@@ -160,12 +162,12 @@
     Rate,
 }
 
-/// How much of a leased quota of a dependency is used, and how much could be.
+/// Usage of a leased quota of a dependency, and the demand for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DependencyUsage {
     /// The dependency's name.
     pub dependency: Rc<str>,
-    /// Which of its quotas this is about.
+    /// Which of the dependency's quotas this describes.
     pub quota: QuotaKind,
     /// Units in use.
     pub in_flight: usize,
--- a/crates/dependency/src/plan.rs
+++ b/crates/dependency/src/plan.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Part of the time left that is set aside for composing the answer and sending it.
+/// Time reserved before a run's deadline or response target for composing the response and sending it.
 pub const RESERVE: Time = Time(100);
 
 /// A service that answers parts of aggregations.
@@ -14,41 +14,42 @@
     pub name: Rc<str>,
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Path of the calls, which are POSTs of the request's body.
+    /// Path of the calls, which are POST requests with the body of the aggregation's request.
     pub path: Rc<str>,
-    /// Whether replies must be JSON; any other reply counts as a failure.
+    /// Whether responses must be JSON; any other response counts as a failure.
     pub json: bool,
-    /// The longest that one step of a part may wait for it.
+    /// The longest time that one step of a part may wait for it.
     pub time_budget: Time,
-    /// Calls that this instance may have in flight there, including abandoned calls that may still be running.
-    /// At least 1.
+    /// Maximum number of calls of this instance that may be in flight, including abandoned calls that may still be
+    /// running. At least 1.
     pub max_calls: usize,
-    /// The lease that bounds calls in flight within `max_calls`, where the quota is leased and not fixed.
+    /// The lease that bounds calls in flight within `max_calls`; `None` if the quota is fixed.
     pub leased_calls: Option<Rc<LeasedQuota>>,
-    /// Calls that this instance may send in any second; `None` for no limit.
+    /// Maximum number of calls that this instance may send in any second; `None` for no limit.
     pub max_rate: Option<usize>,
-    /// The lease that bounds the rate within `max_rate`, where the quota is leased and not fixed.
+    /// The lease that bounds the rate within `max_rate`; `None` if the rate is fixed or unlimited.
     pub leased_rate: Option<Rc<LeasedQuota>>,
     /// The adaptive limit never falls below this number of calls; at most `max_calls`.
     pub min_limit: usize,
-    /// How long an abandoned call may go on running at the dependency.
+    /// How long an abandoned call may continue to run at the dependency.
     pub post_cancel_grace: Time,
-    /// Parts that may wait for a free call.
+    /// Maximum number of parts in the wait queue for a call.
     pub max_waiting: usize,
-    /// Extra calls (hedges and retries) as a fraction of first calls.
+    /// Maximum number of extra calls (hedges and retries), as a fraction of first calls.
     pub retry_ratio: f64,
     /// The quantile of observed latency after which a call is hedged; `None` for no hedging.
     pub hedge_quantile: Option<f64>,
 }
 
 impl Dependency {
-    /// The timestamp of a call that is issued now, under the current terms of its leases.
+    /// Creates the timestamp of a call that is issued now, under the current terms of the dependency's leases.
     pub fn issue_timestamp(&self) -> SendTimestamp {
         SendTimestamp::new(self.lease_terms())
     }
 
-    /// Whether an issued call may be sent now: its leases are valid and have been ever since. A process may be stopped
-    /// in between, and have a new lease when it continues, smaller than what it issued under the old one.
+    /// Whether an issued call may be sent now: its leases are valid and have been valid without a gap since it was
+    /// issued. The process may have been suspended in between and have resumed with a new lease of fewer units than the
+    /// calls it issued under the old one.
     pub fn may_send(&self, timestamp: &SendTimestamp, now: Time) -> bool {
         let is_valid = |lease: &Option<Rc<LeasedQuota>>| {
             lease.as_ref().is_none_or(|lease| lease.is_valid(now))
@@ -67,10 +68,10 @@
     }
 }
 
-/// What a part takes when its dependency does not answer.
+/// What a part uses when its dependency does not answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fallback {
-    /// An earlier complete answer to the same request, no older than this.
+    /// A cached complete response to the same request, no older than this.
     Cached(Time),
     /// The dependency at this index of the plan.
     Secondary(usize),
@@ -83,42 +84,43 @@
 /// One part of an aggregation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
-    /// Its name in the answer.
+    /// Its name in the composed response.
     pub name: Rc<str>,
     /// Index of its dependency in the plan.
     pub dependency: usize,
     /// Whether the aggregation fails without it; a required part has no fallbacks.
     pub required: bool,
-    /// What to try in turn when the dependency does not answer.
+    /// Fallbacks to try in order when the dependency does not answer.
     pub fallbacks: Vec<Fallback>,
 }
 
-/// An answer composed of parts.
+/// A response composed of parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Aggregation {
-    /// Its parts, in the order of the answer.
+    /// Its parts, in the order of the composed response.
     pub parts: Vec<PartSpec>,
 }
 
-/// Safeguards that can be switched off one by one to show what each is for. All are on, except in experiments.
+/// Safeguards that can be disabled one by one to measure the effect of each. All are enabled, except in experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// Time budgets; without them a part waits until the request's deadline.
     pub time_budget: bool,
-    /// Any limit on calls in flight.
+    /// The limit on calls in flight.
     pub limit: bool,
-    /// The adaptation of the limit; without it the limit stays at `max_calls`.
+    /// Adaptation of the limit on calls in flight; without it the limit stays at `max_calls`.
     pub adapt: bool,
     /// The circuit breaker.
     pub breaker: bool,
     /// Hedging.
     pub hedge: bool,
-    /// The cache of earlier answers.
+    /// The cache of earlier responses.
     pub stale_cache: bool,
-    /// Fallbacks of any kind; without them a part that fails is missing and its aggregation fails.
+    /// Fallbacks of any kind; without them a part whose dependency does not answer is missing, and its aggregation
+    /// fails.
     pub fallback: bool,
-    /// Counting what a previous incarnation may have left running as in flight; without it a restarted instance makes
-    /// calls at once.
+    /// Counting the calls that a previous incarnation may have left running as in flight; without it a restarted
+    /// instance makes calls at once.
     pub restart: bool,
 }
 
@@ -137,21 +139,21 @@
     }
 }
 
-/// All dependencies and aggregations, as one version of the operator's file has them.
+/// All dependencies and aggregations of one version of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The dependencies; other fields refer to them by index.
+    /// The dependencies; the aggregations refer to them by index.
     pub dependencies: Vec<Rc<Dependency>>,
     /// The aggregations; a request refers to one by index.
     pub aggregations: Vec<Aggregation>,
-    /// Capacity of the cache of earlier answers in bytes, keys included.
+    /// Capacity of the cache of earlier responses in bytes, keys included.
     pub stale_cache_bytes: usize,
-    /// Which safeguards are on.
+    /// Which safeguards are enabled.
     pub safeguards: Safeguards,
 }
 
 impl Plan {
-    /// Whether any aggregation falls back on cached answers of this dependency.
+    /// Whether any aggregation falls back to cached responses of this dependency.
     pub fn uses_stale_cache(&self, dependency: usize) -> bool {
         let is_cached = |fallback: &Fallback| matches!(fallback, Fallback::Cached(_));
         self.aggregations
@@ -160,8 +162,8 @@
             .any(|part| part.dependency == dependency && part.fallbacks.iter().any(is_cached))
     }
 
-    /// The longest that a part may take without any queueing: the time budgets of its dependency and of the
-    /// dependencies that it falls back on.
+    /// The longest time that a part may take without any queueing: the sum of the time budgets of its dependency and of
+    /// the dependencies that it falls back to.
     pub fn worst_case(&self, part: &PartSpec) -> Time {
         let secondaries = part.fallbacks.iter().filter_map(|fallback| match fallback {
             Fallback::Secondary(dependency) => Some(*dependency),
--- a/crates/dependency/tests/leased_quota.rs
+++ b/crates/dependency/tests/leased_quota.rs
@@ -1,11 +1,11 @@
-//! Leased quotas between the issue of a call and its sending.
+//! Leased quotas that expire between the issue of a call and its sending.
 
 use cottondyke_dependency::{Dependency, LeasedQuota};
 use cottondyke_types::Time;
 use std::rc::Rc;
 
-/// Guards the ceiling: a process is stopped between issuing a call and sending it, and continues with a lease that is
-/// valid again, and smaller: the calls that the old lease allowed are not sent under the new one.
+/// Guards against exceeding a leased quota: a process that is suspended between issuing a call and sending it may
+/// resume with a renewed lease of fewer units. Calls that were issued under the expired lease must not be sent then.
 #[test]
 fn refuses_to_send_a_call_issued_under_an_expired_lease_when_the_lease_is_renewed() {
     let lease = Rc::new(LeasedQuota::default());
@@ -31,7 +31,7 @@
     lease.renew(Time(50), 5, Time(150));
     assert!(
         dependency.may_send(&first, Time(149)),
-        "renewed in time it is the same lease"
+        "a lease renewed before it expires still covers the call"
     );
     assert!(!dependency.may_send(&first, Time(150)));
     lease.renew(Time(200), 1, Time(300));
