--- a/crates/server/build.rs
+++ b/crates/server/build.rs
@@ -1,5 +1,5 @@
-//! The program stands where it was linked: nothing is relocated at start, so data of code that is not used (the registry,
-//! SQLite) stays in the file's pages and takes no memory. It is linked dynamically as before.
+//! Links the binary at a fixed address (no PIE), still dynamically. Without relocations at startup, data of unused code
+//! (the registry, SQLite) stays in file-backed pages and takes no memory.
 fn main() {
     println!("cargo:rerun-if-changed=build.rs");
     if std::env::var("CARGO_CFG_TARGET_OS").as_deref() == Ok("linux") {
--- a/crates/server/src/config/capacity.rs
+++ b/crates/server/src/config/capacity.rs
@@ -1,26 +1,27 @@
-//! How descriptors and memory are divided between sidecars, calls and the program itself.
+//! Divides descriptors between sidecars, calls to dependencies and the program itself, and limits the cache's memory.
 use super::ConfigError;
 use cottondyke_operator_config::OperatorConfig;
 
-/// Descriptors reserved for engine, calls, control plane, listener, timers and log.
+/// The fewest descriptors reserved for engine, calls, control plane, listener, timers and log.
 const MIN_RESERVED_SOCKETS: u64 = 96;
-/// Of them those that are no calls, and the most calls in flight a core that the admission controller lets out
-/// (`MAX_CALLS`), each on a descriptor of its own.
-const OWN_SOCKETS: u64 = 32;
+/// Reserved descriptors that are not used for calls.
+const NON_CALL_SOCKETS: u64 = 32;
+/// The most calls in flight per core that the admission controller allows (its `MAX_CALLS_PER_CORE`). Each call uses a
+/// descriptor of its own.
 const CALLS_PER_CORE: u64 = 4;
-/// Connections to a dependency beside each call that may be in flight there: as many may be idle.
-const IDLE_PER_CALL: u64 = 1;
-/// Fraction of the memory that cached responses may take.
+/// Idle connections to a dependency for each call that may be in flight there: as many may be idle as in use.
+const IDLE_CONNECTIONS_PER_CALL: u64 = 1;
+/// The largest fraction of the memory limit that cached responses may take.
 const MAX_CACHE_FRACTION: f64 = 0.25;
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 
-/// How many of `sockets` descriptors are reserved: more than usual where many cores make many calls, but no more than
-/// half, for a server that rejects all is of no use.
+/// The number of descriptors that are reserved, of `sockets` in all. It grows with the calls that the cores may have in
+/// flight, but only up to half of `sockets`: a server without descriptors for sidecars would reject everything.
 fn reserved_sockets(sockets: u64, cores: f64) -> u64 {
-    MIN_RESERVED_SOCKETS.max((OWN_SOCKETS + CALLS_PER_CORE * cores as u64).min(sockets / 2))
+    MIN_RESERVED_SOCKETS.max((NON_CALL_SOCKETS + CALLS_PER_CORE * cores as u64).min(sockets / 2))
 }
 
-/// The connections of sidecars for which so many descriptors leave a place.
+/// The number of sidecar connections that this many descriptors allow.
 pub(super) fn max_connections(sockets: u64, cores: f64) -> Result<usize, ConfigError> {
     sockets
         .checked_sub(reserved_sockets(sockets, cores))
@@ -31,8 +32,9 @@
         })
 }
 
-/// What of the connections is left to callers beside those to dependencies, where cached responses fit the memory.
-pub(super) fn left_for_callers(
+/// The connections left for callers once those to dependencies are subtracted. An error if none are left, or if cached
+/// responses would take too much of the memory.
+pub(super) fn max_caller_connections(
     connections: usize,
     memory_bytes: usize,
     operator: &OperatorConfig,
@@ -48,7 +50,7 @@
     let mut left = connections as u64;
     for dependency in &operator.dependencies {
         let calls = operator.max_calls(dependency);
-        let remaining = left.checked_sub(calls * (1 + IDLE_PER_CALL));
+        let remaining = left.checked_sub(calls * (1 + IDLE_CONNECTIONS_PER_CALL));
         let Some(remaining) = remaining.filter(|remaining| *remaining > 0) else {
             return Err(ConfigError::TooManyCalls {
                 at: dependency.at.clone(),
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with the program's two files. Each error prints as one line that names the place.
+//! Errors in the program's two files. Each prints as one line that names the file and the key or declaration.
 use cottondyke_operator_config::{ConfigError as OperatorConfigError, SourceLocation};
 use cottondyke_settings::SettingsError;
 use std::io;
 use std::process::ExitStatus;
 
-/// Why the configuration cannot be in force.
+/// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither file was named.
+    /// Neither file was given.
     #[error("no configuration: give --config FILE, --operator FILE or both, or set GW_CONFIG")]
     NoFiles,
     /// A file cannot be read.
@@ -15,39 +15,39 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// Something in a file, or in a section of it.
-    #[error("{place}: {source}")]
-    In {
+    /// An error within a file, or within a section of one.
+    #[error("{context}: {source}")]
+    Within {
         /// The file or section.
-        place: String,
-        /// What is wrong there.
+        context: String,
+        /// The error there.
         source: Box<ConfigError>,
     },
     /// The platform's configuration is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A section that must be there.
-    #[error("{0} is missing")]
+    /// A required section is missing or not an object.
+    #[error("{0} is missing or not an object")]
     Missing(&'static str),
-    /// A value that cannot be used, as the settings package says.
+    /// A value that the settings package rejects.
     #[error("{0}")]
     Value(#[source] SettingsError),
-    /// An address that cannot be read.
-    #[error("{key} is not an address with a port: {text}")]
+    /// A text that is not a socket address.
+    #[error("{key} is {text:?}: expected an IP address with a port such as \"127.0.0.1:8080\"")]
     InvalidAddress {
         /// The key.
         key: &'static str,
         /// Its value.
         text: String,
     },
-    /// No classes, or one without a name.
-    #[error("settings: classes is empty or lacks a name")]
+    /// There are no classes, or one has no name.
+    #[error("settings: classes is empty or has an entry without a name")]
     UnnamedClass,
-    /// A seed that cannot be read.
-    #[error("seed is not a hexadecimal number")]
+    /// A seed that is not a hexadecimal number of 64 bits.
+    #[error("seed is not a 64-bit hexadecimal number")]
     InvalidSeed,
     /// Fewer descriptors than the program itself needs.
     #[error("limits: sockets must be over {reserved}")]
@@ -55,50 +55,50 @@
         /// Descriptors that are reserved.
         reserved: u64,
     },
-    /// A name that cannot stand in a path.
-    #[error("name may hold letters, digits, dots and dashes")]
+    /// A name that cannot be part of a path.
+    #[error("name is invalid: expected one or more letters, digits, dashes, dots and underscores")]
     InvalidName,
-    /// `front.callers` says something that this version does not know.
+    /// `front.callers` has a value that this version does not know.
     #[error("front.callers is {value}: expected \"connections\" or \"told\"")]
     UnknownCallers {
         /// Its value, as JSON.
         value: String,
     },
-    /// Callers are counted in two ways.
+    /// The number of callers is configured although callers are counted by their connections.
     #[error(
-        "settings.family_info.upstreams is {upstreams}, beside front.callers = \"connections\": \
-         the first shape and the new one are mixed; expected one of the two"
+        "settings.family_info.upstreams is {upstreams}, but front.callers = \"connections\" counts callers by their \
+         connections: expected only one of the two"
     )]
     MixedCallers {
         /// The count that was configured, as JSON.
         upstreams: String,
     },
-    /// A number that no server can have.
-    #[error("{key} is {value}, which no server can have")]
-    Implausible {
+    /// A number outside the range of plausible values.
+    #[error("{key} is {value}, which is out of range")]
+    OutOfRange {
         /// The key.
         key: &'static str,
         /// Its value.
         value: f64,
     },
-    /// `below` says something that this version does not know.
+    /// `below` has a value that this version does not know.
     #[error("below is {value:?}: expected \"none\", \"common\" or \"next_hop\"")]
     UnknownBelow {
         /// Its value.
         value: String,
     },
-    /// The operator's file declares what the platform's configuration holds.
+    /// The operator's file declares what the platform's configuration already does.
     #[error(
         "{}:{}: {what}: the configuration tells that already; expected it in one of the two",
         .at.file, .at.line
     )]
     DeclaredTwice {
-        /// Where it stands in the operator's file.
+        /// Where it is in the operator's file.
         at: SourceLocation,
         /// The declaration.
         what: &'static str,
     },
-    /// The operator's file does not fit the handlers.
+    /// The operator's file is invalid, by itself or against the handlers.
     #[error("{0}")]
     Operator(#[source] OperatorConfigError),
     /// The operator's file reserves too much memory for cached responses.
@@ -107,39 +107,39 @@
         .at.file, .at.line
     )]
     CacheTooLarge {
-        /// Where it stands.
+        /// Where the reservation is.
         at: SourceLocation,
-        /// Its megabytes.
+        /// The megabytes that it reserves.
         cache_mb: f64,
-        /// The most megabytes that it may have.
+        /// The most megabytes that it may reserve.
         max_mb: f64,
     },
     /// Calls to dependencies leave no descriptors for callers.
     #[error(
-        "{}:{}: dependency {dependency:?}: ceiling = {ceiling} is {calls} calls here, whose connections leave none of \
-         {connections} for callers: expected more sockets or lower ceilings",
+        "{}:{}: dependency {dependency:?}: ceiling = {ceiling} allows this instance {calls} calls, whose connections \
+         leave none of {connections} for callers: expected more sockets or lower ceilings",
         .at.file, .at.line
     )]
     TooManyCalls {
-        /// Where the dependency stands.
+        /// Where the dependency is declared.
         at: SourceLocation,
         /// Its name.
         dependency: String,
-        /// Its calls over all instances.
+        /// Its `ceiling`.
         ceiling: u64,
-        /// Its calls here.
+        /// The calls that this instance may have in flight there.
         calls: u64,
         /// The connections that callers and dependencies share.
         connections: usize,
     },
-    /// The operator's file changes what is fixed while the server runs.
+    /// The operator's file changes what cannot change while the server runs.
     #[error("{file}: serve, handler and customer cannot change while the server runs")]
     FixedWhileRunning {
         /// The operator's file.
         file: String,
     },
     /// The operator's file adds or removes `peers(...)` while the server runs.
-    #[error("{file}: peers(...) cannot be added or taken out while the server runs")]
+    #[error("{file}: peers(...) cannot be added or removed while the server runs")]
     PeersFixedWhileRunning {
         /// The operator's file.
         file: String,
@@ -149,66 +149,68 @@
     Evaluation {
         /// The script.
         path: String,
-        /// Why.
+        /// The reason.
         source: EvaluationError,
     },
-    /// The thread that reads the files ended without a result.
-    #[error("reading the files anew panicked")]
+    /// The thread that reads the files again ended without a result.
+    #[error("the thread that reads the configuration files panicked")]
     ReaderPanicked,
 }
 
 impl ConfigError {
-    /// Says in which file or section an error is.
-    pub(super) fn within(self, place: impl Into<String>) -> Self {
-        ConfigError::In {
-            place: place.into(),
+    /// Adds the file or section that an error is in.
+    pub(super) fn within(self, context: impl Into<String>) -> Self {
+        ConfigError::Within {
+            context: context.into(),
             source: Box::new(self),
         }
     }
 
-    /// An error of the settings package about the section `settings`.
+    /// Wraps an error of the settings package in the section `settings`.
     pub(super) fn settings(error: SettingsError) -> Self {
         ConfigError::Value(error).within("settings")
     }
 }
 
-/// Why the evaluating program brought no result.
+/// Why the evaluator returned no result.
 #[derive(Debug, thiserror::Error)]
 pub enum EvaluationError {
-    /// The place of this program, beside which it lies, is not known.
+    /// The directory of this program, in which the evaluator is installed, is not known.
     #[error("{evaluator} cannot be found: {source}")]
     NotFound {
-        /// The evaluating program.
+        /// The evaluator.
         evaluator: &'static str,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// It cannot be started.
-    #[error("{path}: {source}")]
+    /// The evaluator cannot be started.
+    #[error("cannot start {path}: {source}")]
     NotStarted {
-        /// The evaluating program.
+        /// The evaluator.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// It cannot be waited for.
-    #[error("{0}")]
+    /// Waiting for the evaluator failed.
+    #[error("cannot wait for the evaluator: {0}")]
     Wait(#[source] io::Error),
-    /// It took too long.
-    #[error("it takes longer than {seconds} s")]
+    /// The evaluation took too long.
+    #[error("the evaluation took longer than {seconds} s")]
     Timeout {
-        /// The limit.
+        /// The limit in seconds.
         seconds: u64,
     },
-    /// It went past its limits.
-    #[error("{evaluator} ended with {status}: expected the script to need less")]
+    /// The evaluator failed, usually because the script exceeded its limits.
+    #[error(
+        "{evaluator} ended with {status}: expected the script to use less memory and CPU time"
+    )]
     Failed {
-        /// The evaluating program.
+        /// The evaluator.
         evaluator: &'static str,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
     },
-    /// Its result cannot be read.
-    #[error("{0}")]
+    /// The evaluator's result cannot be decoded.
+    #[error("cannot decode the evaluator's result: {0}")]
     InvalidResult(#[source] serde_json::Error),
 }
--- a/crates/server/src/config/files.rs
+++ b/crates/server/src/config/files.rs
@@ -1,6 +1,6 @@
-//! The program's two files, read together: the platform's configuration and the operator's script. Either may be
-//! missing. The script is evaluated by another program under the system's limits, since no interpreter bounds what one
-//! step may take, and since this one would carry the interpreter's memory for ever.
+//! Reads the program's two files: the platform's configuration and the operator's script, of which either may be
+//! omitted. A separate program evaluates the script under the system's resource limits, since no interpreter bounds
+//! what a single step may take, and since the interpreter's memory would otherwise stay with this process for ever.
 use crate::config::{Config, ConfigError, EvaluationError};
 use cottondyke_operator_config::{ConfigError as OperatorConfigError, OperatorConfig};
 use std::io::{self, Read};
@@ -8,15 +8,15 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// What an evaluation may take in all; it limits its own memory and CPU time.
+/// The longest that an evaluation may take. The evaluator limits its own memory and CPU time.
 const EVALUATION_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Bytes of what it declares.
+/// The most bytes that are read of the evaluator's result.
 const MAX_RESULT_BYTES: u64 = 16 << 20;
-/// The program that evaluates, beside this one.
+/// The program that evaluates the script, installed in the same directory as this one.
 const EVALUATOR: &str = "cottondyke-script";
 
-/// Where the files are.
+/// The paths of the files.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFiles {
     /// The platform's configuration.
@@ -26,7 +26,7 @@
 }
 
 impl ConfigFiles {
-    /// Reads the files that are named.
+    /// Reads the files that are set.
     pub fn read(&self) -> Result<Config, ConfigError> {
         let operator = self.operator.as_deref().map(evaluate).transpose()?;
         match (&self.config, operator) {
@@ -38,7 +38,7 @@
     }
 }
 
-/// What the script declares.
+/// Evaluates the script to the configuration that it declares.
 fn evaluate(path: &str) -> Result<OperatorConfig, ConfigError> {
     let result = run_evaluator(path).map_err(|source| ConfigError::Evaluation {
         path: path.to_string(),
@@ -52,7 +52,7 @@
 ) -> Result<Result<OperatorConfig, OperatorConfigError>, EvaluationError> {
     let mut child = start_evaluator(path)?;
     let stdout = child.stdout.take();
-    let reading = std::thread::spawn(move || {
+    let reader = std::thread::spawn(move || {
         let mut text = Vec::new();
         stdout
             .map_or(Ok(0), |stdout| {
@@ -60,8 +60,8 @@
             })
             .map(|_| text)
     });
-    let status = wait_in_time(&mut child)?;
-    let text = reading.join().ok().and_then(Result::ok).unwrap_or_default();
+    let status = wait_with_timeout(&mut child)?;
+    let text = reader.join().ok().and_then(Result::ok).unwrap_or_default();
     if !status.success() {
         return Err(EvaluationError::Failed {
             evaluator: EVALUATOR,
@@ -72,7 +72,7 @@
 }
 
 fn start_evaluator(path: &str) -> Result<Child, EvaluationError> {
-    let evaluator = evaluator().map_err(|source| EvaluationError::NotFound {
+    let evaluator = evaluator_path().map_err(|source| EvaluationError::NotFound {
         evaluator: EVALUATOR,
         source,
     })?;
@@ -88,13 +88,13 @@
         })
 }
 
-/// It lies beside this program, also where that was replaced while it runs.
-fn evaluator() -> io::Result<PathBuf> {
-    std::env::current_exe().map(|own| own.with_file_name(EVALUATOR))
+/// The path of the evaluator in the directory of this program, also if this program's file was replaced while it runs.
+fn evaluator_path() -> io::Result<PathBuf> {
+    std::env::current_exe().map(|program| program.with_file_name(EVALUATOR))
 }
 
-/// Waits for the end of a process, which is killed past the limit.
-fn wait_in_time(child: &mut Child) -> Result<ExitStatus, EvaluationError> {
+/// Waits until a process exits. Kills it after `EVALUATION_TIMEOUT`.
+fn wait_with_timeout(child: &mut Child) -> Result<ExitStatus, EvaluationError> {
     let start = Instant::now();
     let error = loop {
         match child.try_wait() {
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the program is told at its start: the platform's configuration, the operator's file, or both.
+//! The program's configuration, read from the platform's configuration file, the operator's file, or both.
 mod capacity;
 pub mod error;
 pub mod files;
@@ -19,63 +19,63 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes of a megabyte.
+/// Bytes in a megabyte.
 const MB: usize = 1 << 20;
 
 /// The time limits of a handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HandlerTimes {
-    /// A response after this is late.
+    /// A response later than this is worth less.
     pub response_target: Time,
-    /// Clients wait no longer than this.
+    /// The longest that clients wait.
     pub client_timeout: Time,
-    /// What repeats a request within this is answered like it.
+    /// A repeated request within this window gets the response of the original.
     pub dedup_window: Time,
 }
 
-/// Where the callers that share the credit are counted.
+/// How the callers that share the credit are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerSource {
-    /// `family_info.upstreams`, as configured (the first shape, and the default).
+    /// By `family_info.upstreams`, as configured (the default).
     Configured,
-    /// The connections (the shape of many sidecars, each seldom here).
+    /// By open connections, for many sidecars that each connect to this server only rarely.
     Connections,
 }
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The server's name, as the control plane knows it.
+    /// The server's name in the control plane.
     pub name: String,
-    /// Where sidecars connect.
+    /// The address at which sidecars connect.
     pub listen: SocketAddr,
-    /// The engine; none where the operator's file stands alone.
+    /// The engine's address; `None` without the platform's configuration.
     pub engine: Option<SocketAddr>,
-    /// The control plane; none where the operator's file stands alone.
+    /// The control plane's address; `None` without the platform's configuration.
     pub control: Option<SocketAddr>,
-    /// The records service; none where nothing lies below.
+    /// The records service's address; `None` where the server calls none.
     pub records: Option<SocketAddr>,
-    /// The operator's file, checked against the handlers.
+    /// The operator's file, validated against the handlers.
     pub operator: Option<OperatorConfig>,
-    /// Of all random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// From the shutdown signal to the end.
+    /// The longest time from the shutdown signal to the exit.
     pub shutdown_timeout: Duration,
-    /// Connections accepted from sidecars.
+    /// The most connections accepted from sidecars.
     pub max_connections: usize,
-    /// Bytes that the program may take.
+    /// The program's memory limit in bytes.
     pub memory_bytes: usize,
     /// The longest client timeout, in milliseconds.
     pub max_client_timeout_ms: f64,
-    /// By `HandlerId`.
+    /// Whether each handler may run twice for one request, indexed by `HandlerId`.
     pub idempotency: Vec<Idempotency>,
-    /// By `HandlerId`.
+    /// The time limits of each handler, indexed by `HandlerId`.
     pub times: Vec<HandlerTimes>,
-    /// How long the response of a read may be handed to others.
+    /// How long the response to a read may be reused for other requests.
     pub read_cache_ttl: Time,
-    /// Names of handlers and tenants, and the place of the CPU gauge.
+    /// The names of handlers and tenants, and the columns of the CPU gauges.
     pub names: WireNames,
-    /// Where callers are counted.
+    /// How callers are counted.
     pub caller_source: CallerSource,
     settings: Value,
 }
@@ -128,7 +128,7 @@
         Ok(config)
     }
 
-    /// The handlers, as the operator's file is checked against them.
+    /// The handlers against which the operator's file is validated.
     pub fn handler_specs(&self) -> Vec<HandlerSpec> {
         let handlers = self.names.handlers.iter().zip(&self.times);
         handlers
@@ -139,39 +139,42 @@
             .collect()
     }
 
-    /// The platform's configuration with the operator's file beside it.
+    /// Adds the operator's file to the platform's configuration.
     pub fn with_operator(mut self, operator: OperatorConfig) -> Result<Self, ConfigError> {
-        let twice = |at: &cottondyke_operator_config::SourceLocation, what| {
+        let declared_twice = |at: &cottondyke_operator_config::SourceLocation, what| {
             let at = at.clone();
             Err(ConfigError::DeclaredTwice { at, what })
         };
         if let Some(serve) = &operator.serve {
-            return twice(&serve.at, "serve(...)");
+            return declared_twice(&serve.at, "serve(...)");
         }
         if let Some(handler) = operator.handlers.first() {
-            return twice(&handler.at, "handler(...)");
+            return declared_twice(&handler.at, "handler(...)");
         }
         if let Some(tenant) = operator.tenants.first() {
-            return twice(&tenant.at, "customer(...)");
+            return declared_twice(&tenant.at, "customer(...)");
         }
         operator
             .validate(&self.handler_specs())
             .map_err(ConfigError::Operator)?;
         self.max_connections =
-            capacity::left_for_callers(self.max_connections, self.memory_bytes, &operator)?;
+            capacity::max_caller_connections(self.max_connections, self.memory_bytes, &operator)?;
         self.operator = Some(operator);
         Ok(self)
     }
 
-    /// Whether the settings say that the server starts below its full speed.
+    /// Whether the settings say that the server starts cold, below its full speed.
     pub fn starts_cold(&self) -> bool {
         let info = self.settings.get("family_info");
         info.is_some_and(|info| settings::flag(info, "cold"))
     }
 
-    /// The admission controller of a server whose engine started at `born`.
-    pub fn admission_controller(&self, born: Time) -> Result<AdmissionController, ConfigError> {
-        settings::admission_controller(born, self.seed, &self.settings)
+    /// Creates the admission controller of a server whose engine started at `started_at`.
+    pub fn admission_controller(
+        &self,
+        started_at: Time,
+    ) -> Result<AdmissionController, ConfigError> {
+        settings::admission_controller(started_at, self.seed, &self.settings)
             .map_err(ConfigError::settings)
     }
 }
@@ -191,7 +194,7 @@
     })
 }
 
-/// Calls go to the records service only where the settings say that something lies below.
+/// The records service's address. It may be omitted where `below` is `none`: the server then calls no records service.
 fn records_address(document: &Value, conf: &Value) -> Result<Option<SocketAddr>, ConfigError> {
     let below = conf
         .get("family_info")
@@ -207,14 +210,14 @@
     Ok(Duration::from_millis(ms))
 }
 
-/// Descriptors and megabytes that the program may take; of the descriptors no more than the system allows.
+/// The limits of descriptors and of memory in megabytes. The descriptors are capped at the system's limit.
 fn limits(document: &Value) -> Result<(u64, u64), ConfigError> {
     let limits = object(document, "limits")?;
-    let whole = |key| {
+    let unsigned = |key| {
         settings::unsigned(limits, key).map_err(|error| ConfigError::Value(error).within("limits"))
     };
-    let sockets = whole("sockets")?;
-    let memory_mb = whole("memory_mb")?;
+    let sockets = unsigned("sockets")?;
+    let memory_mb = unsigned("memory_mb")?;
     let allowed = getrlimit(Resource::Nofile).current;
     Ok((sockets.min(allowed.unwrap_or(sockets)), memory_mb))
 }
--- a/crates/server/src/config/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -1,18 +1,18 @@
-//! A configuration that is read again while the server runs.
+//! Applies a configuration that is read again while the server runs.
 use super::{Config, ConfigError};
 
-/// What is in force after a reload.
+/// The result of a reload.
 pub struct Reloaded {
-    /// The configuration.
+    /// The configuration now in force.
     pub config: Config,
-    /// Names of what was changed in the files and stays as it was: what was learned belongs to the settings, what is
-    /// connected to the address.
+    /// The keys that changed in the files but keep their old values: learned state depends on the settings, and open
+    /// connections on the listen address.
     pub unchangeable: Vec<&'static str>,
 }
 
 impl Config {
-    /// What is in force once `new` was read while the server runs. An operator's file is obeyed completely or not at
-    /// all: an error where it cannot be.
+    /// Applies `new`, which was read while the server runs, to this configuration. An operator's file is applied
+    /// completely or not at all: it is an error if any of it cannot be applied.
     pub fn reload(&self, new: Config) -> Result<Reloaded, ConfigError> {
         let unchangeable = self.unchangeable_differences(&new);
         if let Some(operator) = &new.operator {
@@ -24,7 +24,7 @@
                 .validate(&self.handler_specs())
                 .map_err(ConfigError::Operator)?;
         }
-        // Quotas that are leased can't be told apart from fixed ones while calls of either are in flight.
+        // While calls under leased or fixed quotas are in flight, the two kinds of quota cannot be told apart.
         if self.has_peers() != new.has_peers() {
             let file = match &new.operator {
                 Some(operator) => operator.file.clone(),
--- a/crates/server/src/config/standalone.rs
+++ b/crates/server/src/config/standalone.rs
@@ -1,19 +1,20 @@
-//! A program that serves on its own: all is declared by the operator's file, from which the settings are made.
-use super::capacity::left_for_callers;
+//! The configuration of a server without the platform: the operator's file declares everything, and the settings are
+//! generated from it.
+use super::capacity::max_caller_connections;
 use super::{Config, ConfigError};
 use crate::clock::ms;
 use cottondyke_operator_config::{OperatorConfig, Serve};
 use cottondyke_types::Idempotency;
 use serde_json::{json, Value};
 
-/// The admission controller uses 0.85 of the overload that it is told is survived: so `at_once` itself is the most
-/// that run.
+/// The admission controller uses 0.85 of the concurrency that is configured as survivable. The inverse makes `at_once`
+/// itself the largest number of requests that run.
 const OVERLOAD_FACTOR: f64 = 1.0 / 0.85 + 1e-6;
-/// Half of the memory, in the kilobytes of a megabyte, is the requests'.
+/// Requests may take half of the memory: of each megabyte, this many kilobytes.
 const REQUEST_KB_PER_MB: f64 = 512.0;
 
 impl Config {
-    /// The configuration that an operator's file alone declares.
+    /// Builds the configuration from an operator's file alone.
     pub fn standalone(operator: OperatorConfig) -> Result<Self, ConfigError> {
         operator
             .validate_standalone()
@@ -26,7 +27,7 @@
         let mut config = Self::parse(&document.to_string())
             .map_err(|error| error.within(operator.file.as_str()))?;
         config.max_connections =
-            left_for_callers(config.max_connections, config.memory_bytes, &operator)?;
+            max_caller_connections(config.max_connections, config.memory_bytes, &operator)?;
         config.engine = None;
         config.control = None;
         config.records = None;
@@ -35,7 +36,7 @@
     }
 }
 
-/// The platform's configuration that says the same as the operator's file.
+/// The platform's configuration that is equivalent to the operator's file.
 fn document(operator: &OperatorConfig, serve: &Serve) -> Value {
     let listen = serve.listen.to_string();
     json!({
@@ -47,7 +48,8 @@
 }
 
 fn settings(operator: &OperatorConfig, serve: &Serve) -> Value {
-    // Requests that run are the cores of the admission controller here: they wait for dependencies, not for each other.
+    // Each running request counts as a core of the admission controller: requests wait for dependencies, not for each
+    // other.
     json!({
         "blend": { "whole": 1.0 },
         "classes": classes(operator),
--- a/crates/server/src/config/validate.rs
+++ b/crates/server/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! Settings that no server can have.
+//! Rejects settings that are out of range, unknown or contradictory.
 use super::{CallerSource, Config, ConfigError};
 use cottondyke_settings as settings;
 use cottondyke_types::Idempotency;
@@ -8,15 +8,15 @@
 const CORES: RangeInclusive<f64> = 1.0..=65_536.0;
 const MEMORY_KB: RangeInclusive<f64> = 1.0..=1e15;
 const OVERLOAD_FACTOR: RangeInclusive<f64> = 1.0..=1e9;
-/// Of time limits and windows, in milliseconds.
+/// The range of time limits and windows, in milliseconds.
 const DURATION_MS: RangeInclusive<f64> = 0.1..=1e12;
-/// What may lie below this server.
+/// The values of `below`: what this server calls.
 const BELOW: [&str; 3] = ["none", "common", "next_hop"];
 
-/// `front.callers`: where the callers that share the credit are counted. The two shapes may not be mixed: a count
-/// configured beside callers seen on connections would be two answers to one question.
-pub(super) fn caller_source(all: &Value, conf: &Value) -> Result<CallerSource, ConfigError> {
-    let Some(front) = settings::present(all, "front") else {
+/// Reads `front.callers`: how the callers that share the credit are counted. Only one way may be configured, since a
+/// configured number of callers could contradict the number of connections.
+pub(super) fn caller_source(document: &Value, conf: &Value) -> Result<CallerSource, ConfigError> {
+    let Some(front) = settings::present(document, "front") else {
         return Ok(CallerSource::Configured);
     };
     let callers = front.get("callers").unwrap_or(&Value::Null);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A name stands in paths and log lines.
+/// Checks the server's name, which is used in paths and log lines.
 pub(super) fn check_name(name: &str) -> Result<(), ConfigError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if name.is_empty() || !name.bytes().all(is_allowed) {
@@ -49,18 +49,18 @@
     Ok(())
 }
 
-/// Errors are of the section `settings`.
+/// Checks the section `settings`. The caller adds its name to errors.
 pub(super) fn check_settings(config: &Config) -> Result<(), ConfigError> {
     let info = section(&config.settings, "family_info")?;
     let rules = section(&config.settings, "obligations")?;
     check_number(info, "n_cores", CORES)?;
     check_number(info, "mem_limit_kb", MEMORY_KB)?;
     check_number(rules, "overload_factor", OVERLOAD_FACTOR)?;
-    // Missing, there is no budget of slow start; a wrong one must not pass for that.
+    // Without `fall_ms` there is no slow-start budget: an invalid value must not be treated as a missing one.
     if settings::present(rules, "fall_ms").is_some() {
         check_number(rules, "fall_ms", DURATION_MS)?;
     }
-    // What lies below decides whether a records service is needed: no word of it may pass for another.
+    // `below` decides whether a records service is needed: an unknown value must not be treated as one of the others.
     let below = settings::text(info, "below").map_err(ConfigError::Value)?;
     if !BELOW.contains(&below) {
         return Err(ConfigError::UnknownBelow {
@@ -70,7 +70,7 @@
     let classes = config.settings.get("classes").and_then(Value::as_array);
     let classes = classes.into_iter().flatten();
     for (class, idempotency) in classes.zip(&config.idempotency) {
-        // Missing, it would be no time at all, and repeats would run again.
+        // A missing window would count as 0 ms, and repeated requests would run again.
         if *idempotency == Idempotency::Keyed {
             check_number(class, "dedup_window_ms", DURATION_MS)?;
         }
@@ -94,7 +94,7 @@
 ) -> Result<(), ConfigError> {
     let value = settings::number(section, key).map_err(ConfigError::Value)?;
     if !range.contains(&value) {
-        return Err(ConfigError::Implausible { key, value });
+        return Err(ConfigError::OutOfRange { key, value });
     }
     Ok(())
 }
--- a/crates/server/src/cpu_usage.rs
+++ b/crates/server/src/cpu_usage.rs
@@ -1,8 +1,8 @@
-//! CPU utilization where no engine reports it: what this program itself uses of the one core that it can use.
+//! CPU utilization where no engine reports it: the process's own use of the one core that it can use.
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant};
 
-/// A sample over less than this says nothing.
+/// A shorter window is too short for a meaningful sample.
 const MIN_SAMPLE_WINDOW: Duration = Duration::from_millis(5);
 const MAX_NANOS: i64 = 999_999_999;
 
@@ -13,7 +13,7 @@
 }
 
 impl CpuSampler {
-    /// Starts the first window now.
+    /// Creates a sampler whose first window starts now.
     pub fn start() -> Self {
         CpuSampler {
             sampled_at: Instant::now(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The fraction of a core in use since the last sample; none where that was too short ago.
+    /// The fraction of a core used since the last sample, at most 1; `None` if the window is too short.
     pub fn sample(&mut self) -> Option<f64> {
         let now = Instant::now();
         let cpu_time = process_cpu_time();
--- a/crates/server/src/resource_limits.rs
+++ b/crates/server/src/resource_limits.rs
@@ -1,40 +1,41 @@
-//! The budgets of descriptors and memory. All that takes either asks here; the configuration sets both, again on
-//! SIGHUP.
+//! The limits on connections and memory. Everything that uses either is checked against them here. The configuration
+//! sets both limits, and sets them again on SIGHUP.
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
 
-/// The memory is divided by these: the portions that incomplete frames, and results retained for repeats, may take.
+/// Incomplete frames, and results retained for repeated requests, may each take the memory limit divided by these.
 const FRAME_BUFFER_DIVISOR: usize = 8;
 const RETAINED_RESULTS_DIVISOR: usize = 8;
-/// Past this fraction of the connections the least useful ones go, so that a rush finds places while they do.
+/// Above this fraction of the connection limit the least useful connections are evicted, so that a burst of new ones
+/// still finds free slots while the evicted ones close.
 const EVICTION_THRESHOLD: f64 = 0.85;
-/// Bytes read at once, by any connection: they are decoded before the next one reads.
+/// Size of the read buffer that all connections share: what one reads is decoded before the next one reads.
 const READ_BUFFER_BYTES: usize = 32_768;
 
-/// How many connections stand, and how many may.
+/// The number of open connections, and the number above which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCount {
-    /// Connections that stand, closing ones among them.
+    /// Open connections, including those that are closing.
     pub open: usize,
-    /// Past this number the least useful ones go.
+    /// Above this number the least useful connections are evicted.
     pub target: usize,
 }
 
-/// What of descriptors and memory is taken.
+/// The limits, and how much of each is in use.
 pub struct ResourceLimits {
     max_connections: Cell<usize>,
     memory_bytes: Cell<usize>,
     open_connections: Cell<usize>,
     frame_bytes: Cell<usize>,
-    /// Tells that a connection was given back, or the limit raised.
+    /// Signals that a connection was released or the limits were changed.
     released: (Sender<()>, Receiver<()>),
     read_buffer: RefCell<Vec<u8>>,
 }
 
 impl ResourceLimits {
-    /// Limits for so many connections and so many bytes of memory.
+    /// Creates limits of this many connections and this many bytes of memory.
     pub fn new(connections: usize, memory: usize) -> Rc<Self> {
         Rc::new(ResourceLimits {
             max_connections: Cell::new(connections),
@@ -46,14 +47,14 @@
         })
     }
 
-    /// Changes both limits; what is taken past them is given back in its time.
+    /// Changes both limits. What already exceeds them is not revoked, but released as usual.
     pub fn set(&self, connections: usize, memory: usize) {
         self.max_connections.set(connections);
         self.memory_bytes.set(memory);
         self.notify_released();
     }
 
-    /// A place for one connection, if there is one.
+    /// Reserves one connection; `None` at the limit.
     pub fn acquire_connection(self: &Rc<Self>) -> Option<ConnectionPermit> {
         if self.is_full() {
             return None;
@@ -62,19 +63,19 @@
         Some(ConnectionPermit(self.clone()))
     }
 
-    /// Whether no further connection has a place.
+    /// Whether the connection limit is reached.
     pub fn is_full(&self) -> bool {
         self.open_connections.get() >= self.max_connections.get()
     }
 
-    /// Waits until there is a place for a connection.
+    /// Waits until the number of connections is below the limit.
     pub async fn wait_for_capacity(&self) {
         while self.is_full() {
             let _ = self.released.1.recv().await;
         }
     }
 
-    /// How many connections there are, and how many should stay.
+    /// The number of open connections, and how many should stay open.
     pub fn connections(&self) -> ConnectionCount {
         let target = (self.max_connections.get() as f64 * EVICTION_THRESHOLD) as usize;
         ConnectionCount {
@@ -91,12 +92,12 @@
         }
     }
 
-    /// What results retained for repeats may take, in bytes.
+    /// The most memory that results retained for repeated requests may take, in bytes.
     pub fn max_retained_bytes(&self) -> usize {
         self.memory_bytes.get() / RETAINED_RESULTS_DIVISOR
     }
 
-    /// Hands what `read` brings to `consume`, before anything else can be read.
+    /// Reads into the shared buffer and passes the bytes to `consume` before anything else can be read.
     pub fn read(
         &self,
         read: impl FnOnce(&mut [u8]) -> io::Result<usize>,
@@ -113,7 +114,7 @@
     }
 }
 
-/// One connection's descriptor, given back on drop.
+/// The reservation of one connection, released on drop.
 pub struct ConnectionPermit(Rc<ResourceLimits>);
 
 impl Drop for ConnectionPermit {
@@ -124,19 +125,19 @@
     }
 }
 
-/// The memory that a connection's incomplete frame takes, given back on drop.
+/// The memory that a connection's incomplete frame takes, released on drop.
 pub struct BufferReservation {
     limits: Rc<ResourceLimits>,
     bytes: usize,
 }
 
 impl BufferReservation {
-    /// Takes `bytes` in place of what was taken; false where that is past the limit.
+    /// Reserves `bytes` instead of the previous amount. Returns false if all reservations together exceed the limit.
     pub fn resize(&mut self, bytes: usize) -> bool {
-        let taken = &self.limits.frame_bytes;
-        taken.set(taken.get() - self.bytes + bytes);
+        let reserved = &self.limits.frame_bytes;
+        reserved.set(reserved.get() - self.bytes + bytes);
         self.bytes = bytes;
-        bytes == 0 || taken.get() <= self.limits.memory_bytes.get() / FRAME_BUFFER_DIVISOR
+        bytes == 0 || reserved.get() <= self.limits.memory_bytes.get() / FRAME_BUFFER_DIVISOR
     }
 }
 
--- a/crates/server/tests/config.rs
+++ b/crates/server/tests/config.rs
@@ -1,8 +1,8 @@
-//! What the configuration leaves for connections.
+//! The number of connections that the configuration allows.
 use cottondyke::config::Config;
 
-/// Guards calls against a budget of descriptors that is all taken by sidecars: what is reserved holds as many as the
-/// cores may have in flight, and never more than half.
+/// Guards against sidecars taking all descriptors, so that calls find none: the reservation grows with the calls that
+/// the cores may have in flight, up to half of the descriptors.
 #[test]
 fn reserves_descriptors_for_the_calls_of_all_cores() {
     for (sockets, cores, connections) in [
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -189,8 +189,8 @@
         ),
         (
             dependency.replace("= 6", "= 500") + ", ceiling_of = \"instance\")",
-            "cottondyke: shop.star:1: dependency \"d\": ceiling = 500 is 500 calls here, whose connections leave none \
-             of 928 for callers: expected more sockets or lower ceilings\n"
+            "cottondyke: shop.star:1: dependency \"d\": ceiling = 500 allows this instance 500 calls, whose \
+             connections leave none of 928 for callers: expected more sockets or lower ceilings\n"
                 .to_string(),
         ),
         (
--- a/crates/server/tests/serve/overload.rs
+++ b/crates/server/tests/serve/overload.rs
@@ -1,4 +1,4 @@
-//! What a server puts on its machine and on a shared dependency while runs hang and calls break.
+//! The load that servers put on a machine whose runs hang, and on a shared dependency whose connections break.
 use crate::fleet::*;
 use cottondyke_test_support::fake_machine::*;
 use cottondyke_test_support::fakes::FakeService;
@@ -8,12 +8,12 @@
 
 /// How long the machine hangs.
 const HANG: Duration = Duration::from_secs(8);
-/// How long the load goes on after it.
+/// How long the load continues after the hang.
 const AFTER_HANG: Duration = Duration::from_secs(3);
-/// How long an abandoned call goes on, as the settings tell.
+/// How long the dependency continues an abandoned call, as configured by `linger_ms`.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// Guards the machine while runs that may not be stopped hang: long after their clients gave up they are on it still.
+/// Guards a machine on which runs hang that may not be cancelled: they still occupy it long after their clients gave up.
 #[test]
 fn puts_no_more_on_a_hung_machine_than_it_survives() {
     let mut fleet = Fleet::start(FleetConfig {
@@ -34,16 +34,16 @@
     println!("crowding {crowding:.2}, {outcomes:?}");
     assert!(crowding <= 1.0, "{crowding:.2} of what it survives");
     assert_eq!(outcomes.lost, 0, "{outcomes:?}");
-    // It serves again once the machine does.
+    // Requests complete again once the machine recovers.
     assert!(outcomes.completed > 60, "{outcomes:?}");
 }
 
-/// The calls that a dependency was sent, and when each came.
+/// The times at which a dependency received calls.
 #[derive(Clone, Default)]
 struct ReceivedCalls(Arc<Mutex<Vec<Instant>>>);
 
 impl ReceivedCalls {
-    /// Takes calls whose connections break at once, though the dependency goes on with each for as long as it may.
+    /// Receives calls and closes each connection at once. The dependency is assumed to continue each call for `LINGER`.
     fn break_all(&self, listener: TcpListener) {
         let calls = self.0.clone();
         std::thread::spawn(move || {
@@ -55,20 +55,21 @@
         });
     }
 
-    /// The largest mean number of calls that the dependency held over any window.
-    fn peak_held(&self, window: Duration) -> f64 {
+    /// The largest mean number of calls in progress at the dependency over any window.
+    fn peak_concurrency(&self, window: Duration) -> f64 {
         let calls = self.0.lock().unwrap();
-        let held_until = |last: &Instant| {
+        let mean_concurrency = |last: &Instant| {
             let recent = calls
                 .iter()
                 .filter(|at| **at <= *last && **at + window > *last);
             recent.count() as f64 * LINGER.as_secs_f64() / window.as_secs_f64()
         };
-        calls.iter().map(held_until).fold(0.0, f64::max)
+        calls.iter().map(mean_concurrency).fold(0.0, f64::max)
     }
 }
 
-/// Guards what all servers call while the network breaks their connections: a call whose connection broke is there still.
+/// Guards a shared dependency while the network breaks the connections of all servers: it continues a call whose
+/// connection broke.
 #[test]
 fn puts_no_more_on_a_shared_dependency_than_its_share_while_connections_break() {
     let servers = 3;
@@ -89,14 +90,14 @@
         calls.break_all(server.peers[1].try_clone().unwrap());
     }
     let outcomes = fleet.under_load(Duration::from_secs(6), |_| {});
-    let held = calls.peak_held(OVERLOAD_WINDOW);
+    let concurrency = calls.peak_concurrency(OVERLOAD_WINDOW);
     let survived = CALL_SHARE * servers as f64;
-    println!("held {held:.2} of {survived}, {outcomes:?}");
+    println!("concurrency {concurrency:.2} of {survived}, {outcomes:?}");
     assert!(
-        held <= survived,
-        "{held:.2} calls held, {survived} survived"
+        concurrency <= survived,
+        "{concurrency:.2} calls at once, {survived} survived"
     );
     assert_eq!(outcomes.lost, 0, "{outcomes:?}");
-    // Without their call requests are still worth something.
+    // Requests whose call is skipped still have some value.
     assert!(outcomes.completed > outcomes.sent / 2, "{outcomes:?}");
 }
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -1,11 +1,11 @@
-//! The configuration read again on SIGHUP.
+//! Reload of the configuration on SIGHUP.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::json;
 use std::net::TcpListener;
 
-/// Guards a server whose peers move while it serves: it lives, nothing open is lost, each peer is met at its new
-/// address, and the new engine is told which messages were read.
+/// Guards against losing requests when engine, records service and control plane move to new addresses: the server keeps
+/// running, connects to each at its new address, and tells the new engine which messages it has read.
 #[test]
 fn follows_new_addresses_while_requests_are_in_flight() {
     let rig = Rig::start();
@@ -39,10 +39,13 @@
             .line,
         "PUT /v2/endpoints/toy HTTP/1.1"
     );
-    // The call in hand ends where it began, the next goes to the new address.
+    // The call in flight completes at the old address; the next one goes to the new address.
     service.reply("200 OK", "", b"old").unwrap();
-    let (words, body) = link.receive_command().unwrap();
-    assert_eq!((words[0].as_str(), body.as_slice()), ("FEED", &b"old"[..]));
+    let (command, body) = link.receive_command().unwrap();
+    assert_eq!(
+        (command[0].as_str(), body.as_slice()),
+        ("FEED", &b"old"[..])
+    );
     link.send_line_with_body(&format!("NEED 2 {}", id(2)), b"second")
         .unwrap();
     let mut service = FakeService::accept(&records).unwrap();
@@ -56,44 +59,45 @@
     }
 }
 
-/// Guards what is in force against a file that is missing, half written or wrong, and against signals in a row.
+/// Guards the configuration in force against a new file that is empty, half written or invalid, and against several
+/// SIGHUPs in a row.
 #[test]
 fn keeps_the_old_configuration_when_the_new_one_is_invalid() {
     let mut rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    let whole = rig.conf.to_string();
-    for bad in ["", &whole[..whole.len() / 2], "{}"] {
-        rig.reload(bad, "configuration is invalid; keeping the old one");
+    let valid = rig.conf.to_string();
+    for invalid in ["", &valid[..valid.len() / 2], "{}"] {
+        rig.reload(invalid, "configuration is invalid; keeping the old one");
     }
     expect_served(&mut link, &mut sidecar, 1, READ, &[]);
     (0..5).for_each(|_| rig.signal("-HUP"));
-    rig.reload(&whole, "configuration reloaded");
+    rig.reload(&valid, "configuration reloaded");
     rig.signal("-TERM");
     rig.wait_for_log("shutting down");
     rig.signal("-HUP");
     assert_eq!(
         rig.wait_for_exit().0.code(),
         Some(0),
-        "the same during a drain"
+        "a SIGHUP while draining"
     );
 }
 
-/// Guards an engine that moves away and back, while the link to the new address is still being made: it is met where it
-/// is, and told which messages were read.
+/// Guards against a link to the wrong address when the engine moves away and back while the link to the new address is
+/// still being set up: the server connects to the old address again and tells the engine which messages it has read.
 #[test]
 fn follows_an_engine_that_moves_away_and_back() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     send_request(&mut sidecar, 1, PAY, &[], b"");
     expect_start(&mut link);
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
+    let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = rig.conf.clone();
-    conf["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
+    conf["engine"] = json!(other.local_addr().unwrap().to_string());
     rig.reload(&conf.to_string(), "engine address changed");
-    let mut half_made = FakeEngine::accept(&elsewhere).unwrap();
-    assert_eq!(half_made.command().unwrap().0[0], "ATTACH");
+    let mut unfinished = FakeEngine::accept(&other).unwrap();
+    assert_eq!(unfinished.command().unwrap().0[0], "ATTACH");
     rig.reload(&rig.conf.to_string(), "engine address changed");
     let mut link = rig.link(0);
     complete_run(&mut link, &mut sidecar, 1);
-    assert!(half_made.command().is_err(), "nothing more is said there");
+    assert!(unfinished.command().is_err(), "nothing more is sent there");
 }
--- a/crates/server/tests/serve/shutdown.rs
+++ b/crates/server/tests/serve/shutdown.rs
@@ -1,9 +1,10 @@
-//! Leaving on SIGTERM.
+//! Shutdown on SIGTERM.
 use crate::rig::*;
 use serde_json::json;
 use std::time::Duration;
 
-/// Guards drains: all that was read is answered, what is new is refused or answered, and the end comes in time.
+/// Guards against requests lost in a drain: all requests that were read are answered, new ones are rejected or answered,
+/// and the process exits in time.
 #[test]
 fn answers_all_that_was_read_before_the_end() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(1_500));
@@ -12,28 +13,32 @@
     send_request(&mut sidecar, 2, PAY, &[], b"");
     let (first, _hangs) = (expect_start(&mut link), expect_start(&mut link));
     rig.signal("-TERM");
-    let told = sidecar.receive().unwrap();
-    assert_eq!((told.kind, told.stream), (6, 0));
+    let notice = sidecar.receive().unwrap();
+    assert_eq!((notice.kind, notice.stream), (6, 0));
     rig.signal("-TERM");
     rig.wait_for_log("repeated shutdown signal");
     let mut late = rig.sidecar();
-    assert_ne!(check_health(&mut late), 1, "checks hear that it leaves");
+    assert_ne!(
+        check_health(&mut late),
+        1,
+        "health checks fail during the drain"
+    );
     send_request(&mut late, 3, READ, &[], b"");
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"done")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"done");
-    // The second run never ends: its request is failed before the end.
+    // The second run never ends: its request is answered as failed before the exit.
     let hung = sidecar.receive().unwrap();
     assert_eq!((hung.stream, hung.code), (2, 9));
-    let heard = std::iter::from_fn(|| late.receive().ok())
-        .filter(|h| h.kind == 2)
-        .map(|h| h.stream);
-    assert_eq!(heard.collect::<Vec<_>>(), [3], "one answer, whatever it is");
+    let answered = std::iter::from_fn(|| late.receive().ok())
+        .filter(|frame| frame.kind == 2)
+        .map(|frame| frame.stream);
+    assert_eq!(answered.collect::<Vec<_>>(), [3], "one answer of any kind");
     let (status, _) = rig.wait_for_exit();
     assert_eq!(status.code(), Some(0));
 }
 
-/// Guards against staying on without need: once nothing is connected the server ends before its time.
+/// Guards against waiting without need: once nothing is connected, the server exits before its shutdown timeout.
 #[test]
 fn ends_in_time_when_idle() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
--- a/crates/server/tests/serve/slow_start.rs
+++ b/crates/server/tests/serve/slow_start.rs
@@ -1,16 +1,16 @@
-//! What a server takes on while it is in slow start.
+//! The load that a server accepts during slow start.
 use crate::fleet::*;
 use cottondyke_test_support::fake_machine::*;
 use std::time::Duration;
 
 /// How long a killed server stays down.
 const DOWNTIME: Duration = Duration::from_millis(2_500);
-/// How long a fleet runs before one of its servers is killed.
+/// How long the fleet is under load before one of its servers is killed.
 const BEFORE_KILL: Duration = Duration::from_millis(1_000);
-/// How long it runs on after that server is back.
+/// How long the load continues after that server is restarted.
 const AFTER_RESTART: Duration = Duration::from_secs(8);
 
-/// A machine that starts faster than its settings tell, as they allow.
+/// A machine that starts faster than its settings say, which are allowed to be conservative.
 const MACHINE: MachineConfig = MachineConfig {
     cores: 6.0,
     cold_speed: 0.6,
@@ -21,7 +21,8 @@
     ..STEADY_MACHINE
 };
 
-/// What a server in slow start may begin over the window: `expected` requests of mean work, and a margin for chance.
+/// The work that a server in slow start may begin in a window, in requests of mean work: `expected`, and a margin for
+/// random variation.
 fn with_margin(expected: f64) -> f64 {
     if expected < 30.0 {
         expected + 3.0 * expected.sqrt() + 3.0
@@ -30,20 +31,21 @@
     }
 }
 
-/// The requests of mean work that the settings let a cold machine do over the window that ends `at`.
+/// The requests of mean work that a cold machine can complete, by its settings, in the window that ends at `at`.
 fn expected_requests(config: &FleetConfig, at: Duration) -> f64 {
     let machine = config.machine;
-    let part = at.as_secs_f64() / machine.told_warm_within.as_secs_f64();
-    let speed = (machine.told_cold_speed + (1.0 - machine.told_cold_speed) * part).min(1.0);
+    let warmed_fraction = at.as_secs_f64() / machine.told_warm_within.as_secs_f64();
+    let speed =
+        (machine.told_cold_speed + (1.0 - machine.told_cold_speed) * warmed_fraction).min(1.0);
     machine.cores * speed * OVERLOAD_WINDOW.as_secs_f64() / config.mean_work.as_secs_f64()
 }
 
-/// The largest part of its budget that a machine was given over any window since its cold start.
+/// The largest fraction of the slow-start budget that was used in any window since the cold start.
 fn peak_budget_use(config: &FleetConfig, begun: &[BegunRun]) -> f64 {
     let mean_work = config.mean_work.as_secs_f64();
     let mut peak: f64 = 0.0;
-    for (place, last) in begun.iter().enumerate() {
-        let in_window = begun[..=place].iter().rev();
+    for (index, last) in begun.iter().enumerate() {
+        let in_window = begun[..=index].iter().rev();
         let in_window = in_window.take_while(|run| run.at + OVERLOAD_WINDOW > last.at);
         let requests = in_window.map(|run| run.work).sum::<f64>() / mean_work;
         peak = peak.max(requests / with_margin(expected_requests(config, last.at)));
@@ -51,8 +53,8 @@
     peak
 }
 
-/// Kills the last server of a fleet, starts it again cold, and holds what it then takes on to its budget.
-fn keeps_its_budget(config: FleetConfig) {
+/// Kills the last server of a fleet, restarts it cold, and asserts that it stays within its slow-start budget.
+fn assert_keeps_budget_after_restart(config: FleetConfig) {
     let mut fleet = Fleet::start(config);
     let outcomes = fleet.under_load(BEFORE_KILL + DOWNTIME + AFTER_RESTART, |servers| {
         std::thread::sleep(BEFORE_KILL);
@@ -72,16 +74,16 @@
     assert!(peak <= 1.0, "{peak:.2} of the budget of slow start");
     assert!(crowding <= 1.0, "{crowding:.2} of what it survives");
     assert_eq!(outcomes.lost, 0, "{outcomes:?}");
-    // It is of use all the same: slow start is no standstill.
-    let told = expected_requests(&config, Duration::ZERO) / OVERLOAD_WINDOW.as_secs_f64();
-    let least = 0.5 * told * AFTER_RESTART.as_secs_f64();
-    assert!(begun.len() as f64 >= least, "begun {}", begun.len());
+    // Slow start still admits a useful amount of work.
+    let expected_rate = expected_requests(&config, Duration::ZERO) / OVERLOAD_WINDOW.as_secs_f64();
+    let min_begun = 0.5 * expected_rate * AFTER_RESTART.as_secs_f64();
+    assert!(begun.len() as f64 >= min_begun, "begun {}", begun.len());
 }
 
-/// Guards against a cold server that is kept busy by all that a fleet sends it.
+/// Guards against a cold server that accepts all requests that a fleet's sidecars send it.
 #[test]
 fn keeps_the_budget_of_a_restarted_server_in_a_fleet_of_three() {
-    keeps_its_budget(FleetConfig {
+    assert_keeps_budget_after_restart(FleetConfig {
         servers: 3,
         machine: MACHINE,
         mean_work: Duration::from_millis(60),
@@ -92,10 +94,10 @@
     });
 }
 
-/// Guards it where there is nobody else to take what it rejects, and nobody listens to it.
+/// Guards the same budget where no other server can take rejected requests, and sidecars ignore load advice.
 #[test]
 fn keeps_the_budget_of_a_restarted_server_on_its_own() {
-    keeps_its_budget(FleetConfig {
+    assert_keeps_budget_after_restart(FleetConfig {
         servers: 1,
         machine: MACHINE,
         mean_work: Duration::from_millis(150),
@@ -106,14 +108,14 @@
     });
 }
 
-/// Guards it on small machines, where a budget is a handful of requests.
+/// Guards the same budget on small machines, where it is only a few requests.
 #[test]
 fn keeps_the_budget_of_a_restarted_server_in_a_fleet_of_eight() {
     let machine = MachineConfig {
         cores: 1.0,
         ..MACHINE
     };
-    keeps_its_budget(FleetConfig {
+    assert_keeps_budget_after_restart(FleetConfig {
         servers: 8,
         machine,
         mean_work: Duration::from_millis(60),
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -1,19 +1,20 @@
-//! The command line and configurations that are no good.
+//! Invalid command lines and configurations, and the state at startup.
 use crate::rig::*;
 use serde_json::{json, Value};
 use std::net::TcpListener;
 
-type Spoil = fn(&mut Value);
+type Corruption = fn(&mut Value);
 
-/// Guards newcomers and operators: one line that names what is wrong, and an exit code that says so.
+/// Guards against errors that a user cannot act on: an invalid configuration gives one line that names the key, and the
+/// exit code for it.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn prints_one_line_when_the_configuration_is_invalid() {
-    let cases: [(&str, Spoil); 16] = [
+    let cases: [(&str, Corruption); 16] = [
         ("fall_ms", |c| {
             c["settings"]["obligations"]["fall_ms"] = json!(-3_000.0)
         }),
-        // The first shape's count of callers beside callers heard on connections: the two are mixed.
+        // A configured number of callers although callers are counted by their connections.
         ("family_info.upstreams", |c| {
             c["front"] = json!({ "callers": "connections" })
         }),
@@ -37,7 +38,7 @@
         }),
         ("classes", |c| c["settings"]["classes"] = json!([])),
         ("sockets", |c| c["limits"]["sockets"] = json!(3)),
-        // A keyed handler without a window, or with none.
+        // A handler with idempotency keys and a missing or zero deduplication window.
         ("dedup_window_ms is missing", |c| {
             c["settings"]["classes"][1]["dedup_window_ms"] = json!(null)
         }),
@@ -49,27 +50,27 @@
         }),
         ("seed", |c| c["seed"] = json!("xyz")),
     ];
-    for (names, spoil) in cases {
+    for (key, corrupt) in cases {
         let mut conf = settings();
-        spoil(&mut conf);
+        corrupt(&mut conf);
         let path = temporary_file(&conf.to_string());
         for command in ["check", "serve"] {
             let (code, text) = run_to_exit(&[command, "--config", path.to_str().unwrap()]);
             assert_eq!((code, text.lines().count()), (Some(2), 1), "{text}");
-            assert!(text.contains(names), "{names}: {text}");
+            assert!(text.contains(key), "{key}: {text}");
         }
         std::fs::remove_file(path).unwrap();
     }
-    // A server with nothing below it is told no records service, and needs none; any other does.
-    for (below, code) in [("none", Some(0)), ("common", Some(2))] {
+    // The records service may be omitted only where `below` is `none`.
+    for (below, expected) in [("none", Some(0)), ("common", Some(2))] {
         let mut conf = settings();
         conf.as_object_mut().unwrap().remove("records");
         conf["settings"]["family_info"]["below"] = json!(below);
         let path = temporary_file(&conf.to_string());
-        let (told, text) = run_to_exit(&["check", "--config", path.to_str().unwrap()]);
+        let (code, text) = run_to_exit(&["check", "--config", path.to_str().unwrap()]);
         assert!(
-            told == code && (code == Some(0) || text.contains("records")),
-            "{below}: {told:?} {text}"
+            code == expected && (expected == Some(0) || text.contains("records")),
+            "{below}: {code:?} {text}"
         );
         std::fs::remove_file(path).unwrap();
     }
@@ -86,28 +87,28 @@
     assert_eq!(run_to_exit(&["serve"]).0, Some(2), "no file named");
     assert_eq!(run_to_exit(&["dance"]).0, Some(2));
     assert_eq!(run_to_exit(&["version"]).0, Some(0));
-    // The move: one build takes the first shape and the new one, each from its settings alone.
-    let mut new = settings();
-    new["front"] = json!({ "callers": "connections" });
-    new["settings"]["family_info"]
+    // One build accepts both ways to count callers; the settings alone select one.
+    let mut conf = settings();
+    conf["front"] = json!({ "callers": "connections" });
+    conf["settings"]["family_info"]
         .as_object_mut()
         .unwrap()
         .remove("upstreams");
-    let path = temporary_file(&new.to_string());
+    let path = temporary_file(&conf.to_string());
     assert_eq!(
         run_to_exit(&["check", "--config", path.to_str().unwrap()]).0,
         Some(0),
-        "the new shape"
+        "callers counted by connections"
     );
     std::fs::remove_file(path).unwrap();
 }
 
-/// Guards against two servers on one address: the second says so and ends.
+/// Guards against two servers on one address: the second prints an error and exits.
 #[test]
 fn prints_one_line_when_the_address_is_in_use() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = settings();
-    conf["listen"] = json!(taken.local_addr().unwrap().to_string());
+    conf["listen"] = json!(listener.local_addr().unwrap().to_string());
     let path = temporary_file(&conf.to_string());
     assert_eq!(
         run_to_exit(&["check", "--config", path.to_str().unwrap()]).0,
@@ -121,8 +122,8 @@
     );
 }
 
-/// Guards every connection against one that is accepted: where the table of descriptors was enlarged for it, the whole
-/// process stood still in the kernel, for seconds on a busy machine.
+/// Guards against stalls on accept: when the kernel enlarged the process's descriptor table for a new connection, the
+/// whole process was blocked, for seconds on a busy machine. The table must have its full size from the start.
 #[test]
 fn has_room_for_all_its_descriptors_before_it_serves() {
     let rig = Rig::start();
