--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node asks its driver to do, and what it reports for the log.
+//! The outputs of a node: what its driver is to do, and the events that it logs.
 
 use cottondyke_consensus::StorageOperation;
 use cottondyke_membership::Member;
@@ -8,13 +8,13 @@
 /// A change worth one line in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClusterEvent {
-    /// The units of a budget that this node may use changed.
+    /// The number of units of a budget that this node may use changed.
     QuotaChanged {
         /// Name of the budget.
         budget: String,
-        /// Units that could be used until now.
+        /// Units available until now.
         before: u32,
-        /// Units that may be used from now on.
+        /// Units available from now on.
         now: u32,
         /// The epoch under which the quota is leased.
         epoch: Epoch,
@@ -24,12 +24,12 @@
         /// Whether a lease is in force now.
         in_force: bool,
     },
-    /// This node became the leader of the replicas, or stopped being it.
+    /// This node became the leader of the replicas, or lost leadership.
     LeadershipChanged {
         /// Whether it is the leader now.
         is_leader: bool,
     },
-    /// The replica began with the initial state.
+    /// The replica was bootstrapped with the initial state.
     Bootstrapped {
         /// The number of replicas that share this state.
         replicas: usize,
@@ -38,18 +38,18 @@
     MemberUp(Member),
     /// A member left, or was declared dead.
     MemberDown(Member),
-    /// Other members suspected this node or declared it dead, and it refuted that.
+    /// Other members suspected this node or declared it dead, and this node refuted it.
     SuspicionRefuted,
-    /// Another process, whose identity this is, runs under this node's name.
+    /// Another process runs under this node's name; this is its identity.
     DuplicateName(Member),
-    /// The replica's storage failed, or its contents cannot be used: the replica takes no further part.
+    /// The replica's storage failed or holds unusable data: the replica no longer takes part in consensus.
     ReplicaFailed,
 }
 
-/// Something the driver is to do. Outputs are carried out in the order in which they are returned.
+/// An action for the driver, which carries out outputs in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send one datagram, without a connection. It may be lost, repeated or reordered.
+    /// Send one UDP datagram. It may be lost, repeated or reordered.
     Datagram {
         /// The receiver.
         to: SocketAddr,
@@ -64,9 +64,9 @@
         /// The message, to be passed to the receiver's [`handle_message`](crate::ClusterNode::handle_message).
         bytes: Vec<u8>,
     },
-    /// Write to the replica's storage, in order; once it is durable,
-    /// [`handle_stored`](crate::ClusterNode::handle_stored) is called with its number, or else
-    /// [`handle_storage_failure`](crate::ClusterNode::handle_storage_failure).
+    /// Apply to the replica's storage, in order. Once it is durable, the driver calls
+    /// [`handle_stored`](crate::ClusterNode::handle_stored) with its number, or
+    /// [`handle_storage_failure`](crate::ClusterNode::handle_storage_failure) if it cannot be written.
     Store(StorageOperation),
     /// Log this event.
     Notify(ClusterEvent),
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,9 +1,9 @@
 //! One node of a cluster that shares budgets, as a sans-I/O core.
 //!
-//! [`ClusterNode`] joins four cores: the replica of the quota table (`cottondyke_consensus`, on the few nodes that hold
-//! one), the lease manager (`cottondyke_quota`, on the node whose replica leads), the lease holder (`cottondyke_quota`,
-//! on every node) and the membership (`cottondyke_membership`, on every node). Inputs go in with the current time and
-//! [`Output`]s come out, so that the server's drivers and the simulation run the same code.
+//! [`ClusterNode`] combines four sans-I/O components: the replica of the quota table (`cottondyke_consensus`, on the
+//! few nodes that hold one), the lease manager (`cottondyke_quota`, on the node whose replica is the leader), the lease
+//! holder (`cottondyke_quota`, on every node) and the membership (`cottondyke_membership`, on every node). Inputs go in
+//! with the current time and [`Output`]s come out, so that the server's driver and the simulation run the same code.
 
 mod config;
 mod error;
--- a/crates/cluster/src/node/leases.rs
+++ b/crates/cluster/src/node/leases.rs
@@ -1,5 +1,5 @@
 //! Leases: the lease manager, which grants them while this node is the leader, and the lease holder, which requests
-//! those of this node.
+//! leases for this node.
 
 use super::ClusterNode;
 use crate::event::{ClusterEvent, Output};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl ClusterNode {
-    /// Another node requests leases: passes this to the lease manager, or names the leader.
+    /// Handles a lease request of another node: passes it to the lease manager, or answers with the name of the leader.
     pub(super) fn handle_lease_request(
         &mut self,
         now: Time,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The leader granted leases to this node.
+    /// Handles a response of the leader to this node.
     pub(super) fn handle_lease_response(&mut self, response: &LeaseResponse) {
         self.lease_holder.handle_response(response);
         self.unanswered_since = None;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// As the leader: proposes what is due, starts a read index if requests wait for one, and notifies holders
-    /// whose quota changed.
+    /// On the leader: proposes the commands that are due, starts a read index if requests wait for one, and notifies
+    /// holders whose quota changed.
     pub(super) fn run_lease_manager(&mut self, now: Time) {
         if !self.lease_manager.is_leader() {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// As the leader: notifies holders whose quota differs from what they were last sent.
+    /// On the leader: notifies holders whose quota differs from the one that they were last sent.
     fn notify_holders(&mut self) {
         let Some(host) = &self.replica_host else {
             return;
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Requests the leases of this node where they are due, from another replica than before if that did not respond
-    /// in time.
+    /// Sends the lease request of this node if one is due; if the request target did not respond in time, to the next
+    /// replica.
     pub(super) fn send_lease_request_if_due(&mut self, now: Time) {
         if self
             .response_deadline()
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Reports whether a lease is in force, and the units of each budget, where they changed.
+    /// Reports changes in whether a lease is in force, and in the available units of each budget.
     pub(super) fn report_lease_changes(&mut self, now: Time) {
         let in_force = now < self.lease_holder.lease_end();
         if in_force != self.reported_lease_in_force {
--- a/crates/cluster/src/node/membership.rs
+++ b/crates/cluster/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: datagrams, departure, and the list of members.
+//! Membership: datagrams, shutdown, and the list of members.
 
 use super::ClusterNode;
 use crate::event::{ClusterEvent, Output};
@@ -6,14 +6,14 @@
 use cottondyke_types::Time;
 
 impl ClusterNode {
-    /// A datagram arrived; one that cannot be read is ignored.
+    /// Handles a datagram; one that cannot be decoded is ignored.
     pub fn handle_datagram(&mut self, now: Time, bytes: &[u8]) -> Vec<Output> {
         let effects = self.membership.handle_datagram(now, bytes).effects;
         self.apply_membership_effects(effects);
         self.take_outputs()
     }
 
-    /// Tells other members that the process ends, so that they need not detect it.
+    /// Tells other members that the process is ending, so that they need not detect it by failed probes.
     pub fn shut_down(&mut self, now: Time) -> Vec<Output> {
         let effects = self.membership.leave(now);
         self.apply_membership_effects(effects);
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The node: which input goes to which core, and what the effects of one core mean for the others.
+//! The node: passes each input to the component that it concerns, and the effects of one component to the others.
 //!
-//! This module holds the state, the timers and what follows from any input; its children hold what concerns one core
-//! each.
+//! This module holds the state, the timers and the steps that run after every input; each child module covers one
+//! component.
 
 mod leases;
 mod membership;
@@ -27,14 +27,14 @@
 
 /// One node of a cluster, without I/O, clock or randomness of its own.
 ///
-/// The driver passes inputs (timers, datagrams, messages, finished writes) with the current time, and carries out the
-/// [`Output`]s that are returned, in their order. It calls [`handle_timer`](Self::handle_timer) no later than
+/// The driver passes inputs (timers, datagrams, messages, completed writes) with the current time, and carries out the
+/// returned [`Output`]s in order. It calls [`handle_timer`](Self::handle_timer) no later than
 /// [`next_timer`](Self::next_timer), which may change with every input.
 ///
 /// # Example
 ///
 /// A cluster of a single node, which holds the only replica: it bootstraps the replica, becomes the leader, and leases
-/// the budget to itself. Writes are durable at once here.
+/// the budget to itself. In this example writes are durable at once.
 ///
 /// ```
 /// use cottondyke_cluster::{ClusterNode, NodeConfig, Output};
@@ -90,26 +90,26 @@
     membership: Membership,
     /// Grants leases while this node is the leader.
     lease_manager: LeaseManager,
-    /// The leases of this node itself.
+    /// The leases that this node holds.
     lease_holder: LeaseHolder,
     /// The replica that lease requests are sent to, as an index into `config.replicas`.
     request_target: usize,
-    /// Since when the request target owes a response.
+    /// Since when a response of the request target is outstanding.
     unanswered_since: Option<Time>,
-    /// Addresses from which holders sent their last lease request, where this node is the leader.
+    /// The address from which each holder sent its last lease request; empty unless this node is the leader.
     requester_addresses: BTreeMap<Holder, SocketAddr>,
-    /// Addresses from which replicas sent their last raft message.
+    /// The address from which each replica sent its last raft message.
     replica_addresses: BTreeMap<ReplicaId, SocketAddr>,
     /// The units of each budget as last reported by [`ClusterEvent::QuotaChanged`].
     reported_quotas: BTreeMap<String, u32>,
     /// Whether a lease is in force, as last reported by [`ClusterEvent::LeaseChanged`].
     reported_lease_in_force: bool,
-    /// What the current input led to so far.
+    /// The outputs of the current input so far.
     outputs: Vec<Output>,
 }
 
 impl ClusterNode {
-    /// A node at its start. `persisted` is what the storage of its replica holds, if it holds one.
+    /// Creates a node. `persisted` is the stored state of its replica, if it holds one.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
             config.lease_config,
         );
         lease_holder.set_budgets(config.budgets.iter().map(|spec| spec.name.clone()));
-        let any_replica = config.seed as usize % config.replicas.len().max(1);
+        let random_replica = config.seed as usize % config.replicas.len().max(1);
         Ok(ClusterNode {
             membership: new_membership(&config),
             lease_manager: LeaseManager::new(config.lease_config),
@@ -132,7 +132,7 @@
             replica_host,
             request_target: config
                 .replica_index(&config.holder.name)
-                .unwrap_or(any_replica),
+                .unwrap_or(random_replica),
             unanswered_since: None,
             requester_addresses: BTreeMap::new(),
             replica_addresses: BTreeMap::new(),
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Takes other replicas and budgets into use, as the operator's file was read again.
+    /// Replaces the configured replicas and budgets, after the operator's file was reloaded.
     pub fn reconfigure(
         &mut self,
         now: Time,
@@ -160,13 +160,13 @@
         self.finish_input(now)
     }
 
-    /// Records what this node uses and needs of a budget; the outputs come with the next
-    /// [`handle_timer`](Self::handle_timer).
+    /// Records what this node uses and needs of a budget. The next [`handle_timer`](Self::handle_timer) acts on it and
+    /// returns the outputs.
     pub fn record_usage(&mut self, budget: &str, usage: Usage) {
         self.lease_holder.record_usage(budget, usage);
     }
 
-    /// Announces to other members that this node is leaving, and gives back its quota as it falls free.
+    /// Announces to other members that this node is leaving, and releases its quota as units come out of use.
     pub fn start_draining(&mut self, now: Time) -> Vec<Output> {
         self.lease_holder.release_all();
         let effects = self.membership.announce_leaving(now);
@@ -174,7 +174,7 @@
         self.finish_input(now)
     }
 
-    /// The latest time at which [`handle_timer`](Self::handle_timer) is to be called.
+    /// The time at which [`handle_timer`](Self::handle_timer) must be called at the latest.
     pub fn next_timer(&self) -> Time {
         let replica_tick = self
             .replica_host
@@ -198,7 +198,7 @@
             .min(lease_manager_run)
     }
 
-    /// Does what is due. May be called at any time.
+    /// Runs all timers that are due at `now`. May be called at any time.
     pub fn handle_timer(&mut self, now: Time) -> Vec<Output> {
         if now >= self.membership.next_timer() {
             let effects = self.membership.handle_timer(now);
@@ -208,7 +208,7 @@
         self.finish_input(now)
     }
 
-    /// The write with this number, and all before it, are durable.
+    /// Handles the completion of a write: the operation with this number and all before it are durable.
     pub fn handle_stored(&mut self, now: Time, number: u64) -> Vec<Output> {
         if let Some(host) = &mut self.replica_host {
             let effects = host.handle_stored(number);
@@ -217,7 +217,7 @@
         self.finish_input(now)
     }
 
-    /// A write failed: the replica takes no further part.
+    /// Handles a failed write: the replica no longer takes part in consensus.
     pub fn handle_storage_failure(&mut self, now: Time) -> Vec<Output> {
         if let Some(host) = &mut self.replica_host {
             let effects = host.replica.mark_failed();
@@ -226,22 +226,22 @@
         self.finish_input(now)
     }
 
-    /// Units of a budget that this node may have in use now.
+    /// The number of units of a budget that this node may have in use now.
     pub fn available_quota(&self, now: Time, budget: &str) -> u32 {
         self.lease_holder.available(now, budget)
     }
 
-    /// Until when, on this node's clock, the [`available_quota`](Self::available_quota) may be used.
+    /// The time on this node's clock until which [`available_quota`](Self::available_quota) may be used.
     pub fn quota_valid_until(&self, budget: &str) -> Time {
         self.lease_holder.valid_until(budget)
     }
 
-    /// The leases of this node.
+    /// The leases that this node holds, for inspection.
     pub fn lease_holder(&self) -> &LeaseHolder {
         &self.lease_holder
     }
 
-    /// The replicated quota table as far as this node knows it; `None` unless it holds an initialized replica.
+    /// This replica's copy of the quota table; `None` unless this node holds an initialized replica.
     pub fn quota_table(&self) -> Option<&QuotaTable> {
         self.replica_host
             .as_ref()
@@ -249,7 +249,7 @@
             .map(ReplicaHost::quota_table)
     }
 
-    /// Quota withheld because its holder is silent; empty unless this node is the leader.
+    /// Quota that is quarantined because its holder stopped sending requests; empty unless this node is the leader.
     pub fn quarantined(&self, now: Time) -> Vec<QuarantinedQuota> {
         self.quota_table().map_or(Vec::new(), |table| {
             self.lease_manager.quarantined(now, table)
@@ -261,28 +261,28 @@
         self.config.budgets.iter().map(|spec| &spec.name)
     }
 
-    /// The units of a budget that each live member should have: its name, units. Empty unless this node is the leader.
+    /// The target allocation of a budget: name and units of each live member. Empty unless this node is the leader.
     pub fn targets(&self, budget: &str) -> Vec<(String, u32)> {
         self.lease_manager.targets(budget)
     }
 
-    /// Whether this node leads the replicas and grants leases.
+    /// Whether this node is the leader of the replicas, and so grants leases.
     pub fn is_leader(&self) -> bool {
         self.lease_manager.is_leader()
     }
 
-    /// Ids of the replicas that vote, as far as this node knows; empty unless it holds a replica.
+    /// Ids of the voting replicas, as far as this node knows; empty unless it holds a replica.
     pub fn voters(&self) -> Vec<ReplicaId> {
         self.replica_host
             .as_ref()
             .map_or(Vec::new(), |host| host.replica.voters())
     }
 
-    /// Does what may follow from any input, and returns all outputs of the input.
+    /// Runs the steps that any input can make due, and returns all outputs of the input.
     fn finish_input(&mut self, now: Time) -> Vec<Output> {
         self.run_lease_manager(now);
         self.send_lease_request_if_due(now);
-        // A request of this node to itself may be the first that waits for a read index.
+        // If this node is the leader, its own request goes to its own lease manager and may need a read index.
         self.run_lease_manager(now);
         self.report_lease_changes(now);
         self.report_replica_failure();
--- a/crates/cluster/src/node/replica.rs
+++ b/crates/cluster/src/node/replica.rs
@@ -1,4 +1,4 @@
-//! The replica among the other cores: its ticks and messages, its bootstrap, and what its effects mean for the lease
+//! The replica within the node: its ticks and messages, its bootstrap, and the effects that it has on the lease
 //! manager.
 
 use super::ClusterNode;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl ClusterNode {
-    /// Ticks the replica's clock if that is due.
+    /// Ticks the replica's clock if a tick is due.
     pub(super) fn tick_replica(&mut self, now: Time) {
         let Some(host) = self
             .replica_host
@@ -27,7 +27,7 @@
         self.continue_bootstrap(now);
     }
 
-    /// A raft message arrived.
+    /// Handles a raft message of another replica.
     pub(super) fn handle_raft_message(
         &mut self,
         now: Time,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// As a replica without a state: probes the others, and bootstraps once all of them have no state either.
+    /// On a replica without a state: probes the others, and bootstraps once all of them reported that they have none.
     fn continue_bootstrap(&mut self, now: Time) {
         let Some(host) = self
             .replica_host
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Another replica has no state: bootstraps with it, or lets it join.
+    /// Handles the probe of a replica without a state: bootstraps with it, or lets it join.
     pub(super) fn handle_bootstrap_probe(
         &mut self,
         now: Time,
@@ -80,8 +80,8 @@
             }
             return;
         }
-        // An initial member that has not voted yet begins with the initial state as the others did; any other replica
-        // joins as a learner.
+        // An initial member without a state has not voted yet, so it starts from the initial state as the others did;
+        // any other replica joins as a learner.
         let initial_members = host.replica.bootstrap_members();
         if initial_members.get(&probe.id) == Some(&probe.name) {
             let message = Message::Bootstrapped(initial_members.clone());
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The replicas bootstrapped with these members: begins with them if this is one of them and has no state.
+    /// Handles the list of initial members: bootstraps if this replica is one of them and has no state.
     pub(super) fn handle_bootstrapped(&mut self, members: &BTreeMap<ReplicaId, String>) {
         let is_member = self.replica_host.as_ref().is_some_and(|host| {
             !host.replica.is_initialized()
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Begins with the initial state. The write goes first: nothing may be sent that rests on this
-    /// state before it is durable.
+    /// Starts from the initial state. The state is written first: no message that depends on it may be sent before it
+    /// is durable.
     fn bootstrap_replica(&mut self, members: &BTreeMap<ReplicaId, String>) {
         let Some(host) = &mut self.replica_host else {
             return;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Carries out what the replica asks for, and passes on to the lease manager what it reports.
+    /// Carries out the replica's effects: turns them into outputs, or passes them to the lease manager.
     pub(super) fn apply_replica_effects(&mut self, now: Time, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Sends to another replica; the message is lost if no address of it is known.
+    /// Sends a raft message to another replica; it is dropped if no address of that replica is known.
     fn send_raft_message(&mut self, to: ReplicaId, bytes: Vec<u8>) {
         let Some(host) = &self.replica_host else {
             return;
@@ -158,7 +158,8 @@
         self.notify(ClusterEvent::LeadershipChanged { is_leader });
     }
 
-    /// This node was still the leader after the read index was started: requests from before it are answered.
+    /// Handles a confirmed read index: this node was still the leader after the read index was started, so the lease
+    /// requests from before it can be answered.
     fn handle_read_index(&mut self, number: u64) {
         let Some(host) = &mut self.replica_host else {
             return;
--- a/crates/cluster/src/node/replica_host.rs
+++ b/crates/cluster/src/node/replica_host.rs
@@ -1,4 +1,4 @@
-//! The replica of a node, with its clock ticks, its bootstrap and the read index under way.
+//! The replica of a node, with its clock ticks, its bootstrap and the pending read index.
 
 use crate::error::NodeError;
 use crate::state_machine::QuotaStateMachine;
@@ -12,14 +12,14 @@
 /// The interval at which a replica's clock ticks.
 pub const REPLICA_TICK: Time = Time(500);
 
-/// Ticks after which a read index that was not confirmed is given up, so that another is started.
+/// Ticks after which an unconfirmed read index is aborted, so that another one can be started.
 const READ_INDEX_TIMEOUT_TICKS: u64 = 4;
 
-/// Ticks between two reports that the snapshots under way arrived. Nothing else tells raft so: it sends one that was
-/// lost again after this.
+/// Ticks between two reports to raft that pending snapshots were delivered. The transport does not confirm delivery,
+/// and raft resends a lost snapshot only after such a report.
 const SNAPSHOT_REPORT_TICKS: u64 = 10;
 
-/// Earlier than any point in time that occurs: a timer that is due at once.
+/// The due time of a timer that is due at once: earlier than any time that occurs.
 const IMMEDIATELY: Time = Time(i64::MIN / 4);
 
 pub(super) struct ReplicaHost {
@@ -28,17 +28,17 @@
     id: ReplicaId,
     next_tick: Time,
     ticks: u64,
-    /// The tick at which the read index under way was started.
+    /// The tick at which the pending read index was started.
     read_index_tick: Option<u64>,
-    /// Whether the state that the replica began with is durable. Until then the replica does nothing: a crash could
-    /// undo what its messages rest on.
+    /// Whether the state that the replica starts from is durable. Until then the replica neither ticks nor handles
+    /// messages: a crash could undo the state that its messages depend on.
     is_started: bool,
     is_failure_reported: bool,
     seed: u64,
 }
 
 impl ReplicaHost {
-    /// Opens the replica named `name` from what its storage holds.
+    /// Opens the replica named `name` from its stored state.
     pub(super) fn open(
         name: &str,
         persisted: &PersistedState,
@@ -83,10 +83,10 @@
         }
     }
 
-    /// One tick of the replica's clock. `replica_names` are the configured replicas, which the leader makes the members
-    /// of the group.
+    /// Runs one tick of the replica's clock. `replica_names` are the configured replicas; the leader adds and removes
+    /// group members to match them.
     pub(super) fn tick(&mut self, now: Time, replica_names: &[String]) -> Vec<Effect> {
-        // Counted from now, not from the last tick: a process that was stopped does not make up for missed ticks.
+        // Relative to `now`, not to the last tick: a process that was suspended must not catch up on missed ticks.
         self.next_tick = now + REPLICA_TICK;
         self.ticks += 1;
         let mut effects = self.replica.tick();
@@ -99,7 +99,7 @@
         effects
     }
 
-    /// Proposes a command; one that is not accepted is planned again by the lease manager.
+    /// Proposes a command. If it is rejected, the lease manager plans it again.
     pub(super) fn propose(&mut self, command: &Command) -> Vec<Effect> {
         let bytes = postcard::to_allocvec(command).unwrap_or_default();
         self.replica.propose(bytes).unwrap_or_default()
@@ -110,12 +110,12 @@
         self.replica.read_index(number)
     }
 
-    /// No read index is under way any longer.
+    /// Clears the pending read index.
     pub(super) fn finish_read_index(&mut self) {
         self.read_index_tick = None;
     }
 
-    /// Gives up the read index under way if its time is over, and returns whether it was.
+    /// Aborts the pending read index if it timed out, and returns whether it did.
     pub(super) fn abort_overdue_read_index(&mut self) -> bool {
         let is_overdue = self
             .read_index_tick
@@ -131,8 +131,8 @@
         self.replica.handle_stored(number)
     }
 
-    /// Begins anew with the initial state of these members. Returns the write that must be durable before the replica
-    /// starts, or `None` if the replica cannot begin.
+    /// Replaces the replica by one in the initial state of these members. Returns the write that must be durable before
+    /// the replica starts, or `None` if the replica cannot be opened.
     pub(super) fn reset_to_initial_state(
         &mut self,
         members: &BTreeMap<ReplicaId, String>,
@@ -145,7 +145,7 @@
         Some(operation)
     }
 
-    /// Whether the replica failed; true only the first time.
+    /// Whether the replica failed; true only on the first call after the failure.
     pub(super) fn take_failure(&mut self) -> bool {
         let is_new = self.replica.has_failed() && !self.is_failure_reported;
         self.is_failure_reported |= is_new;
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -1,5 +1,5 @@
-//! Routing: which part of the node handles a message, which replica lease requests are sent to, and at which address
-//! a replica is reached.
+//! Routing: which component handles a message, to which replica lease requests are sent, and at which address a replica
+//! is reached.
 
 use super::ClusterNode;
 use crate::event::Output;
@@ -8,15 +8,14 @@
 use cottondyke_types::Time;
 use std::net::SocketAddr;
 
-/// The time after which a lease request without a response goes to another replica, as a fraction of the lease
-/// duration.
+/// The time after which an unanswered lease request is sent to another replica, as a fraction of the lease duration.
 const RESPONSE_TIMEOUT_LEASE_FRACTION: f64 = 0.15;
 
-/// The maximum number of replicas whose last address is remembered.
+/// The maximum number of replicas whose last source address is stored.
 const MAX_REPLICA_ADDRESSES: usize = 64;
 
 impl ClusterNode {
-    /// A message arrived from the node that listens at `from`; one that cannot be decoded is ignored.
+    /// Handles a message from the node at `from`, where responses are sent; one that cannot be decoded is ignored.
     pub fn handle_message(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) -> Vec<Output> {
         match Message::decode(bytes) {
             Some(Message::LeaseRequest(request)) => self.handle_lease_request(now, from, request),
@@ -41,7 +40,7 @@
         self.outputs.push(Output::Send { to, bytes });
     }
 
-    /// Sends to all configured replicas but this node's own.
+    /// Sends to all configured replicas except this node.
     pub(super) fn send_to_other_replicas(&mut self, message: &Message) {
         let own_name = &self.config.holder.name;
         let others: Vec<SocketAddr> = self
@@ -56,12 +55,12 @@
         }
     }
 
-    /// The name of the leading replica, if this node holds a replica that knows it.
+    /// The name of the leader, if this node holds a replica that knows it.
     pub(super) fn known_leader(&self) -> Option<&String> {
         self.replica_host.as_ref()?.leader_name()
     }
 
-    /// Remembers where a replica sent a message from, within the bound.
+    /// Stores the source address of a replica, unless [`MAX_REPLICA_ADDRESSES`] others are stored.
     pub(super) fn record_replica_address(&mut self, replica: ReplicaId, addr: SocketAddr) {
         let is_known = self.replica_addresses.contains_key(&replica);
         if is_known || self.replica_addresses.len() < MAX_REPLICA_ADDRESSES {
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Where a replica is reached: at its configured address, or else where it last sent a message from.
+    /// The address of a replica: the configured one, or else the source address of its last message.
     pub(super) fn replica_address(&self, replica: ReplicaId) -> Option<SocketAddr> {
         let configured = self
             .replica_host
@@ -78,19 +77,19 @@
             .member_names()
             .get(&replica)
             .and_then(|name| self.config.replicas.get(name));
-        // A replica that joins knows no names of others yet: it can only respond to where a message came from.
+        // A replica that is joining does not know the names of others yet, so it can only answer to source addresses.
         configured.or(self.replica_addresses.get(&replica)).copied()
     }
 
-    /// When the request target is given up.
+    /// When lease requests go to another replica unless the request target has responded.
     pub(super) fn response_deadline(&self) -> Option<Time> {
         let lease_duration = self.config.lease_config.lease_duration;
         let timeout = lease_duration.scaled(RESPONSE_TIMEOUT_LEASE_FRACTION);
         self.unanswered_since.map(|since| since + timeout)
     }
 
-    /// The receiver of a lease request is not the leader. Ignored if it comes from a replica that is no longer the
-    /// request target.
+    /// Handles the response of a replica that is not the leader. Ignored if that replica is no longer the request
+    /// target.
     fn handle_not_leader(&mut self, now: Time, from: SocketAddr, leader: Option<String>) {
         let target_addr = self.config.replicas.values().nth(self.request_target);
         if target_addr != Some(&from) {
@@ -100,8 +99,8 @@
         self.redirect_lease_requests(now, leader_index);
     }
 
-    /// Sends the next lease request to this replica soon; if it is not known which one, to the next in order,
-    /// whose time to respond starts now.
+    /// Makes this replica the request target and sends the next lease request soon. Without an index, the next replica
+    /// in order becomes the target, with a response timeout that starts now.
     pub(super) fn redirect_lease_requests(&mut self, now: Time, replica_index: Option<usize>) {
         if let Some(index) = replica_index {
             self.request_target = index;
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Sends further lease requests to the next replica in order.
+    /// Makes the next replica in order the request target, with a response timeout that starts now.
     pub(super) fn rotate_request_target(&mut self, now: Time) {
         self.request_target = (self.request_target + 1) % self.config.replicas.len().max(1);
         self.unanswered_since = Some(now);
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -5,11 +5,11 @@
 use cottondyke_quota::{Budget, Holder, QuarantinedQuota};
 use cottondyke_types::Time;
 
-/// [`Time`] counts tenths of a millisecond.
+/// The unit of [`Time`] is a tenth of a millisecond.
 const TIME_UNITS_PER_MILLISECOND: i64 = 10;
 
 impl ClusterNode {
-    /// The cluster as this node sees it.
+    /// The status of the cluster as this node sees it.
     pub fn status(&self, now: Time) -> NodeStatus {
         let replica = self.replica_host.as_ref().map(|host| &host.replica);
         let quotas = self
@@ -68,7 +68,7 @@
     format!("{}.{}", holder.name, holder.incarnation)
 }
 
-/// Milliseconds until `end`, 0 if that has passed.
+/// Milliseconds until `end`; 0 if it has passed.
 fn remaining_ms(now: Time, end: Time) -> i64 {
     ((end - now).0 / TIME_UNITS_PER_MILLISECOND).max(0)
 }
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that the replicas agree on: the quota table.
+//! The replicated state machine: the quota table.
 
 use cottondyke_consensus::{RestoreError, StateMachine};
 use cottondyke_quota::{Command, QuotaTable};
@@ -9,8 +9,8 @@
 
 impl StateMachine for QuotaStateMachine {
     fn apply(&mut self, command: &[u8]) {
-        // A command that cannot be decoded, or that was made from another state than it meets, must change nothing
-        // on any replica: every replica sees the same failure, so ignoring it keeps them equal.
+        // A command that cannot be decoded, or that was planned for another state of the table, must not change any
+        // replica. It fails on every replica alike, so ignoring the error keeps the replicas identical.
         if let Ok(command) = postcard::from_bytes::<Command>(command) {
             let _ = self.0.apply(&command);
         }
--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -1,7 +1,7 @@
-//! What a node knows of the cluster, as operators see it: sent in [`Message::Status`](crate::Message::Status) and
-//! printed as JSON.
+//! The cluster status that a node reports to operators: sent in [`Message::Status`](crate::Message::Status) and printed
+//! as JSON.
 //!
-//! The order of fields is that of the bytes on the wire, and the names in `rename` are those of the JSON: neither may
+//! The order of fields is the wire format, and the names (those in `rename` where given) are the JSON keys: neither may
 //! change. Durations are in milliseconds.
 
 use cottondyke_membership::MemberStatus;
@@ -15,7 +15,7 @@
     /// Incarnation of this node.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Name of the leading replica, if this node holds a replica and knows the leader.
+    /// Name of the leader, if this node holds a replica that knows it.
     pub leader: Option<String>,
     /// Whether this node is the leader.
     #[serde(rename = "leads")]
@@ -27,12 +27,12 @@
     pub is_replica: bool,
     /// Time until the last lease of this node expires; 0 if none is in force.
     pub lease_ms: i64,
-    /// The units of each budget that this node may use now: name of the budget, units. Printed as JSON pairs.
+    /// The units that this node may use now, by name of the budget. Printed as JSON pairs.
     #[serde(rename = "shares")]
     pub quotas: Vec<(String, u32)>,
     /// The replicated quota table, if this node holds it.
     pub budgets: Vec<BudgetStatus>,
-    /// Quota that is withheld because its holder is silent, if this node is the leader.
+    /// Quota that is quarantined because its holder stopped sending requests, if this node is the leader.
     #[serde(rename = "held_back")]
     pub quarantined: Vec<QuarantineStatus>,
 }
@@ -48,12 +48,12 @@
     /// How long a unit may stay in use after its holder's lease has expired.
     #[serde(rename = "linger_ms")]
     pub post_cancel_grace_ms: i64,
-    /// What each holder has of it.
+    /// The quota of each holder.
     #[serde(rename = "shares")]
     pub quotas: Vec<QuotaStatus>,
 }
 
-/// What one holder has of a budget.
+/// One holder's quota of a budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaStatus {
     /// The holder, as `name.incarnation`.
@@ -66,16 +66,16 @@
     pub fenced: bool,
 }
 
-/// Quota of a silent holder that may not be granted to others yet.
+/// Quota of a holder that stopped sending requests, which may not be granted to others yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineStatus {
     /// Name of the budget.
     pub budget: String,
     /// The holder, as `name.incarnation`.
     pub holder: String,
-    /// Units withheld.
+    /// Units in quarantine.
     pub units: u32,
-    /// How long they are withheld from now on.
+    /// How much longer they stay in quarantine.
     #[serde(rename = "for_ms")]
     pub remaining_ms: i64,
 }
--- a/crates/cluster/tests/cluster_node.rs
+++ b/crates/cluster/tests/cluster_node.rs
@@ -1,4 +1,4 @@
-//! A node by its public interface: two nodes of which the first holds the only replica, without faults.
+//! Tests of a node through its public interface: two nodes, the first of which holds the only replica, without faults.
 
 use cottondyke_cluster::{ClusterEvent, ClusterNode, Message, NodeConfig, Output};
 use cottondyke_consensus::{PersistedState, ReplicaId};
@@ -52,7 +52,7 @@
     ClusterNode::new(config("b"), None).unwrap()
 }
 
-/// Nodes that reach each other without delay or loss, and write without delay.
+/// Nodes whose messages arrive without delay or loss, and whose writes are durable at once.
 struct Cluster {
     now: Time,
     nodes: BTreeMap<SocketAddr, ClusterNode>,
@@ -78,9 +78,13 @@
     fn run(&mut self, duration: Time) {
         let end = self.now + duration;
         while self.now < end {
-            for at in self.nodes.keys().copied().collect::<Vec<_>>() {
-                let outputs = self.nodes.get_mut(&at).unwrap().handle_timer(self.now);
-                self.carry_out(at, outputs);
+            for node_addr in self.nodes.keys().copied().collect::<Vec<_>>() {
+                let outputs = self
+                    .nodes
+                    .get_mut(&node_addr)
+                    .unwrap()
+                    .handle_timer(self.now);
+                self.carry_out(node_addr, outputs);
             }
             let next = self.nodes.values().map(ClusterNode::next_timer).min();
             self.now = next.unwrap().max(self.now + Time(1)).min(end);
@@ -92,7 +96,7 @@
         let mut pending: VecDeque<(SocketAddr, Output)> =
             outputs.into_iter().map(|output| (from, output)).collect();
         while let Some((from, output)) = pending.pop_front() {
-            let (at, outputs) = match output {
+            let (receiver, outputs) = match output {
                 Output::Store(operation) => {
                     let node = self.nodes.get_mut(&from).unwrap();
                     (from, node.handle_stored(now, operation.number))
@@ -110,14 +114,14 @@
                     continue;
                 }
             };
-            pending.extend(outputs.into_iter().map(|output| (at, output)));
+            pending.extend(outputs.into_iter().map(|output| (receiver, output)));
         }
     }
 
     fn events_of(&self, name: &str) -> Vec<&ClusterEvent> {
         self.events
             .iter()
-            .filter(|(at, _)| *at == addr(name))
+            .filter(|(from, _)| *from == addr(name))
             .map(|(_, event)| event)
             .collect()
     }
@@ -165,16 +169,16 @@
 
     let events = cluster.events_of("a");
     let bootstrapped = ClusterEvent::Bootstrapped { replicas: 1 };
-    let leads = ClusterEvent::LeadershipChanged { is_leader: true };
+    let became_leader = ClusterEvent::LeadershipChanged { is_leader: true };
     assert_eq!(events.iter().filter(|e| ***e == bootstrapped).count(), 1);
-    assert_eq!(events.iter().filter(|e| ***e == leads).count(), 1);
+    assert_eq!(events.iter().filter(|e| ***e == became_leader).count(), 1);
     let node = cluster.node("a");
     assert!(node.is_leader() && node.quota_table().is_some());
     assert_eq!(node.voters(), [ReplicaId(1)]);
 }
 
 #[test]
-fn says_nothing_of_its_initial_state_before_that_is_durable() {
+fn stays_inactive_until_its_initial_state_is_durable() {
     let mut node = replica_node();
 
     let outputs = node.handle_timer(Time(0));
@@ -233,7 +237,7 @@
     };
     assert_eq!(*to, addr("a"));
 
-    // Its replica has no state yet.
+    // The replica has no state yet, so it is not the leader.
     let mut node = replica_node();
     let outputs = node.handle_message(Time(0), addr("b"), &request.encode());
 
--- a/crates/server/src/cluster/data_dir.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -1,5 +1,5 @@
-//! The data directory of an instance: its lock, the number of its incarnation, and the replica's file with the thread
-//! that writes it.
+//! The data directory of an instance: its lock, its incarnation number, and the replica's file with the thread that
+//! writes it.
 use crate::cluster::error::ClusterError;
 use async_channel::{Receiver, Sender};
 use cottondyke_consensus::sqlite::{SqliteStorage, StorageError};
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Storage operations that are carried out in one step.
+/// The maximum number of storage operations that are written as one batch.
 const MAX_BATCH: usize = 64;
-/// Bits of an incarnation below its milliseconds, which are random.
+/// The number of random low bits of an incarnation number, below the Unix milliseconds.
 const RANDOM_BITS: u32 = 16;
 
 const LOCK_FILE: &str = "lock";
@@ -20,8 +20,8 @@
 const NEW_INCARNATION_FILE: &str = "life.new";
 const REPLICA_FILE: &str = "registry.db";
 
-/// A number that differs from incarnation to incarnation, also where clocks were stepped back: Unix milliseconds with
-/// random bits below.
+/// A new incarnation number: Unix milliseconds, and random low bits so that incarnations differ even if the clock was
+/// stepped back.
 pub(super) fn new_incarnation() -> u64 {
     let unix_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -30,14 +30,15 @@
     unix_ms << RANDOM_BITS | random() & ((1 << RANDOM_BITS) - 1)
 }
 
-/// A random number from the system, by the only way that the standard library has.
+/// A random number from the operating system. `RandomState` is the only source of one in the standard library.
 fn random() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish()
 }
 
-/// While it is open no other process runs from the directory: so the incarnation that is noted there has ended.
+/// A locked data directory. While the lock is held no other process uses the directory, so the process of the
+/// incarnation that was recorded there before has ended.
 pub(super) struct DataDirectory {
     path: PathBuf,
     pub(super) incarnation: u64,
@@ -46,7 +47,7 @@
 }
 
 impl DataDirectory {
-    /// Locks the directory, which is created where it is missing, and begins an incarnation.
+    /// Creates the directory if it does not exist, locks it, and records a new incarnation.
     pub(super) fn open(path: &str) -> Result<Self, ClusterError> {
         let path = PathBuf::from(path);
         let failed = |source: io::Error| ClusterError::DataDirectory {
@@ -77,7 +78,7 @@
         })
     }
 
-    /// The replica's file, and what it holds.
+    /// Opens the replica's file, and returns it with the stored state.
     pub(super) fn open_replica(&self) -> Result<(SqliteStorage, PersistedState), ClusterError> {
         let new_id = ReplicaId(random() | 1);
         SqliteStorage::open(&self.path.join(REPLICA_FILE), new_id).map_err(ClusterError::Storage)
@@ -92,7 +93,8 @@
     })
 }
 
-/// The number of an incarnation is on disk before the incarnation begins.
+/// Records an incarnation number durably before the incarnation begins: syncs the new file, renames it into place, and
+/// syncs the directory.
 fn write_incarnation(directory: &Path, incarnation: u64) -> io::Result<()> {
     let new = directory.join(NEW_INCARNATION_FILE);
     let mut file = File::create(&new)?;
@@ -102,35 +104,35 @@
     File::open(directory)?.sync_all()
 }
 
-/// The number of the last operation of a batch that is on disk, or why the storage failed.
+/// The number of the last operation of a durable batch, or the error of the storage.
 pub(super) type StorageResult = Result<u64, StorageError>;
 
-/// The thread that writes. What waits is written in one step.
+/// The thread that writes the replica's file. Operations that are queued are written as one batch.
 pub(super) struct StorageThread(Sender<StorageOperation>);
 
 impl StorageThread {
-    /// Starts the thread; results come in the order of the operations.
+    /// Starts the thread. Results are sent in the order of the operations; the thread ends after the first error.
     pub(super) fn start(mut storage: SqliteStorage) -> io::Result<(Self, Receiver<StorageResult>)> {
         let (sender, operations) = async_channel::unbounded::<StorageOperation>();
-        let (results, stored) = async_channel::unbounded();
-        let work = move || {
+        let (result_sender, results) = async_channel::unbounded();
+        let write_batches = move || {
             while let Ok(first) = operations.recv_blocking() {
                 let rest = std::iter::from_fn(|| operations.try_recv().ok()).take(MAX_BATCH - 1);
                 let batch: Vec<StorageOperation> = std::iter::once(first).chain(rest).collect();
                 let last = batch.last().map_or(0, |operation| operation.number);
                 let result = storage.apply(&batch).map(|()| last);
                 let has_failed = result.is_err();
-                if results.send_blocking(result).is_err() || has_failed {
+                if result_sender.send_blocking(result).is_err() || has_failed {
                     return;
                 }
             }
         };
         let thread = std::thread::Builder::new().name("registry".into());
-        thread.spawn(work)?;
-        Ok((StorageThread(sender), stored))
+        thread.spawn(write_batches)?;
+        Ok((StorageThread(sender), results))
     }
 
-    /// Bounded by raft itself, which proposes no more than a megabyte that is not committed.
+    /// Queues an operation. The queue needs no bound of its own: raft keeps uncommitted proposals to 1 MiB.
     pub(super) fn submit(&self, operation: StorageOperation) {
         let _ = self.0.try_send(operation);
     }
--- a/crates/server/src/cluster/demand.rs
+++ b/crates/server/src/cluster/demand.rs
@@ -1,17 +1,20 @@
-//! What each budget is worth here, and how much of it was needed of late.
+//! The demand of this instance for each budget: how many units it needs, and the weight of a unit.
 use cottondyke_dependency::{DependencyUsage, QuotaKind};
 use cottondyke_operator_config::{call_budget_name, rate_budget_name};
 use cottondyke_quota::Usage;
 use std::collections::BTreeMap;
 
-/// What is left of a need that has ended after each report: half of it in a third of a second.
-const NEED_DECAY: f64 = 0.96;
-/// What each start adds of its value to the weight of a unit.
-const WEIGHT_EWMA: f64 = 0.05;
+/// Factor by which the reported need falls with each usage report after the need itself has ended. At one report each
+/// 20 ms it halves in a third of a second.
+const DEMAND_DECAY: f64 = 0.96;
+/// Weight of the newest value in the exponential moving average of the values of starting runs.
+const WEIGHT_EWMA_FACTOR: f64 = 0.05;
 
 #[derive(Debug, Default)]
 struct Demand {
+    /// Units needed, with decay.
     needed: f64,
+    /// Moving average of the values of starting runs.
     weight: f64,
 }
 
@@ -20,18 +23,18 @@
 pub(super) struct DemandTracker(BTreeMap<String, Demand>);
 
 impl DemandTracker {
-    /// A run of this value starts that may call a dependency.
+    /// Records the start of a run of this value that may call `dependency`.
     pub(super) fn record_start(&mut self, dependency: &str, value: f64) {
         for budget in [call_budget_name(dependency), rate_budget_name(dependency)] {
             let demand = self.0.entry(budget).or_insert(Demand {
                 needed: 0.0,
                 weight: value,
             });
-            demand.weight += (value - demand.weight) * WEIGHT_EWMA;
+            demand.weight += (value - demand.weight) * WEIGHT_EWMA_FACTOR;
         }
     }
 
-    /// What is in use at this moment, as the cluster is told: the budget's name and its usage.
+    /// Records the current usage of a dependency. Returns the name of the budget, and the usage to report for it.
     pub(super) fn record_usage(&mut self, usage: &DependencyUsage) -> (String, Usage) {
         let budget = if usage.quota == QuotaKind::Rate {
             rate_budget_name(&usage.dependency)
@@ -39,7 +42,7 @@
             call_budget_name(&usage.dependency)
         };
         let demand = self.0.entry(budget.clone()).or_default();
-        demand.needed = (demand.needed * NEED_DECAY).max(usage.needed as f64);
+        demand.needed = (demand.needed * DEMAND_DECAY).max(usage.needed as f64);
         let usage = Usage {
             in_use: usage.in_flight as u32,
             needed: demand.needed.round() as u32,
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Why an instance cannot join its peers, or be asked.
+//! Errors of starting the cluster driver, and of querying an instance for its status.
 use cottondyke_cluster::NodeError;
 use cottondyke_consensus::sqlite::StorageError;
 use std::io;
@@ -6,54 +6,57 @@
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// Why an instance cannot start among its peers.
+/// Why the cluster driver cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The port cannot be taken.
-    #[error("listen = {:?}: cannot listen there: {source}", .addr.to_string())]
+    /// The port cannot be bound.
+    #[error("listen = {:?}: cannot listen on this address: {source}", .addr.to_string())]
     Listen {
-        /// The address of the operator's file.
+        /// The address in the operator's file.
         addr: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The data directory cannot be read or written.
-    #[error("data = {:?}: {source}", .path.display().to_string())]
+    #[error("data = {:?}: cannot use this directory: {source}", .path.display().to_string())]
     DataDirectory {
         /// The directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process runs from the data directory.
+    /// Another process uses the data directory.
     #[error(
-        "data = {:?}: another process has it: expected a folder of its own for each instance",
+        "data = {:?}: locked by another process: expected a separate directory for each instance",
         .path.display().to_string()
     )]
     DataDirectoryInUse {
         /// The directory.
         path: PathBuf,
     },
-    /// The file that numbers the incarnations holds something else.
-    #[error("data: {} holds no number: expected what this program wrote there", .path.display())]
+    /// The file of the incarnation number holds something else.
+    #[error(
+        "data: {} does not contain an incarnation number: expected the file that cottondyke wrote",
+        .path.display()
+    )]
     CorruptIncarnation {
         /// The file.
         path: PathBuf,
-        /// What is wrong with its number.
+        /// Why its contents are not a number.
         source: ParseIntError,
     },
     /// The replica's file cannot be opened.
     #[error("{0}")]
     Storage(#[source] StorageError),
-    /// The thread that writes cannot be started.
+    /// The thread that writes the replica's file cannot be started.
     #[error("{0}")]
     StorageThread(#[source] io::Error),
-    /// What is stored or configured makes no cluster node.
+    /// The cluster node cannot be created from the stored state and the configuration.
     #[error("{0}")]
     Node(#[source] NodeError),
-    /// Where in the operator's file the cause stands.
+    /// Any of the other errors, with the location of `peers(...)` in the operator's file.
     #[error("{file}:{line}: peers: {source}")]
-    At {
+    InOperatorFile {
         /// The operator's file.
         file: String,
         /// The line of `peers(...)`.
@@ -63,37 +66,37 @@
     },
 }
 
-/// Why an instance could not be asked for its status.
+/// Why the status of an instance could not be queried.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// The connection failed.
     #[error("{addr}: {source}")]
     Io {
-        /// Who was asked.
+        /// The address that was queried.
         addr: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The connection was closed.
+    /// The connection was closed without a response.
     #[error("{addr}: closed without an answer: expected the peers port of an instance")]
     Closed {
-        /// Who was asked.
+        /// The address that was queried.
         addr: SocketAddr,
     },
-    /// Something else than a peer answered.
+    /// The response does not follow the protocol of instances.
     #[error("{addr}: {source}")]
     Protocol {
-        /// Who was asked.
+        /// The address that was queried.
         addr: SocketAddr,
-        /// What cannot be read.
+        /// What is malformed.
         source: crate::protocol::ProtocolError,
     },
-    /// No answer came in time.
-    #[error("{addr}: no answer in {seconds} s")]
+    /// No response came in time.
+    #[error("{addr}: no answer within {seconds} s")]
     Timeout {
-        /// Who was asked.
+        /// The address that was queried.
         addr: SocketAddr,
-        /// How long was waited.
+        /// The timeout.
         seconds: u64,
     },
 }
--- a/crates/server/src/cluster/event_log.rs
+++ b/crates/server/src/cluster/event_log.rs
@@ -1,4 +1,4 @@
-//! One line in the log for each change in the cluster.
+//! Logs cluster events, one line each.
 use cottondyke_cluster::ClusterEvent;
 
 pub(super) fn log(event: &ClusterEvent) {
@@ -13,13 +13,13 @@
         }
         ClusterEvent::LeaseChanged { in_force: true } => tracing::info!("quota lease acquired"),
         ClusterEvent::LeaseChanged { in_force: false } => {
-            tracing::warn!("quota lease expired; using nothing of the shared budgets")
+            tracing::warn!("quota lease expired; no units of shared budgets are available")
         }
         ClusterEvent::LeadershipChanged { is_leader: true } => {
-            tracing::info!("became leader of the replicas")
+            tracing::info!("became the leader of the replicas")
         }
         ClusterEvent::LeadershipChanged { is_leader: false } => {
-            tracing::info!("no longer leader of the replicas")
+            tracing::info!("no longer the leader of the replicas")
         }
         ClusterEvent::Bootstrapped { replicas } => {
             tracing::info!(replicas, "replica group bootstrapped")
@@ -40,7 +40,7 @@
             tracing::error!(name, %addr, "another process uses this instance's name");
         }
         ClusterEvent::ReplicaFailed => {
-            tracing::error!("replica failed; it takes no further part")
+            tracing::error!("replica failed; it no longer takes part in consensus")
         }
     }
 }
--- a/crates/server/src/cluster/links.rs
+++ b/crates/server/src/cluster/links.rs
@@ -1,5 +1,6 @@
-//! Links between instances: one TCP connection a pair, dialled by whoever has something to say to an address of the
-//! operator's file, and used in both directions. Messages may be lost with a link; none waits long.
+//! Links between instances: TCP connections that carry messages in both directions. An instance dials an address of the
+//! operator's file once it has a message for it, and answers over the link that a message came on. Messages are lost
+//! with their link, and are not queued for long.
 use super::ClusterDriver;
 use crate::backoff::Backoff;
 use crate::protocol::peers::{encode, Decoder};
@@ -13,61 +14,64 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Messages that may wait for a link; past that the newest are lost.
+/// The maximum number of messages that wait for a link; further ones are dropped.
 const MAX_PENDING_MESSAGES: usize = 256;
-/// Links that are open at one time, and that are accepted from others.
+/// The maximum number of links, dialled and accepted ones together; beyond it no link is dialled or accepted.
 const MAX_LINKS: usize = 4_096;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Accepting pauses this long after an error.
+/// The pause after an error of accepting a connection.
 const ACCEPT_BACKOFF: Duration = MAX_BACKOFF;
-/// A peer that reads nothing for this long has its link broken, and messages that waited are lost.
+/// A link is closed if the peer does not read a batch of messages within this time; messages that wait are lost.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A link on which nothing came for this long is closed.
+/// A link on which nothing was received for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 const READ_BYTES: usize = 16_384;
 
 struct Link {
     outgoing: Sender<Vec<u8>>,
-    /// None for one that was accepted from another: its own task owns it.
-    dialling: Option<Task<()>>,
+    /// The task that keeps a dialled link open; dropping it closes the link. `None` for an accepted link, which is
+    /// owned by its detached task.
+    dial_task: Option<Task<()>>,
 }
 
 /// The links of this instance.
 #[derive(Default)]
 pub(super) struct Links {
+    /// By the address of the peer.
     open: RefCell<BTreeMap<SocketAddr, Link>>,
-    /// Addresses of the operator's file, which may be dialled.
-    known: RefCell<Vec<SocketAddr>>,
+    /// The replicas' addresses in the operator's file as of its last reload, which may be dialled; empty before.
+    configured: RefCell<Vec<SocketAddr>>,
 }
 
 impl Links {
-    /// Closes dialled links to other addresses than these.
-    pub(super) fn retain(&self, known: impl Iterator<Item = SocketAddr>) {
-        *self.known.borrow_mut() = known.collect();
-        let known = self.known.borrow();
+    /// Replaces the configured addresses, and closes dialled links to all others.
+    pub(super) fn set_configured(&self, addrs: impl Iterator<Item = SocketAddr>) {
+        *self.configured.borrow_mut() = addrs.collect();
+        let configured = self.configured.borrow();
         self.open
             .borrow_mut()
-            .retain(|addr, link| link.dialling.is_none() || known.contains(addr));
+            .retain(|addr, link| link.dial_task.is_none() || configured.contains(addr));
     }
 
-    /// Sends an encoded message, over a new link where there is none.
+    /// Sends an encoded message. Dials a link if there is none and the address may be dialled; otherwise the message is
+    /// dropped.
     pub(super) fn send(&self, driver: &ClusterDriver, to: SocketAddr, message: &[u8]) {
         let mut open = self.open.borrow_mut();
         if !open.contains_key(&to) {
-            let may_dial = driver.is_own_replica(to) || self.known.borrow().contains(&to);
+            let may_dial = driver.is_initial_replica(to) || self.configured.borrow().contains(&to);
             if !may_dial || open.len() >= MAX_LINKS {
                 return;
             }
-            let Some(driver) = driver.shared() else {
+            let Some(driver) = driver.upgrade_self() else {
                 return;
             };
             let (outgoing, messages) = async_channel::bounded(MAX_PENDING_MESSAGES);
-            let dialling = driver.tasks.clone().spawn(dial(driver, to, messages));
+            let dial_task = driver.tasks.clone().spawn(dial(driver, to, messages));
             let link = Link {
                 outgoing,
-                dialling: Some(dialling),
+                dial_task: Some(dial_task),
             };
             open.insert(to, link);
         }
@@ -77,29 +81,30 @@
     }
 }
 
-async fn after<T>(timeout: Duration, value: T) -> T {
-    Timer::after(timeout).await;
+/// Returns `value` after a delay: the result of an operation that did not complete within a timeout.
+async fn after_delay<T>(delay: Duration, value: T) -> T {
+    Timer::after(delay).await;
     value
 }
 
-/// Keeps a link to an address of the operator's file open.
+/// Keeps a link to a configured address open: reconnects, with backoff, whenever it breaks.
 async fn dial(driver: Rc<ClusterDriver>, to: SocketAddr, messages: Receiver<Vec<u8>>) {
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
     loop {
         let connecting = async { Async::<TcpStream>::connect(to).await.ok() };
-        if let Some(stream) = connecting.or(after(CONNECT_TIMEOUT, None)).await {
+        if let Some(stream) = connecting.or(after_delay(CONNECT_TIMEOUT, None)).await {
             let _ = stream.get_ref().set_nodelay(true);
             if exchange(&driver, &stream, to, &messages).await {
                 backoff.reset();
             }
         }
-        // What waited for a link that was not there is of no use by now.
+        // Messages that waited for the broken link are outdated by now; their senders repeat requests.
         while messages.try_recv().is_ok() {}
         backoff.wait().await;
     }
 }
 
-/// Messages in both directions until the link breaks; true if any came.
+/// Exchanges messages in both directions until the link breaks. Returns whether any message was received.
 async fn exchange(
     driver: &ClusterDriver,
     stream: &Async<TcpStream>,
@@ -123,7 +128,7 @@
     let mut bytes = vec![0; READ_BYTES];
     loop {
         let reading = async { (&mut &*stream).read(&mut bytes).await.unwrap_or(0) };
-        let count = reading.or(after(IDLE_TIMEOUT, 0)).await;
+        let count = reading.or(after_delay(IDLE_TIMEOUT, 0)).await;
         if count == 0 {
             return;
         }
@@ -151,13 +156,13 @@
             bytes.extend(more);
         }
         let writing = async { (&mut &*stream).write_all(&bytes).await.is_ok() };
-        if !writing.or(after(WRITE_TIMEOUT, false)).await {
+        if !writing.or(after_delay(WRITE_TIMEOUT, false)).await {
             return;
         }
     }
 }
 
-/// Accepts links from other instances, and from operators who ask for the status.
+/// Accepts links from other instances, and from `cottondyke peers`, which requests the status.
 pub(super) async fn accept(driver: Rc<ClusterDriver>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -171,13 +176,13 @@
         let (outgoing, messages) = async_channel::bounded(MAX_PENDING_MESSAGES);
         let link = Link {
             outgoing,
-            dialling: None,
+            dial_task: None,
         };
         driver.links.open.borrow_mut().insert(peer, link);
-        let of = driver.clone();
+        let link_driver = driver.clone();
         let exchanging = async move {
-            exchange(&of, &stream, peer, &messages).await;
-            of.links.open.borrow_mut().remove(&peer);
+            exchange(&link_driver, &stream, peer, &messages).await;
+            link_driver.links.open.borrow_mut().remove(&peer);
         };
         driver.tasks.spawn(exchanging).detach();
     }
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! This instance among others, on sockets and a disk. What is decided is in `cottondyke_cluster`; here its outputs
-//! become messages on links and storage operations, and its quotas reach the dependency gates. Without `peers(...)` in
-//! the operator's file nothing of it exists.
+//! The cluster driver of this instance. `cottondyke_cluster` makes the decisions; this module does the I/O for it: it
+//! sends the messages over links, applies the storage operations, and passes the quotas to the dependency gates. The
+//! driver exists only if the operator's file declares `peers(...)`.
 mod data_dir;
 mod demand;
 pub mod error;
@@ -28,25 +28,25 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How often the usage of budgets is reported.
+/// The interval at which the usage of budgets is reported.
 pub const USAGE_INTERVAL: Time = Time(200);
-/// Reading datagrams pauses this long after an error.
+/// The pause after an error of receiving a datagram.
 const DATAGRAM_BACKOFF: Duration = Duration::from_millis(1);
 
-/// Drives the cluster node: brings it what comes from sockets, disk and clock, and performs what it puts out.
+/// Drives the cluster node: passes it inputs from sockets, storage and clock, and carries out its outputs.
 pub struct ClusterDriver {
     node: RefCell<ClusterNode>,
-    /// What the gates may use, by budget.
-    leased: RefCell<BTreeMap<String, Rc<LeasedQuota>>>,
+    /// The quotas that the dependency gates read, by name of the budget.
+    leased_quotas: RefCell<BTreeMap<String, Rc<LeasedQuota>>>,
     demand: RefCell<DemandTracker>,
     clock: Clock,
     links: links::Links,
-    datagrams: Async<UdpSocket>,
+    udp_socket: Async<UdpSocket>,
     storage: Option<StorageThread>,
     tasks: Rc<LocalExecutor<'static>>,
-    /// As the file says at the start.
+    /// `peers(...)` of the operator's file at the start; not replaced on reload.
     peers: Peers,
-    this: Weak<ClusterDriver>,
+    weak_self: Weak<ClusterDriver>,
 }
 
 impl ClusterDriver {
@@ -54,30 +54,30 @@
         node: ClusterNode,
         peers: Peers,
         clock: Clock,
-        datagrams: Async<UdpSocket>,
+        udp_socket: Async<UdpSocket>,
         storage: Option<StorageThread>,
         tasks: Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
-        Rc::new_cyclic(|this| ClusterDriver {
-            this: this.clone(),
+        Rc::new_cyclic(|weak_self| ClusterDriver {
+            weak_self: weak_self.clone(),
             node: RefCell::new(node),
-            leased: RefCell::default(),
+            leased_quotas: RefCell::default(),
             demand: RefCell::default(),
             clock,
             links: links::Links::default(),
-            datagrams,
+            udp_socket,
             storage,
             tasks,
             peers,
         })
     }
 
-    /// The quota of each dependency with a shared budget goes into the plan.
+    /// Sets the leased quotas of each dependency with a shared budget in the plan.
     pub fn attach_quotas(&self, plan: &mut Plan) {
         let now = self.clock.now();
         for spec in &mut plan.dependencies {
-            let calls = self.quota_of(call_budget_name(&spec.name));
-            let rate = self.quota_of(rate_budget_name(&spec.name));
+            let calls = self.leased_quota(call_budget_name(&spec.name));
+            let rate = self.leased_quota(rate_budget_name(&spec.name));
             if let Some(spec) = Rc::get_mut(spec) {
                 spec.leased_calls = calls;
                 spec.leased_rate = rate;
@@ -86,19 +86,25 @@
         self.renew_quotas(now);
     }
 
-    /// The quota of a budget, if it is shared.
-    fn quota_of(&self, budget: String) -> Option<Rc<LeasedQuota>> {
+    /// The leased quota of a budget, if the budget is shared.
+    fn leased_quota(&self, budget: String) -> Option<Rc<LeasedQuota>> {
         let node = self.node.borrow();
         let is_shared = node.budget_names().any(|name| *name == budget);
-        is_shared.then(|| self.leased.borrow_mut().entry(budget).or_default().clone())
+        is_shared.then(|| {
+            self.leased_quotas
+                .borrow_mut()
+                .entry(budget)
+                .or_default()
+                .clone()
+        })
     }
 
-    /// A run of this value starts that may call a dependency.
+    /// Records the start of a run of this value that may call `dependency`.
     pub fn record_start(&self, dependency: &str, value: f64) {
         self.demand.borrow_mut().record_start(dependency, value);
     }
 
-    /// What is in use at this moment.
+    /// Records the current usage of dependencies, and reports it to the node.
     pub fn record_usage(&self, now: Time, usages: &[DependencyUsage]) {
         for usage in usages {
             let (budget, usage) = self.demand.borrow_mut().record_usage(usage);
@@ -107,27 +113,27 @@
         self.step(|node| node.handle_timer(now));
     }
 
-    /// The server drains: it needs nothing more.
+    /// Handles the start of draining: this instance needs no more quota, and releases what it holds.
     pub fn start_draining(&self, now: Time) {
         self.step(|node| node.start_draining(now));
     }
 
-    /// The process ends.
+    /// Tells other members that the process is ending.
     pub fn shut_down(&self) {
         let now = self.clock.now();
         self.step(|node| node.shut_down(now));
     }
 
-    /// Another operator's file is in force.
+    /// Applies a reloaded operator's file: its replicas and shared budgets.
     pub fn reconfigure(&self, now: Time, operator: &OperatorConfig) {
         let Some(peers) = &operator.peers else { return };
         let replicas = peers.replicas.iter().cloned().collect();
         self.links
-            .retain(peers.replicas.iter().map(|(_, addr)| *addr));
+            .set_configured(peers.replicas.iter().map(|(_, addr)| *addr));
         self.step(|node| node.reconfigure(now, replicas, operator.shared_budgets()));
     }
 
-    /// Whether the file's `peers` differ in what cannot change while the program runs: all but the replicas.
+    /// Whether `new` differs from the running `peers` in anything that takes a restart to change: all but the replicas.
     pub fn is_fixed_part_changed(&self, new: &Peers) -> bool {
         let old = &self.peers;
         old.name != new.name
@@ -140,12 +146,13 @@
             || old.probe_interval != new.probe_interval
     }
 
-    /// For the tasks of its links.
-    fn shared(&self) -> Option<Rc<ClusterDriver>> {
-        self.this.upgrade()
+    /// A shared pointer to this driver, for the tasks of its links.
+    fn upgrade_self(&self) -> Option<Rc<ClusterDriver>> {
+        self.weak_self.upgrade()
     }
 
-    fn is_own_replica(&self, addr: SocketAddr) -> bool {
+    /// Whether the operator's file named a replica at this address at the start.
+    fn is_initial_replica(&self, addr: SocketAddr) -> bool {
         let mut replicas = self.peers.replicas.iter();
         replicas.any(|(_, replica)| *replica == addr)
     }
@@ -158,42 +165,42 @@
     async fn receive_datagrams(self: Rc<Self>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            match self.datagrams.recv_from(&mut bytes).await {
+            match self.udp_socket.recv_from(&mut bytes).await {
                 Ok((count, _)) => {
                     let now = self.clock.now();
                     self.step(|node| node.handle_datagram(now, &bytes[..count]));
                 }
-                // What a peer that is not there sends back.
+                // For example an ICMP error, if the receiver of an earlier datagram is not running.
                 Err(error) => {
-                    tracing::debug!(%error, "cannot read a datagram");
+                    tracing::debug!(%error, "cannot receive a datagram");
                     Timer::after(DATAGRAM_BACKOFF).await;
                 }
             }
         }
     }
 
-    async fn follow_storage(self: Rc<Self>, stored: Receiver<StorageResult>) {
-        while let Ok(result) = stored.recv().await {
+    async fn handle_storage_results(self: Rc<Self>, results: Receiver<StorageResult>) {
+        while let Ok(result) = results.recv().await {
             let now = self.clock.now();
             match result {
                 Ok(number) => self.step(|node| node.handle_stored(now, number)),
                 Err(error) => {
-                    tracing::error!(%error, "replica storage failed; the replica takes no further part");
+                    tracing::error!(%error, "replica storage failed; the replica no longer takes part in consensus");
                     self.step(|node| node.handle_storage_failure(now));
                 }
             }
         }
     }
 
-    /// One input to the node, its outputs performed in their order, and what the gates may use now.
+    /// Passes one input to the node, carries out its outputs in order, and updates the quotas of the gates.
     fn step(&self, input: impl FnOnce(&mut ClusterNode) -> Vec<Output>) {
         let outputs = input(&mut self.node.borrow_mut());
         for output in outputs {
             match output {
                 Output::Send { to, bytes } => self.links.send(self, to, &bytes),
-                // One that cannot go out at once is lost, as any may be on its way.
+                // A datagram that cannot be sent at once is dropped: the protocol tolerates loss.
                 Output::Datagram { to, bytes } => {
-                    let _ = self.datagrams.get_ref().send_to(&bytes, to);
+                    let _ = self.udp_socket.get_ref().send_to(&bytes, to);
                 }
                 Output::Store(operation) => {
                     if let Some(storage) = &self.storage {
@@ -208,9 +215,9 @@
 
     fn renew_quotas(&self, now: Time) {
         let node = self.node.borrow();
-        for (name, leased) in self.leased.borrow().iter() {
-            let quota = node.available_quota(now, name) as usize;
-            leased.renew(now, quota, node.quota_valid_until(name));
+        for (name, leased_quota) in self.leased_quotas.borrow().iter() {
+            let units = node.available_quota(now, name) as usize;
+            leased_quota.renew(now, units, node.quota_valid_until(name));
         }
     }
 }
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -1,4 +1,4 @@
-//! Starts an instance among its peers: its port, its data directory, and the tasks that serve them.
+//! Starts the cluster driver: binds its port, opens its data directory, and runs its tasks.
 use super::data_dir::{new_incarnation, DataDirectory, StorageResult, StorageThread};
 use super::error::ClusterError;
 use super::{links, ClusterDriver, USAGE_INTERVAL};
@@ -15,58 +15,58 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::rc::Rc;
 
-/// Ports that are tried where the system chooses one.
+/// How many ports are tried if the operating system chooses the port.
 const BIND_ATTEMPTS: usize = 16;
-/// The shortest wait between two steps of the node's timers.
+/// The shortest interval between two runs of the node's timers.
 const MIN_TIMER_STEP: Time = Time(1);
 
-/// What is started with the program: the driver, and what its tasks need.
+/// A cluster driver with bound sockets and open storage, whose tasks are yet to [`run`](Self::run).
 pub struct StartedCluster {
-    /// The driver.
+    /// The driver, for the parts of the server that use quotas.
     pub driver: Rc<ClusterDriver>,
     listener: Async<TcpListener>,
-    stored: Option<Receiver<StorageResult>>,
-    /// Keeps other processes out of the directory.
+    storage_results: Option<Receiver<StorageResult>>,
+    /// Holds the lock on the data directory.
     _data_dir: Option<DataDirectory>,
 }
 
-/// One port for links and datagrams. Where the system chooses it, one that is free for links may be taken for
-/// datagrams: then another is tried.
+/// Binds one port number for TCP links and UDP datagrams. If the operating system chooses the port, one that is free
+/// for TCP may be in use for UDP; then another one is tried.
 fn bind(addr: SocketAddr) -> io::Result<(Async<TcpListener>, Async<UdpSocket>)> {
-    let mut attempts = if addr.port() == 0 { BIND_ATTEMPTS } else { 1 };
+    let mut remaining_attempts = if addr.port() == 0 { BIND_ATTEMPTS } else { 1 };
     loop {
         let listener = Async::<TcpListener>::bind(addr)?;
-        attempts -= 1;
+        remaining_attempts -= 1;
         match Async::<UdpSocket>::bind(listener.get_ref().local_addr()?) {
-            Ok(datagrams) => return Ok((listener, datagrams)),
-            Err(e) if attempts == 0 => return Err(e),
+            Ok(udp_socket) => return Ok((listener, udp_socket)),
+            Err(e) if remaining_attempts == 0 => return Err(e),
             Err(_) => {}
         }
     }
 }
 
-/// The replica's storage, where this instance has one.
+/// The replica's storage; empty if this instance holds no replica.
 #[derive(Default)]
 struct Storage {
     thread: Option<StorageThread>,
     state: Option<PersistedState>,
-    stored: Option<Receiver<StorageResult>>,
+    results: Option<Receiver<StorageResult>>,
 }
 
 impl Storage {
     fn open(data_dir: &DataDirectory) -> Result<Self, ClusterError> {
         let (storage, state) = data_dir.open_replica()?;
-        let (thread, stored) =
+        let (thread, results) =
             StorageThread::start(storage).map_err(ClusterError::StorageThread)?;
         Ok(Storage {
             thread: Some(thread),
             state: Some(state),
-            stored: Some(stored),
+            results: Some(results),
         })
     }
 }
 
-/// Opens the directory and the port. `seed` is of the node's random numbers.
+/// Binds the port, opens the data directory and creates the driver. `seed` seeds the node's pseudo-random choices.
 pub fn start(
     operator: &OperatorConfig,
     peers: &Peers,
@@ -74,7 +74,7 @@
     tasks: Rc<LocalExecutor<'static>>,
     seed: u64,
 ) -> Result<StartedCluster, ClusterError> {
-    open(operator, peers, clock, tasks, seed).map_err(|error| ClusterError::At {
+    open(operator, peers, clock, tasks, seed).map_err(|error| ClusterError::InOperatorFile {
         file: peers.at.file.clone(),
         line: peers.at.line,
         source: Box::new(error),
@@ -88,7 +88,7 @@
     tasks: Rc<LocalExecutor<'static>>,
     seed: u64,
 ) -> Result<StartedCluster, ClusterError> {
-    let (listener, datagrams) = bind(peers.listen).map_err(|source| ClusterError::Listen {
+    let (listener, udp_socket) = bind(peers.listen).map_err(|source| ClusterError::Listen {
         addr: peers.listen,
         source,
     })?;
@@ -122,12 +122,19 @@
         seed: seed ^ incarnation,
     };
     let node = ClusterNode::new(config, storage.state.as_ref()).map_err(ClusterError::Node)?;
-    let driver = ClusterDriver::new(node, peers.clone(), clock, datagrams, storage.thread, tasks);
+    let driver = ClusterDriver::new(
+        node,
+        peers.clone(),
+        clock,
+        udp_socket,
+        storage.thread,
+        tasks,
+    );
     tracing::info!(name = peers.name, life = incarnation, listen = %bound, "among peers");
     Ok(StartedCluster {
         driver,
         listener,
-        stored: storage.stored,
+        storage_results: storage.results,
         _data_dir: data_dir,
     })
 }
@@ -146,25 +153,28 @@
 }
 
 impl StartedCluster {
-    /// Serves the links, the storage and the node's own timers; ends only with a panic of one of its tasks.
+    /// Runs the tasks for links, datagrams and storage, and the node's timers. A panic of one of the tasks ends it.
     pub async fn run(self) {
         let StartedCluster {
             driver,
             listener,
-            stored,
+            storage_results,
             _data_dir,
         } = self;
         let receiving = driver.tasks.spawn(driver.clone().receive_datagrams());
         let accepting = driver.tasks.spawn(links::accept(driver.clone(), listener));
-        let storing =
-            stored.map(|stored| driver.tasks.spawn(driver.clone().follow_storage(stored)));
+        let storing = storage_results.map(|results| {
+            driver
+                .tasks
+                .spawn(driver.clone().handle_storage_results(results))
+        });
         loop {
             let now = driver.clock.now();
             driver.step(|node| node.handle_timer(now));
             let next = driver.node.borrow().next_timer();
             let next = next.min(now + USAGE_INTERVAL).max(now + MIN_TIMER_STEP);
             Timer::at(driver.clock.instant(next)).await;
-            // A task that ended by a panic must not be missed.
+            // A task that panicked must be awaited, so that its panic is passed on and ends the server.
             let has_ended = accepting.is_finished()
                 || receiving.is_finished()
                 || storing.as_ref().is_some_and(Task::is_finished);
--- a/crates/server/src/cluster/status.rs
+++ b/crates/server/src/cluster/status.rs
@@ -1,4 +1,4 @@
-//! `cottondyke peers ADDR`: asks a running instance what it knows.
+//! `cottondyke peers ADDR`: queries a running instance for its cluster status.
 use crate::cluster::error::StatusError;
 use crate::protocol::peers::{encode, Decoder};
 use cottondyke_cluster::{Message, NodeStatus};
@@ -10,7 +10,7 @@
 const TIMEOUT: Duration = Duration::from_secs(3);
 const READ_BYTES: usize = 4_096;
 
-/// Asks the instance whose peers port this is for its status.
+/// Queries the instance that listens for its peers at this address for its status.
 pub fn query(addr: SocketAddr) -> Result<NodeStatus, StatusError> {
     let failed = |source: io::Error| StatusError::Io { addr, source };
     let mut stream = TcpStream::connect_timeout(&addr, TIMEOUT).map_err(failed)?;
@@ -20,15 +20,15 @@
     stream.write_all(&request).map_err(failed)?;
     let mut decoder = Decoder::default();
     let mut bytes = [0; READ_BYTES];
-    let until = Instant::now() + TIMEOUT;
-    while Instant::now() < until {
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
         let count = stream.read(&mut bytes).map_err(failed)?;
         if count == 0 {
             return Err(StatusError::Closed { addr });
         }
         decoder.feed(&bytes[..count]);
-        let refused = |source| StatusError::Protocol { addr, source };
-        while let Some(message) = decoder.next_message().map_err(refused)? {
+        let malformed = |source| StatusError::Protocol { addr, source };
+        while let Some(message) = decoder.next_message().map_err(malformed)? {
             if let Some(Message::Status(status)) = Message::decode(&message) {
                 return Ok(*status);
             }
@@ -40,10 +40,10 @@
     })
 }
 
-/// The status as text, for people.
+/// Renders the status as human-readable text.
 pub fn render(status: &NodeStatus) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = write_status(&mut text, status);
     text
 }
--- a/crates/server/tests/serve/fleet.rs
+++ b/crates/server/tests/serve/fleet.rs
@@ -1,4 +1,5 @@
-//! Several servers, each with a machine of its own, under the load of sidecars that retry and heed advice.
+//! A fleet of servers, each on a fake machine of its own, under the load of sidecars that retry rejected requests and
+//! may follow load advice.
 use crate::rig::*;
 use cottondyke_test_support::fake_machine::*;
 use cottondyke_test_support::fakes::*;
@@ -8,24 +9,24 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Over which the settings average what runs, and in which a budget counts.
+/// The window over which the settings average calls and running requests, and over which the tests measure budget use.
 pub(crate) const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// The client timeout of most fleets.
+/// The client timeout in most tests.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// By which an answer may be later on a machine that other tests keep busy.
-const ANSWER_SLACK: Duration = Duration::from_millis(400);
-/// How long an advised share of traffic is heeded.
+/// Tolerance for late responses, since other tests keep the machine busy.
+const RESPONSE_SLACK: Duration = Duration::from_millis(400);
+/// How long a sidecar applies an advised share of traffic.
 const ADVICE_LIFETIME: Duration = Duration::from_secs(1);
-/// Servers that a sidecar tries for one request.
-const MAX_TRIES: u32 = 2;
-/// Calls of one server that the shared dependency survives in the mean.
+/// The maximum number of attempts that a sidecar makes for one request.
+const MAX_ATTEMPTS: u32 = 2;
+/// The mean number of calls in flight from one server that the shared dependency survives.
 pub(crate) const CALL_SHARE: f64 = 2.0;
 const SIDECARS: u64 = 4;
-/// Codes of an answer.
+/// Outcome codes of a response.
 const REJECTED: u8 = 0;
 const COMPLETED: u8 = 1;
 
-/// A machine that starts at its full speed, and says so.
+/// A machine that starts at its full speed, as its settings state.
 pub(crate) const STEADY_MACHINE: MachineConfig = MachineConfig {
     cores: 2.0,
     cold_speed: 1.0,
@@ -36,20 +37,20 @@
     makes_calls: false,
 };
 
-/// What the servers of a fleet are like, and what they are sent.
+/// The servers of a fleet and the load that they are sent.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetConfig {
     pub(crate) servers: usize,
     pub(crate) machine: MachineConfig,
-    /// The mean work of a request on a core at full speed.
+    /// The mean time that a request takes on a core at full speed.
     pub(crate) mean_work: Duration,
-    /// Requests a second, for each server.
+    /// Requests per second and server.
     pub(crate) rate: f64,
-    /// How the settings let requests repeat: `repeatable`, `by_key` or `once`.
+    /// The `effect` of the handler's requests in the settings: `repeatable`, `by_key` or `once`.
     pub(crate) effect: &'static str,
-    /// Whether sidecars heed advice and stay away when told to.
+    /// Whether sidecars follow the advised share of traffic and the retry delay of a rejection.
     pub(crate) heeds_advice: bool,
-    /// After which a client waits no longer.
+    /// The time after which a client stops waiting.
     pub(crate) client_timeout: Duration,
 }
 
@@ -59,7 +60,8 @@
     process: Option<Process>,
     conf: Value,
     pub(crate) addr: SocketAddr,
-    /// The other ends that it has; all but the records service accept nothing.
+    /// Listeners for the engine, the records service and the control plane. Tests accept connections only on that of
+    /// the records service.
     pub(crate) peers: [std::net::TcpListener; 3],
 }
 
@@ -82,12 +84,12 @@
         }
     }
 
-    /// SIGKILL, for the process and for what ran on its machine.
+    /// Kills the process with SIGKILL. The runs on its machine end when `start_again` restarts the machine.
     pub(crate) fn kill(&mut self) {
         self.process = None;
     }
 
-    /// Starts the process and its machine again, cold, under the same address.
+    /// Restarts the process and its machine cold, at the same address.
     pub(crate) fn start_again(&mut self) {
         self.conf["settings"]["family_info"]["cold"] = json!(true);
         self.machine.restart(StartKind::Cold);
@@ -112,14 +114,14 @@
     info["dep_share"] = json!(CALL_SHARE);
     info["calls_over_ms"] = ms(OVERLOAD_WINDOW);
     info["upstreams"] = json!(SIDECARS);
-    let rules = &mut settings["obligations"];
-    rules["overload_factor"] = json!(machine.overload_factor);
-    rules["start_capacity"] = json!(machine.told_cold_speed);
-    rules["warm_within_ms"] = ms(machine.told_warm_within);
-    rules["fall_ms"] = ms(OVERLOAD_WINDOW);
+    let obligations = &mut settings["obligations"];
+    obligations["overload_factor"] = json!(machine.overload_factor);
+    obligations["start_capacity"] = json!(machine.told_cold_speed);
+    obligations["warm_within_ms"] = ms(machine.told_warm_within);
+    obligations["fall_ms"] = ms(OVERLOAD_WINDOW);
 }
 
-/// The servers.
+/// The running servers of a fleet.
 pub(crate) struct Fleet {
     pub(crate) config: FleetConfig,
     pub(crate) servers: Vec<Server>,
@@ -134,11 +136,11 @@
         }
     }
 
-    /// Sends load for this long while `faults` strikes; returns what became of the requests.
+    /// Sends load for `duration` while `inject_faults` runs; returns the outcomes of the requests.
     pub(crate) fn under_load(
         &mut self,
         duration: Duration,
-        faults: impl FnOnce(&mut Vec<Server>),
+        inject_faults: impl FnOnce(&mut Vec<Server>),
     ) -> Outcomes {
         let addrs: Vec<_> = self.servers.iter().map(|server| server.addr).collect();
         let until = Instant::now() + duration;
@@ -149,7 +151,7 @@
                 std::thread::spawn(move || Sidecar::new(number, addrs, config).run(until))
             })
             .collect();
-        faults(&mut self.servers);
+        inject_faults(&mut self.servers);
         let mut outcomes = Outcomes::default();
         for sidecar in sidecars {
             outcomes.add(&sidecar.join().unwrap());
@@ -158,14 +160,15 @@
     }
 }
 
-/// What became of the requests that were sent.
+/// Counts of attempts by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) sent: u64,
     pub(crate) completed: u64,
     pub(crate) rejected: u64,
     pub(crate) failed: u64,
-    /// Answered past the client timeout, or not at all, on a connection that stood to the end.
+    /// Answered after the client timeout, which is counted above too, or not at all on a connection that stayed open to
+    /// the end.
     pub(crate) lost: u64,
 }
 
@@ -179,28 +182,29 @@
     }
 }
 
-/// A request that a sidecar owes its client.
+/// A request that awaits a response or a retry.
 #[derive(Clone, Copy)]
-struct Attempt {
+struct PendingRequest {
     work: Duration,
-    tries: u32,
+    attempts: u32,
     sent_at: Instant,
 }
 
 /// What a sidecar knows of one server.
-struct Known {
-    pending: BTreeMap<u32, Attempt>,
-    stay_away_until: Instant,
-    share: f64,
-    share_heard_at: Instant,
+struct ServerState {
+    /// By stream.
+    pending: BTreeMap<u32, PendingRequest>,
+    avoid_until: Instant,
+    advised_share: f64,
+    advised_at: Instant,
     is_connected: bool,
 }
 
-/// What a sidecar's sender shares with the readers of its connections.
+/// The state that a sidecar's sender shares with the readers of its connections.
 struct SidecarState {
-    servers: Vec<Known>,
-    /// Rejected elsewhere, to be sent again.
-    retries: VecDeque<Attempt>,
+    servers: Vec<ServerState>,
+    /// Rejected requests that are to be sent again.
+    retries: VecDeque<PendingRequest>,
     outcomes: Outcomes,
 }
 
@@ -218,15 +222,15 @@
 impl Sidecar {
     fn new(number: u64, addrs: Vec<SocketAddr>, config: FleetConfig) -> Self {
         let now = Instant::now();
-        let known = |_: &SocketAddr| Known {
+        let new_server = |_: &SocketAddr| ServerState {
             pending: BTreeMap::new(),
-            stay_away_until: now,
-            share: 1.0,
-            share_heard_at: now,
+            avoid_until: now,
+            advised_share: 1.0,
+            advised_at: now,
             is_connected: false,
         };
         let state = SidecarState {
-            servers: addrs.iter().map(known).collect(),
+            servers: addrs.iter().map(new_server).collect(),
             retries: VecDeque::new(),
             outcomes: Outcomes::default(),
         };
@@ -246,32 +250,36 @@
         self.state.lock().unwrap()
     }
 
-    /// Sends what is due until then, and waits for what is still owed.
+    /// Sends requests at the configured rate until `until`, then waits for outstanding responses.
     fn run(mut self, until: Instant) -> Outcomes {
         let rate = self.config.rate * self.config.servers as f64 / SIDECARS as f64;
         let interval = Duration::from_secs_f64(1.0 / rate);
-        let mut due = Instant::now() + interval.mul_f64(self.draw());
+        let mut due = Instant::now() + interval.mul_f64(self.next_random());
         while due < until {
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             self.send_retries();
-            let work = self.config.mean_work.mul_f64(0.25 + 1.5 * self.draw());
-            self.send(Attempt {
+            let work = self
+                .config
+                .mean_work
+                .mul_f64(0.25 + 1.5 * self.next_random());
+            self.send(PendingRequest {
                 work,
-                tries: 0,
+                attempts: 0,
                 sent_at: due,
             });
-            due += interval.mul_f64(2.0 * self.draw());
+            due += interval.mul_f64(2.0 * self.next_random());
         }
-        std::thread::sleep(self.config.client_timeout + ANSWER_SLACK);
+        std::thread::sleep(self.config.client_timeout + RESPONSE_SLACK);
         let state = self.state();
-        let connected = state.servers.iter().filter(|known| known.is_connected);
-        let unanswered: usize = connected.map(|known| known.pending.len()).sum();
+        let connected = state.servers.iter().filter(|server| server.is_connected);
+        let unanswered: usize = connected.map(|server| server.pending.len()).sum();
         let mut outcomes = state.outcomes;
         outcomes.lost += unanswered as u64;
         outcomes
     }
 
-    fn draw(&mut self) -> f64 {
+    /// A pseudo-random number from 0 to 1.
+    fn next_random(&mut self) -> f64 {
         self.seed = self
             .seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -281,33 +289,37 @@
 
     fn send_retries(&mut self) {
         let retries = std::mem::take(&mut self.state().retries);
-        for attempt in retries {
-            self.send(attempt);
+        for request in retries {
+            self.send(request);
         }
     }
 
-    /// To the next server that this sidecar does not keep away from; the request is given up where there is none.
-    fn send(&mut self, attempt: Attempt) {
+    /// Sends to the next server that the sidecar does not avoid and can connect to; drops the request if there is none.
+    fn send(&mut self, request: PendingRequest) {
         for _ in 0..self.addrs.len() {
             self.next_server = (self.next_server + 1) % self.addrs.len();
             let server = self.next_server;
-            let draw = self.draw();
-            if self.may_send(server, draw) && self.connect(server) {
-                self.send_to(server, attempt);
+            let random = self.next_random();
+            if self.may_send(server, random) && self.connect(server) {
+                self.send_to(server, request);
                 return;
             }
         }
     }
 
-    fn may_send(&self, server: usize, draw: f64) -> bool {
+    fn may_send(&self, server: usize, random: f64) -> bool {
         if !self.config.heeds_advice {
             return true;
         }
         let state = self.state();
-        let known = &state.servers[server];
-        let is_heard = known.share_heard_at.elapsed() < ADVICE_LIFETIME;
-        let share = if is_heard { known.share } else { 1.0 };
-        Instant::now() >= known.stay_away_until && draw < share
+        let server = &state.servers[server];
+        let is_current = server.advised_at.elapsed() < ADVICE_LIFETIME;
+        let share = if is_current {
+            server.advised_share
+        } else {
+            1.0
+        };
+        Instant::now() >= server.avoid_until && random < share
     }
 
     fn connect(&mut self, server: usize) -> bool {
@@ -322,20 +334,20 @@
         self.connections[server] = Some(connection);
         self.state().servers[server].is_connected = true;
         let state = self.state.clone();
-        std::thread::spawn(move || read_answers(reader, server, client_timeout, &state));
+        std::thread::spawn(move || read_responses(reader, server, client_timeout, &state));
         true
     }
 
-    fn send_to(&mut self, server: usize, mut attempt: Attempt) {
+    fn send_to(&mut self, server: usize, mut request: PendingRequest) {
         self.last_stream += 1;
         let stream = self.last_stream;
-        attempt.tries += 1;
-        attempt.sent_at = Instant::now();
+        request.attempts += 1;
+        request.sent_at = Instant::now();
         let id = id(self.number << 32 | u64::from(stream));
         let at = unix_ms().to_string();
-        let cost = format!("{:.2}", attempt.work.as_secs_f64() * 1e3);
+        let cost = format!("{:.2}", request.work.as_secs_f64() * 1e3);
         let from = self.number.to_string();
-        let once = id.clone();
+        let key = id.clone();
         let mut fields = vec![
             ("class", READ),
             ("id", &id),
@@ -345,21 +357,21 @@
             ("cost", &cost),
         ];
         if self.config.effect == "by_key" {
-            fields.push(("once", &once));
+            fields.push(("once", &key));
         }
-        let body = attempt.work.as_micros().to_string();
+        let body = request.work.as_micros().to_string();
         {
             let mut state = self.state();
             state.outcomes.sent += 1;
-            state.servers[server].pending.insert(stream, attempt);
+            state.servers[server].pending.insert(stream, request);
         }
         let connection = self.connections[server].as_mut().unwrap();
         let _ = connection.send(1, stream, &fields, body.as_bytes());
     }
 }
 
-/// Reads answers until the connection ends.
-fn read_answers(
+/// Reads responses until the connection ends.
+fn read_responses(
     mut reader: FakeSidecar,
     server: usize,
     client_timeout: Duration,
@@ -373,33 +385,33 @@
             return;
         };
         let mut state = state.lock().unwrap();
-        state.take_answer(server, client_timeout, &frame);
+        state.handle_response(server, client_timeout, &frame);
     }
 }
 
 impl SidecarState {
-    fn take_answer(&mut self, server: usize, client_timeout: Duration, frame: &ReceivedFrame) {
+    fn handle_response(&mut self, server: usize, client_timeout: Duration, frame: &ReceivedFrame) {
         let number = |name| frame.field(name).and_then(|text| text.parse::<f64>().ok());
-        let known = &mut self.servers[server];
+        let server = &mut self.servers[server];
         if let Some(share) = number("say") {
-            (known.share, known.share_heard_at) = (share, Instant::now());
+            (server.advised_share, server.advised_at) = (share, Instant::now());
         }
         if let Some(after) = number("after") {
             let until = Instant::now() + Duration::from_secs_f64(after / 1e3);
-            known.stay_away_until = known.stay_away_until.max(until);
+            server.avoid_until = server.avoid_until.max(until);
         }
-        let Some(attempt) = known.pending.remove(&frame.stream) else {
+        let Some(request) = server.pending.remove(&frame.stream) else {
             return;
         };
-        let is_late = attempt.sent_at.elapsed() > client_timeout + ANSWER_SLACK;
+        let is_late = request.sent_at.elapsed() > client_timeout + RESPONSE_SLACK;
         self.outcomes.lost += u64::from(is_late);
         match frame.code {
             COMPLETED => self.outcomes.completed += 1,
             REJECTED => self.outcomes.rejected += 1,
             _ => self.outcomes.failed += 1,
         }
-        if frame.code == REJECTED && attempt.tries < MAX_TRIES {
-            self.retries.push_back(attempt);
+        if frame.code == REJECTED && request.attempts < MAX_ATTEMPTS {
+            self.retries.push_back(request);
         }
     }
 }
