--- a/crates/dependency/src/concurrency_limiter.rs
+++ b/crates/dependency/src/concurrency_limiter.rs
@@ -1,17 +1,18 @@
-//! The adaptive concurrency limit of one dependency: additive increase while it is used and calls succeed (AIMD, as in
-//! TCP congestion control, RFC 5681), multiplicative decrease on signs of overload, and a slighter decrease while the
-//! latency gradient shows a queue (as in Netflix's `concurrency-limits`).
+//! The adaptive concurrency limit of one dependency: additive increase while the limit is used and calls succeed,
+//! multiplicative decrease on signs of overload (AIMD, as in TCP congestion control, RFC 5681), and a smaller decrease
+//! while the latency gradient indicates a queue (as in Netflix's `concurrency-limits`).
 use cottondyke_types::Time;
 
 /// Fraction of the limit that remains after a sign of overload.
 const OVERLOAD_DECREASE: f64 = 0.7;
-/// Fraction of the limit that remains after a call that shows a queue.
+/// Fraction of the limit that remains after a call whose latency indicates a queue.
 const QUEUE_DECREASE: f64 = 0.95;
-/// Fraction of the maximum from which the limit starts again after the breaker closed.
+/// Fraction of the maximum at which the limit restarts after the circuit breaker closed.
 const RESTART_RATIO: f64 = 0.25;
-/// Recent latency above this multiple of the baseline shows a queue at the dependency.
+/// Recent latency above this multiple of the baseline indicates a queue at the dependency.
 const QUEUE_GRADIENT: f64 = 2.0;
-/// The limit grows only while this fraction of it is in use: unused capacity proves nothing.
+/// The limit grows only while at least this fraction of it is in use: successes at a lower utilization do not show that
+/// the dependency can handle more calls.
 const MIN_UTILIZATION: f64 = 0.5;
 
 /// The range of the limit.
@@ -25,14 +26,14 @@
     pub adaptive: bool,
 }
 
-/// What is known when a call succeeded.
+/// Measurements taken when a call succeeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SuccessSample {
     /// Recent latency as a multiple of the baseline.
     pub latency_gradient: f64,
     /// Calls in flight, this one included.
     pub in_flight: usize,
-    /// The time of a round trip, within which the limit decreases at most once.
+    /// The usual round-trip time, within which the limit decreases at most once.
     pub round_trip: Time,
 }
 
@@ -41,17 +42,17 @@
 pub struct ConcurrencyLimiter {
     min: f64,
     max: f64,
-    /// The limit now; between `min` and `max` unless the maximum was lowered below `min`.
+    /// The current limit; between `min` and `max` unless the maximum was lowered below `min`.
     limit: f64,
-    /// Below this the limit grows by one a call, above it by one a round trip.
+    /// Below this the limit grows by one per call, above it by one per round trip.
     slow_start_threshold: f64,
-    /// No decrease before this: calls sent before the last decrease are signs of the same overload.
+    /// The earliest time of the next decrease: calls sent before the last decrease are signs of the same overload.
     next_decrease: Time,
     adaptive: bool,
 }
 
 impl ConcurrencyLimiter {
-    /// A limit that starts at the maximum of its range.
+    /// Creates a limiter whose limit starts at the maximum of its range.
     pub fn new(range: LimitRange) -> Self {
         let max = range.max.max(1) as f64;
         ConcurrencyLimiter {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Changes the range; what was learned stays as far as it lies within it.
+    /// Changes the range; the learned limit is kept, clamped to the new range.
     pub fn set_range(&mut self, range: LimitRange) {
         self.max = range.max.max(1) as f64;
         self.min = (range.min as f64).clamp(1.0, self.max);
@@ -76,7 +77,8 @@
         self.adaptive = range.adaptive;
     }
 
-    /// Changes the maximum alone: a limit that stood at the old one follows it, one that was learned below it stays.
+    /// Changes only the maximum: a limit at the old maximum moves to the new one; a lower, learned limit is kept up to
+    /// the new maximum.
     pub fn set_max(&mut self, max: usize) {
         let max = max.max(1) as f64;
         if self.limit >= self.max || !self.adaptive {
@@ -87,17 +89,17 @@
         self.max = max;
     }
 
-    /// Whether the limit stands at its maximum.
+    /// Whether the limit is at its maximum.
     pub fn is_at_max(&self) -> bool {
         self.limit >= self.max
     }
 
-    /// Calls that may be in flight.
+    /// The number of calls that may be in flight.
     pub fn calls(&self) -> usize {
         self.limit as usize
     }
 
-    /// A call succeeded.
+    /// Records that a call succeeded.
     pub fn record_success(&mut self, now: Time, sample: &SuccessSample) {
         if sample.latency_gradient > QUEUE_GRADIENT {
             self.decrease(now, QUEUE_DECREASE, sample.round_trip);
@@ -111,21 +113,22 @@
         }
     }
 
-    /// A call's end is a sign of overload.
+    /// Records that a call ended with a sign of overload.
     pub fn record_overload(&mut self, now: Time, round_trip: Time) {
         self.decrease(now, OVERLOAD_DECREASE, round_trip);
     }
 
     fn decrease(&mut self, now: Time, remaining_fraction: f64, round_trip: Time) {
         if self.adaptive && now >= self.next_decrease {
-            // The highest limit that recently worked bounds how quickly the limit recovers.
+            // The reduced limit is taken as the highest that recently worked: above it, recovery is slow.
             self.slow_start_threshold = self.limit * remaining_fraction;
             self.limit = self.slow_start_threshold.max(self.min);
             self.next_decrease = now + round_trip;
         }
     }
 
-    /// Restarts after the breaker closed: from a fraction of the maximum, and by one a call up to the former limit.
+    /// Restarts after the circuit breaker closed: from a fraction of the maximum, growing by one per call up to the
+    /// former limit.
     pub fn restart(&mut self) {
         if self.adaptive {
             self.slow_start_threshold = self.slow_start_threshold.max(self.limit);
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -1,8 +1,8 @@
-//! What stands between aggregations and one dependency. Active calls, abandoned calls that may still be running, and
-//! after a restart the calls that the previous incarnation of this instance may have left, all count as in flight.
-//! Calls in flight never exceed the limit, and the limit never exceeds the configured or leased maximum.
+//! The gate through which aggregations call one dependency. Active calls, abandoned calls that may still be running,
+//! and after a restart the calls that the previous incarnation of this instance may have left, all count as in flight.
+//! No call is admitted beyond the limit, and the limit never exceeds the configured or leased maximum.
 use crate::circuit_breaker::{
-    CallHealth, CallKind, CircuitBreaker, CircuitState, FailureThreshold, UniformDraw,
+    CallKind, CallOutcome, CircuitBreaker, CircuitState, FailureThreshold, UniformDraw,
 };
 use crate::concurrency_limiter::{ConcurrencyLimiter, LimitRange, SuccessSample};
 use crate::in_flight::{CallEnd, InFlightCalls};
@@ -16,77 +16,77 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// A timeout is a sign of overload only if the call was given this quantile of the observed latency, or its whole
-/// time budget.
-const FAIR_TIMEOUT_QUANTILE: f64 = 0.95;
-/// A call is made only with at least this quantile of the observed latency left, but no more than this fraction of the
-/// time budget is asked for.
+/// A timeout is a sign of overload only if the call was given at least this quantile of the observed latency, or the
+/// whole time budget.
+const OVERLOAD_TIMEOUT_QUANTILE: f64 = 0.95;
+/// A call is made only if at least this quantile of the observed latency is left before its deadline.
 const REQUIRED_TIME_QUANTILE: f64 = 0.9;
+/// The required time is at most this fraction of the time budget.
 const MAX_REQUIRED_RATIO: f64 = 0.5;
-/// The required time before any latency is known.
-const MIN_REQUIRED_TIME: Time = Time(1);
-/// Failures of the last second that are taken for overload. With each failure counted, calls of which one in forty
-/// straggles held the limit at half.
+/// The required time before any latency was observed.
+const INITIAL_REQUIRED_TIME: Time = Time(1);
+/// The failure ratio of the last second from which a rejection or timeout counts as overload. When every one of them
+/// counted, a dependency with one straggler in forty calls had its limit held at half.
 const OVERLOAD_THRESHOLD: FailureThreshold = FailureThreshold {
     ratio: 0.1,
     min_calls: 20.0,
 };
-/// The round trip within which the limit decreases once, before any latency is known.
+/// The round-trip time, within which the limit decreases at most once, before any latency was observed.
 const INITIAL_ROUND_TRIP: Time = Time(100);
 
 /// Whether a call may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// It may, as this kind of call.
+    /// A call of this kind may be made.
     Granted(CallKind),
-    /// The limit on calls in flight or the rate is reached.
+    /// The limit on calls in flight or the rate limit is reached.
     LimitReached,
     /// The circuit breaker admits no calls.
     CircuitOpen,
 }
 
-/// What the end of a call says about the dependency.
+/// What the outcome of a call indicates about the dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallSignal {
-    /// It succeeded.
+    /// The call succeeded.
     Success,
-    /// It failed, which says nothing about the load.
+    /// The call failed in a way that is no sign of overload.
     Failure,
-    /// It was rejected, or timed out after a fair time.
+    /// The call was rejected, or timed out although it was given enough time.
     Overload,
-    /// It says nothing about the dependency.
+    /// The outcome is no evidence about the dependency.
     Ignored,
 }
 
-/// The end of a call, as the gate learns from it.
+/// The outcome of a call, as reported to the gate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallObservation {
     /// How the call was admitted.
     pub kind: CallKind,
-    /// What its end says.
+    /// What its outcome indicates.
     pub signal: CallSignal,
-    /// Jitters the backoff where the circuit breaker opens by it.
+    /// Determines the jitter of the backoff if this outcome opens the circuit breaker.
     pub draw: UniformDraw,
 }
 
-/// Counters since they were last taken, for the log.
+/// Counts for the log since the counters were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounters {
-    /// First calls of a step.
+    /// First calls of steps.
     pub first_attempts: u64,
-    /// Second calls beside a slow one.
+    /// Second calls made while a slow first one is still active.
     pub hedges: u64,
-    /// Calls after one that failed.
+    /// Calls made after one that failed.
     pub retries: u64,
     /// Calls that succeeded.
     pub successes: u64,
-    /// Calls that failed, or showed overload.
+    /// Calls that failed or were a sign of overload.
     pub failures: u64,
-    /// Calls not answered within the time given.
+    /// Calls that were not answered before their timeout.
     pub timeouts: u64,
-    /// Parts that found the limit reached and could not wait.
+    /// Parts refused a call because the limit was reached, at once or after waiting.
     pub limit_reached: u64,
-    /// Parts that found the circuit breaker open.
+    /// Parts refused a call because the circuit breaker was open.
     pub circuit_open: u64,
 }
 
@@ -105,39 +105,39 @@
     pub spec: Rc<Dependency>,
     /// The adaptive limit on calls in flight.
     pub limit: ConcurrencyLimiter,
-    /// Counters for the log, to be taken by whoever writes it.
+    /// Counters for the log; its writer takes and thereby resets them.
     pub counters: GateCounters,
     pub(crate) latency: LatencyTracker,
     pub(crate) retry_budget: RetryBudget,
     /// Parts that wait for their first call, oldest first.
     pub(crate) wait_queue: VecDeque<PartId>,
-    /// Calls whose hedge waits for capacity, ahead of all that wait for a first call.
+    /// Calls whose hedge waits for capacity; hedges are issued before first calls.
     pub(crate) hedge_queue: VecDeque<CallId>,
     breaker: CircuitBreaker,
     in_flight: InFlightCalls,
-    /// Calls that count against the rate, where there is one.
+    /// Calls that count against the rate limit, if there is one.
     sends: SendWindow,
     limit_enabled: bool,
-    /// Parts that waited at the last reconfiguration, whatever is allowed since.
+    /// Parts that waited at the last reconfiguration; they may go on waiting even if the new maximum is lower.
     waiting_at_reconfiguration: usize,
-    /// The limit that the log last showed.
+    /// The limit that was last reported to the log.
     last_reported_limit: usize,
 }
 
 impl DependencyGate {
-    /// A gate that knows nothing of its dependency yet. After a restart it counts what the previous incarnation may
-    /// have left running.
+    /// Creates a gate without any observations. After a restart, the calls that the previous incarnation may have left
+    /// running are counted as in flight.
     pub fn new(now: Time, spec: Rc<Dependency>, safeguards: Safeguards, startup: Startup) -> Self {
-        // Where a quota is leased, the lease manager holds back what a previous incarnation may still use.
+        // For a leased quota, the lease manager withholds the units that the previous incarnation may still use.
         let counts_orphans = startup == Startup::Restarted && safeguards.restart;
-        let assumes_calls = counts_orphans && safeguards.limit && spec.leased_calls.is_none();
-        let assumes_rate = counts_orphans && spec.leased_rate.is_none();
-        let in_flight = if assumes_calls {
+        let assumes_in_flight = counts_orphans && safeguards.limit && spec.leased_calls.is_none();
+        let assumes_recent_sends = counts_orphans && spec.leased_rate.is_none();
+        let in_flight = if assumes_in_flight {
             InFlightCalls::new(spec.max_calls, now + spec.post_cancel_grace)
         } else {
             InFlightCalls::new(0, now)
         };
-        let assumed_rate = spec.max_rate.filter(|_| assumes_rate).unwrap_or(0);
+        let assumed_sends = spec.max_rate.filter(|_| assumes_recent_sends).unwrap_or(0);
         DependencyGate {
             limit: ConcurrencyLimiter::new(limit_range(&spec, safeguards)),
             breaker: CircuitBreaker::new(now, safeguards.breaker),
@@ -147,7 +147,7 @@
             hedge_queue: VecDeque::new(),
             counters: GateCounters::default(),
             in_flight,
-            sends: SendWindow::assume_sent(now, &spec, assumed_rate),
+            sends: SendWindow::assume_sent(now, &spec, assumed_sends),
             limit_enabled: safeguards.limit,
             waiting_at_reconfiguration: 0,
             last_reported_limit: spec.max_calls,
@@ -155,9 +155,9 @@
         }
     }
 
-    /// Installs another configuration; what was learned stays, and what is in flight still counts.
+    /// Installs a new configuration. Learned state is kept, and calls in flight still count.
     pub fn reconfigure(&mut self, now: Time, spec: Rc<Dependency>, safeguards: Safeguards) {
-        // Calls were not recorded before there was a rate: as many as it allows may have been sent just now.
+        // Without a rate limit, sends were not recorded: as many as the new limit allows may have been sent just now.
         if let Some(rate) = spec.max_rate.filter(|_| self.spec.max_rate.is_none()) {
             self.sends = SendWindow::assume_sent(now, &spec, rate);
         }
@@ -174,14 +174,14 @@
         self.in_flight.count(now)
     }
 
-    /// Sets the limit's maximum to the leased number of calls, where it is leased.
+    /// Sets the limit's maximum to the leased number of calls, if the dependency has such a lease.
     pub fn apply_lease(&mut self, now: Time) {
         if let Some(lease) = &self.spec.leased_calls {
             self.limit.set_max(lease.units(now));
         }
     }
 
-    /// Calls that count against the rate now.
+    /// Calls that count against the rate limit now.
     pub fn recently_sent(&self, now: Time) -> usize {
         self.sends.count(now)
     }
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Calls that could be in flight now: those that are and those that wait, but no more than the limit would admit.
+    /// Calls that could be in flight now: those in flight and those waiting, but at most one more than the adaptive
+    /// limit unless that is at its maximum.
     pub fn needed_calls(&self, now: Time) -> usize {
         let wanted = self.in_flight(now) + self.wait_queue.len() + self.hedge_queue.len();
         if self.limit.is_at_max() {
@@ -215,11 +216,11 @@
         self.in_flight.active()
     }
 
-    /// When the next call that nobody listens to ceases to count.
+    /// When the next abandoned, orphaned or sent call stops counting against the limit or the rate limit.
     pub fn next_release(&self, now: Time) -> Option<Time> {
         self.in_flight
-            .releases()
-            .chain(self.sends.releases())
+            .release_times()
+            .chain(self.sends.release_times())
             .filter(|until| *until > now)
             .min()
     }
@@ -245,15 +246,15 @@
         }
     }
 
-    /// Whether a call may be retried: nobody waits, the breaker is closed, and the retry budget pays, which it does
-    /// where this returns true.
+    /// Whether a call may be retried: no part waits, the breaker is closed, and there is capacity and retry budget. If
+    /// so, the retry is withdrawn from the budget.
     pub fn try_retry(&mut self, now: Time) -> bool {
         self.wait_queue.is_empty()
             && self.request_permit(now) == Permit::Granted(CallKind::Regular)
             && self.retry_budget.try_withdraw()
     }
 
-    /// Records that a call is issued. Returns the breaker's state if it changed by this.
+    /// Records that a call is issued. Returns the breaker's state if this changed it.
     pub fn record_issue(
         &mut self,
         now: Time,
@@ -271,7 +272,7 @@
         self.state_if_changed(before)
     }
 
-    /// The limit when this was last asked and now, where it changed in between.
+    /// The previous and the current limit, if the limit changed since this was last called.
     pub fn take_limit_change(&mut self) -> Option<(usize, usize)> {
         let before = std::mem::replace(&mut self.last_reported_limit, self.limit.calls());
         let now = self.last_reported_limit;
@@ -289,7 +290,8 @@
         self.in_flight.finish(now, CallEnd::MayRunUntil(until));
     }
 
-    /// Learns from the end of a call. Returns the breaker's state if it changed by this.
+    /// Updates the circuit breaker and the limit with the outcome of a call. Returns the breaker's state if this
+    /// changed it.
     pub fn observe(&mut self, now: Time, observation: CallObservation) -> Option<CircuitState> {
         let before = self.circuit_state();
         let CallObservation { kind, signal, draw } = observation;
@@ -297,10 +299,12 @@
             CallSignal::Success => self.observe_success(now, kind, draw),
             CallSignal::Failure | CallSignal::Overload => {
                 self.counters.failures += 1;
-                self.breaker.record(now, kind, CallHealth::Failure, draw);
-                // Single failures are no overload; nor do they suit a limit that decreases by a factor for each.
+                self.breaker.record(now, kind, CallOutcome::Failure, draw);
+                // Single failures do not indicate overload, and a multiplicative decrease for each would be too much.
                 let is_overload = signal == CallSignal::Overload
-                    && self.breaker.has_reached(OVERLOAD_THRESHOLD, now);
+                    && self
+                        .breaker
+                        .reaches_failure_threshold(OVERLOAD_THRESHOLD, now);
                 if is_overload {
                     self.limit.record_overload(now, self.round_trip());
                 }
@@ -319,7 +323,7 @@
         };
         self.counters.successes += 1;
         self.limit.record_success(now, &sample);
-        self.breaker.record(now, kind, CallHealth::Success, draw);
+        self.breaker.record(now, kind, CallOutcome::Success, draw);
         if !was_closed && self.circuit_state() == CircuitState::Closed {
             self.limit.restart();
         }
@@ -329,32 +333,33 @@
         self.latency.baseline().unwrap_or(INITIAL_ROUND_TRIP)
     }
 
-    /// The breaker's state, where it is another than `before`; how long it stays open or how many probes succeeded makes
-    /// no other state.
+    /// The breaker's state if it is another variant than `before`. How long the breaker stays open and how many probes
+    /// succeeded are not compared.
     fn state_if_changed(&self, before: CircuitState) -> Option<CircuitState> {
         let state = self.circuit_state();
         (std::mem::discriminant(&before) != std::mem::discriminant(&state)).then_some(state)
     }
 
-    /// Whether a call that was given `time` without an answer had a fair chance to be answered.
+    /// Whether a call that timed out after `time` was given long enough for the timeout to be a sign of overload.
     pub fn is_fair_timeout(&mut self, time: Time) -> bool {
-        let quantile = self.latency.quantile(FAIR_TIMEOUT_QUANTILE);
+        let quantile = self.latency.quantile(OVERLOAD_TIMEOUT_QUANTILE);
         let budget = self.spec.time_budget;
         time >= quantile.unwrap_or(budget).min(budget)
     }
 
-    /// The time that a call must be given to be worth making: what nearly all need. A call made with less fails by its
-    /// caller's fault and teaches nothing, and a queue of such calls keeps a low limit low for ever.
+    /// The time that must be left for a call to be worth making: what nearly all calls need. A call made with less
+    /// fails through its caller's fault and is no evidence about the dependency, and a queue of such calls would keep a
+    /// low limit low indefinitely.
     pub fn required_time(&mut self) -> Time {
         let usual = self
             .latency
             .quantile(REQUIRED_TIME_QUANTILE)
             .or(self.latency.baseline())
-            .unwrap_or(MIN_REQUIRED_TIME);
+            .unwrap_or(INITIAL_REQUIRED_TIME);
         usual.min(self.spec.time_budget.scaled(MAX_REQUIRED_RATIO))
     }
 
-    /// The time after which a call is hedged; `None` where it is not.
+    /// The time after which a call is hedged; `None` if hedging is off or too few calls were observed.
     pub fn hedge_delay(&mut self) -> Option<Time> {
         let quantile = self.spec.hedge_quantile?;
         self.latency.quantile(quantile)
--- a/crates/dependency/src/in_flight.rs
+++ b/crates/dependency/src/in_flight.rs
@@ -1,13 +1,13 @@
-//! The calls that may be running at one dependency: active ones, abandoned ones within their grace period, and those that
-//! the previous incarnation of this instance may have left.
+//! The calls that may be running at one dependency: active ones, abandoned ones within their grace period, and orphans,
+//! which the previous incarnation of this instance may have left running.
 use cottondyke_types::Time;
 
-/// What is known of a call at the dependency once this instance no longer listens to it.
+/// What is known about a call at the dependency once this instance no longer listens to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It no longer runs there.
+    /// It is no longer running.
     Stopped,
-    /// It may go on running until this time.
+    /// It may keep running until this time.
     MayRunUntil(Time),
 }
 
@@ -18,13 +18,13 @@
     active: usize,
     /// When each abandoned call has ended at the latest.
     abandoned_until: Vec<Time>,
-    /// Calls that the previous incarnation may have left, and when they have ended at the latest.
+    /// Calls that the previous incarnation may have left running, and when they have ended at the latest.
     orphans: usize,
     orphans_until: Time,
 }
 
 impl InFlightCalls {
-    /// Starts with `orphans` calls of the previous incarnation, which end until `orphans_until` at the latest.
+    /// Starts with `orphans` calls of the previous incarnation, which have ended by `orphans_until` at the latest.
     pub fn new(orphans: usize, orphans_until: Time) -> Self {
         InFlightCalls {
             active: 0,
@@ -65,8 +65,8 @@
         self.active + abandoned + orphans
     }
 
-    /// The times at which calls that nobody listens to cease to count, past ones among them.
-    pub fn releases(&self) -> impl Iterator<Item = Time> + '_ {
+    /// The times at which abandoned and orphaned calls stop counting, including times in the past.
+    pub fn release_times(&self) -> impl Iterator<Item = Time> + '_ {
         self.abandoned_until
             .iter()
             .copied()
--- a/crates/dependency/src/latency.rs
+++ b/crates/dependency/src/latency.rs
@@ -3,27 +3,27 @@
 use cottondyke_types::Time;
 use hdrhistogram::Histogram;
 
-/// Half of the longest time over which quantiles look back.
+/// How long each of the two histograms records; quantiles cover at most twice this time.
 const HISTOGRAM_WINDOW: Time = Time(50_000);
-/// Calls that must have been recorded before a quantile is used.
+/// Minimum number of recorded calls for a quantile.
 const MIN_SAMPLES: u64 = 30;
-/// The longest latency that is told apart, in tenths of a millisecond.
+/// The longest latency that the histograms can represent, in tenths of a millisecond.
 const MAX_LATENCY: u64 = 600_000;
 /// Significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
-/// A quantile is computed anew after this many further calls. Each is asked for at every call; without this cache, and
-/// with one slot for all quantiles, computing them was a seventh of what an aggregation costs.
-const MAX_CACHED_SAMPLES: u64 = 32;
+/// A cached quantile is recomputed after this many further samples. Every quantile is read for each call; without this
+/// cache, and also with a single slot shared by all quantiles, computing them took a seventh of an aggregation's cost.
+const QUANTILE_REFRESH_SAMPLES: u64 = 32;
 /// Weight of the newest sample in the recent mean, an exponentially weighted moving average.
 const RECENT_WEIGHT: f64 = 0.1;
-/// Weights of the newest sample in the baseline, where it lies below the baseline and where it lies above.
+/// Weights of the newest sample in the baseline if the sample lies below the baseline and if it lies above.
 const BASELINE_WEIGHT_BELOW: f64 = 0.02;
 const BASELINE_WEIGHT_ABOVE: f64 = 0.005;
 
 /// The latency of a call that succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencySample {
-    /// From the call to its reply.
+    /// The time from the call to its reply.
     pub latency: Time,
     /// Whether the reply came while the call was still awaited.
     pub in_time: bool,
@@ -42,7 +42,7 @@
 pub struct LatencyTracker {
     current: Histogram<u32>,
     previous: Histogram<u32>,
-    /// When the current histogram was begun.
+    /// When the current histogram was started.
     rotated_at: Time,
     cached_quantiles: Vec<CachedQuantile>,
     /// Recent mean and baseline, in tenths of a millisecond; 0 before the first sample.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Records a call that succeeded. Quantiles are of the calls that ended in time: those of a slow period would put
-    /// hedging off until long after it.
+    /// Records a call that succeeded. Quantiles cover only the calls that ended in time: late calls of a slow period
+    /// would delay hedging until long after it.
     pub fn record(&mut self, now: Time, sample: LatencySample) {
         if now - self.rotated_at >= HISTOGRAM_WINDOW {
             std::mem::swap(&mut self.current, &mut self.previous);
@@ -97,7 +97,7 @@
         self.baseline += (latency - self.baseline) * weight;
     }
 
-    /// The latency that this fraction of the calls did not exceed; `None` until enough calls were recorded.
+    /// The latency that this fraction of the calls did not exceed; `None` until enough calls are recorded.
     pub fn quantile(&mut self, quantile: f64) -> Option<Time> {
         let samples = self.current.len() + self.previous.len();
         if samples < MIN_SAMPLES {
@@ -108,7 +108,7 @@
             .iter()
             .position(|cached| cached.quantile == quantile);
         if let Some(cached) = slot.map(|slot| self.cached_quantiles[slot]) {
-            if samples.saturating_sub(cached.samples) < MAX_CACHED_SAMPLES {
+            if samples.saturating_sub(cached.samples) < QUANTILE_REFRESH_SAMPLES {
                 return Some(cached.value);
             }
         }
@@ -132,7 +132,7 @@
         Time(all.value_at_quantile(quantile.clamp(0.0, 1.0)) as i64)
     }
 
-    /// The usual latency of a call; `None` before the first sample.
+    /// The baseline latency of a call; `None` before the first sample.
     pub fn baseline(&self) -> Option<Time> {
         (self.baseline > 0.0).then_some(Time(self.baseline as i64))
     }
--- a/crates/dependency/src/retry_budget.rs
+++ b/crates/dependency/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! The retry budget: a token bucket that first calls fill and extra calls empty (as in Finagle's `RetryBudget`, without
-//! its minimum a second). So at every moment extra calls are at most a fraction of first calls.
+//! The retry budget: a token bucket that first calls fill and extra calls drain (as in Finagle's `RetryBudget`, but
+//! without its minimum of retries per second), so that extra calls are always at most a fraction of first calls.
 
-/// Tokens that the bucket holds at most: a burst of failures after a long calm finds no more than these.
+/// Capacity of the bucket in tokens. It limits the burst of extra calls when failures follow a long healthy period.
 const MAX_TOKENS: f64 = 10.0;
 
 /// The budget of extra calls (hedges and retries) to one dependency.
@@ -12,7 +12,7 @@
 }
 
 impl RetryBudget {
-    /// An empty budget. A first call deposits `ratio` tokens; an extra call costs one.
+    /// Creates an empty budget. A first call deposits `ratio` tokens; an extra call costs one.
     pub fn new(ratio: f64) -> Self {
         RetryBudget {
             ratio: ratio.max(0.0),
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Changes what a first call deposits.
+    /// Changes the number of tokens that a first call deposits.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio.max(0.0);
     }
@@ -30,7 +30,7 @@
         self.tokens = (self.tokens + self.ratio).min(MAX_TOKENS.max(self.ratio));
     }
 
-    /// Pays for an extra call; false, and nothing is taken, where the budget does not suffice.
+    /// Withdraws the token for an extra call. Returns false and withdraws nothing if the budget does not suffice.
     pub fn try_withdraw(&mut self) -> bool {
         let suffices = self.tokens >= 1.0;
         self.tokens -= f64::from(suffices);
--- a/crates/dependency/src/send_window.rs
+++ b/crates/dependency/src/send_window.rs
@@ -1,4 +1,5 @@
-//! The calls sent to one dependency within the last [`RATE_WINDOW`](crate::RATE_WINDOW), which count against its rate.
+//! The calls sent to one dependency within the last [`RATE_WINDOW`](crate::RATE_WINDOW), which count against its rate
+//! limit.
 use crate::lease::SendTimestamp;
 use crate::plan::Dependency;
 use cottondyke_types::Time;
@@ -11,7 +12,7 @@
 }
 
 impl SendWindow {
-    /// A window in which as many calls as `calls` may have been sent just now.
+    /// Creates a window that assumes that `calls` calls were sent just now.
     pub fn assume_sent(now: Time, dependency: &Dependency, calls: usize) -> Self {
         let sent_now = || {
             let timestamp = Rc::new(dependency.issue_timestamp());
@@ -29,7 +30,7 @@
         self.sends.push(timestamp.clone());
     }
 
-    /// Calls that count against the rate at `now`.
+    /// Calls that count against the rate limit at `now`.
     pub fn count(&self, now: Time) -> usize {
         self.sends
             .iter()
@@ -37,8 +38,8 @@
             .count()
     }
 
-    /// The times at which sent calls cease to count, past ones among them.
-    pub fn releases(&self) -> impl Iterator<Item = Time> + '_ {
+    /// The times at which sent calls stop counting, including times in the past.
+    pub fn release_times(&self) -> impl Iterator<Item = Time> + '_ {
         self.sends
             .iter()
             .map(|sent| sent.counted_until())
--- a/crates/dependency/src/stale_cache.rs
+++ b/crates/dependency/src/stale_cache.rs
@@ -1,15 +1,15 @@
-//! Complete answers that are cached for the time when their dependency does not answer, bounded in bytes; the oldest are
-//! evicted first.
+//! A cache of complete answers, to be served stale when their dependency does not answer. Its size in bytes is bounded;
+//! the oldest answers are evicted first.
 use cottondyke_types::{TenantId, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Bytes that an entry takes beside its key and body.
+/// Bytes counted for an entry in addition to its request body and answer.
 const ENTRY_OVERHEAD: usize = 160;
-/// Superseded places that the order of eviction may hold before it is compacted, beside as many as there are entries.
-const MAX_EXTRA_ORDER: usize = 16;
+/// The eviction order is compacted once its superseded items exceed the number of entries by more than this.
+const MAX_EXTRA_SUPERSEDED: usize = 16;
 
-/// What an answer belongs to. Tenants never see each other's answers.
+/// Identifies a cached answer. Tenants never see each other's answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheKey {
     /// The dependency's name.
@@ -36,11 +36,12 @@
     body: Rc<[u8]>,
 }
 
-/// The cache of earlier answers.
+/// A bounded cache of earlier answers.
 #[derive(Debug, Default)]
 pub struct StaleCache {
     entries: BTreeMap<CacheKey, Entry>,
-    /// Sequence numbers and keys in the order of insertion; an entry that was replaced since is skipped.
+    /// Sequence numbers and keys in the order of insertion. Items of entries that have been replaced are superseded:
+    /// eviction skips them.
     eviction_order: VecDeque<(u64, CacheKey)>,
     last_sequence: u64,
     bytes: usize,
@@ -52,13 +53,13 @@
 }
 
 impl StaleCache {
-    /// Changes the capacity in bytes, evicting what exceeds it.
+    /// Changes the capacity in bytes and evicts entries that exceed it.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
         self.evict();
     }
 
-    /// Caches an answer, in place of an earlier one of the same key. One larger than the capacity is not cached.
+    /// Caches an answer, replacing an earlier one with the same key. An answer larger than the capacity is not cached.
     pub fn insert(&mut self, now: Time, key: CacheKey, body: Rc<[u8]>) {
         let bytes = entry_bytes(&key, &body);
         if bytes > self.capacity {
@@ -76,13 +77,13 @@
         if let Some(replaced) = self.entries.insert(key.clone(), entry) {
             self.bytes -= entry_bytes(&key, &replaced.body);
         }
-        self.compact_order();
+        self.compact_eviction_order();
         self.evict();
     }
 
-    /// Replaced entries leave their places in the order behind.
-    fn compact_order(&mut self) {
-        if self.eviction_order.len() > 2 * self.entries.len() + MAX_EXTRA_ORDER {
+    /// Drops the superseded items from the eviction order once there are too many of them.
+    fn compact_eviction_order(&mut self) {
+        if self.eviction_order.len() > 2 * self.entries.len() + MAX_EXTRA_SUPERSEDED {
             let entries = &self.entries;
             self.eviction_order.retain(|(sequence, key)| {
                 entries
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The answer of this key, where it is no older than `max_age`.
+    /// The answer with this key, if it is no older than `max_age`.
     pub fn get(&self, now: Time, key: &CacheKey, max_age: Time) -> Option<CachedAnswer> {
         let entry = self.entries.get(key)?;
         let age = now - entry.stored_at;
@@ -116,12 +117,12 @@
         })
     }
 
-    /// Bytes that the entries take, as counted on insertion and eviction.
+    /// Size of all entries in bytes, as counted on insertion and eviction.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Bytes that the entries take, counted anew.
+    /// Size of all entries in bytes, recomputed from the entries.
     pub fn recount_bytes(&self) -> usize {
         self.entries
             .iter()
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -1,5 +1,5 @@
-//! Seeded random runs against a model of the dependencies that counts by itself: calls in flight there, calls sent in a
-//! second, and the results of runs. The invariants are checked after every step.
+//! Seeded random runs of the aggregator against a model that counts independently: calls in flight at each dependency,
+//! calls sent in any second, and the results of runs. The invariants are checked after every step.
 
 use cottondyke_dependency::*;
 use cottondyke_types::{RequestId, TenantId, Time, SECOND};
@@ -9,7 +9,7 @@
 const STEPS: usize = 1_000_000;
 const SEEDS: u64 = 100;
 const STEPS_PER_SEED: usize = STEPS / SEEDS as usize;
-/// Runs that are open at once.
+/// Maximum number of runs open at once.
 const MAX_OPEN_RUNS: usize = 12;
 const AGGREGATIONS: usize = 3;
 const MAX_PARTS: usize = 4;
@@ -83,7 +83,7 @@
     }
 }
 
-/// All safeguards, or for one seed in four some of them switched off at random.
+/// All safeguards enabled; for one seed in four, some of them are disabled at random.
 fn random_safeguards(seed: u64, random: &mut fastrand::Rng) -> Safeguards {
     let mut safeguards = Safeguards::default();
     if seed % 4 == 3 {
@@ -103,35 +103,36 @@
 /// A call that the driver has open.
 struct OpenCall {
     dependency: Rc<str>,
-    /// Where the aggregator no longer waits for it: when the driver stops listening to it.
+    /// When the driver stops listening to it, if the aggregator has abandoned it.
     listen_until: Option<Time>,
 }
 
-/// A call that was abandoned and goes on running unseen: the worst that a dependency may do.
+/// An abandoned call that keeps running unobserved for its whole grace period: the worst case at a dependency.
 struct AbandonedCall {
     dependency: Rc<str>,
     runs_until: Time,
 }
 
-/// A call whose first byte went out.
+/// A call whose first byte was sent.
 struct SentCall {
     dependency: Rc<str>,
     sent_at: Time,
 }
 
+/// The driver of an aggregator and the independent counts that its behavior is checked against.
 struct Model {
     random: fastrand::Rng,
     now: Time,
     aggregator: Aggregator,
     plan: Plan,
-    /// Every dependency that was ever in force.
+    /// Every dependency of any plan installed so far, as first configured.
     known_dependencies: Vec<Rc<Dependency>>,
     next_request: u32,
     /// Open runs and their deadlines.
     runs: BTreeMap<RequestId, Time>,
     open_calls: BTreeMap<CallId, OpenCall>,
     abandoned_calls: Vec<AbandonedCall>,
-    /// Calls whose first byte has not gone out yet.
+    /// Calls whose first byte has not been sent yet.
     unsent: BTreeMap<CallId, Rc<SendTimestamp>>,
     /// Calls sent in the last second.
     sent_calls: Vec<SentCall>,
@@ -183,11 +184,11 @@
                 } => {
                     assert!(
                         self.runs.contains_key(&run),
-                        "a call for a run that has ended"
+                        "call issued for a run that has ended"
                     );
                     assert!(
                         within > Time(0) && self.now + within <= self.runs[&run],
-                        "a call that may last past the deadline of its run"
+                        "call timeout is not positive or ends after the deadline of its run"
                     );
                     self.open_call(call, &to.name, stamp);
                 }
@@ -237,7 +238,8 @@
         }
     }
 
-    /// The first byte of a call goes out, some time after it was issued. Never over the rate in any second.
+    /// Sends the first byte of a call, some time after the call was issued, and asserts that the calls sent within any
+    /// second stay within the rate limit.
     fn send_first_byte(&mut self, id: CallId) {
         let Some(timestamp) = self.unsent.remove(&id) else {
             return;
@@ -276,7 +278,7 @@
         });
     }
 
-    /// Never over the maximum of the plan in force, but for what was in flight when it shrank.
+    /// Asserts that the calls in flight stay within the dependency's maximum, which `install_plan` never changes.
     fn assert_within_max_calls(&mut self, dependency: &Rc<str>) {
         let now = self.now;
         self.abandoned_calls.retain(|call| call.runs_until > now);
@@ -324,7 +326,7 @@
         self.random.choice(from)
     }
 
-    /// The driver calls the timer when it is due.
+    /// Handles each timer at the time at which it is due, as a driver does.
     fn run_due_timers(&mut self) {
         while let Some(at) = self.aggregator.next_timer().filter(|at| *at <= self.now) {
             let now = std::mem::replace(&mut self.now, at);
@@ -334,7 +336,7 @@
         }
     }
 
-    /// The driver stops listening to abandoned calls when it should.
+    /// Times out the abandoned calls that the driver has listened to for long enough.
     fn stop_due_listening(&mut self) {
         let is_due = |call: &OpenCall| call.listen_until.is_some_and(|until| until <= self.now);
         let due: Vec<CallId> = self
@@ -378,11 +380,12 @@
         }
     }
 
-    /// Installs another plan: other aggregations and budgets, and sometimes one dependency less, or again one more.
+    /// Installs another random plan: aggregations and time budgets change, and often the set of dependencies.
     fn install_plan(&mut self) {
         let mut next = random_plan(&mut self.random, self.plan.safeguards);
         for spec in &mut next.dependencies {
-            // A maximum that shrinks leaves what is in flight over it to end: what must hold then is not counted here.
+            // Calls in flight above a lowered maximum may run to their end, and the model does not count what must hold
+            // meanwhile. So the limits of a known dependency stay the same.
             if let Some(old) = self.known_dependency(&spec.name) {
                 *spec = Rc::new(Dependency {
                     max_calls: old.max_calls,
@@ -438,7 +441,7 @@
         self.carry_out(actions);
     }
 
-    /// Everything ends by itself once nothing new comes and no call is answered.
+    /// Handles timers until none is left: all runs must end without further input and without any reply.
     fn run_until_idle(&mut self) {
         while let Some(at) = self.aggregator.next_timer() {
             self.now = self.now.max(at);
@@ -449,7 +452,7 @@
     }
 }
 
-/// Names the seed of a run that fails.
+/// Prints the seed when the test panics.
 struct PrintSeedOnPanic(u64);
 
 impl Drop for PrintSeedOnPanic {
@@ -460,8 +463,8 @@
     }
 }
 
-/// Guards the whole package: limits, budgets and exactly one end for each run and call, after every step and across
-/// changes of the plan.
+/// Guards the whole package against exceeded limits, rates and budgets, inconsistent state, and runs or calls that do
+/// not end exactly once. Checked after every step of random inputs, across changes of the plan.
 #[test]
 fn keeps_every_limit_and_ends_each_run_once_when_inputs_are_random() {
     let mut completed_runs = 0;
@@ -476,6 +479,6 @@
     }
     assert!(
         completed_runs > STEPS as u64 / 10,
-        "only {completed_runs} runs ended: the model is too idle to show anything"
+        "only {completed_runs} runs ended: too few to be meaningful"
     );
 }
