--- a/crates/operator-config/src/arguments.rs
+++ b/crates/operator-config/src/arguments.rs
@@ -1,5 +1,5 @@
-//! Reads the arguments of one declaration: each is taken out by name with what is expected of it. An argument that was
-//! not taken out is an error with the most similar name that is known.
+//! Reads the arguments of one declaration. A parser reads each argument by name and states what it expects; an argument
+//! that it does not read is an error, which suggests the most similar known name.
 use crate::format::{format_value, parse_duration};
 use crate::suggestion::suggest_nearest;
 use crate::{ConfigError, Declaration, SourceLocation};
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 const EXPECTED_NAME: &str = "a name of at most 64 letters, digits, dashes, dots and underscores";
 const EXPECTED_DURATION: &str = "a time over 0 such as \"300ms\", \"1.8s\" or \"2m\"";
 const EXPECTED_ADDRESS: &str = "an IP address with a port such as \"127.0.0.1:8080\"";
 
-/// What is invalid about the arguments of a declaration.
+/// An invalid argument of a declaration.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ArgumentError {
-    #[error("{count} unnamed arguments: expected {expected}")]
+    #[error("too many positional arguments ({count}): expected {expected}")]
     TooManyPositional { count: usize, expected: String },
     #[error("{name} is given twice")]
     GivenTwice { name: &'static str },
@@ -34,7 +34,7 @@
         name: &'static str,
         expected: String,
     },
-    #[error("{name:?} is no argument of it: expected any of {known}{suggestion}")]
+    #[error("unknown argument {name:?}: expected any of {known}{suggestion}")]
     Unknown {
         name: String,
         known: String,
@@ -42,17 +42,17 @@
     },
 }
 
-/// The arguments of one declaration, taken out one by one.
+/// The arguments of one declaration that have not been read yet.
 pub(crate) struct Arguments {
     pub(crate) function: String,
     pub(crate) at: SourceLocation,
     named: Map<String, Json>,
-    /// The names that were asked for, in that order.
+    /// The names read so far, in that order; errors list them as the known arguments.
     known: Vec<&'static str>,
 }
 
 impl Arguments {
-    /// `positional`: the names of the arguments that may be given by position.
+    /// Assigns positional arguments to names. `positional` lists the arguments that may be given by position.
     pub(crate) fn new(
         declaration: Declaration,
         positional: &[&'static str],
@@ -66,8 +66,8 @@
         let count = declaration.positional.len();
         if count > positional.len() {
             let expected = match positional {
-                [] => "named arguments alone".to_string(),
-                names => format!("only {} unnamed", names.join(", ")),
+                [] => "named arguments only".to_string(),
+                names => format!("at most {} ({})", names.len(), names.join(", ")),
             };
             return Err(arguments.error(ArgumentError::TooManyPositional { count, expected }));
         }
@@ -79,12 +79,12 @@
         Ok(arguments)
     }
 
-    /// An error of this declaration.
+    /// Creates an error at the location of this declaration.
     pub(crate) fn error(&self, cause: impl Display) -> ConfigError {
         ConfigError::new(self.at.clone(), format!("{}: {cause}", self.function))
     }
 
-    /// The error that an argument has another value than `expected`.
+    /// Creates the error for an argument whose value is not as expected.
     pub(crate) fn unexpected(
         &self,
         name: &'static str,
@@ -98,13 +98,13 @@
         })
     }
 
-    /// Takes out what was given under a name; `None` in a script stands for not given.
+    /// Removes and returns the argument of this name. `None` in a script counts as absent.
     fn take(&mut self, name: &'static str) -> Option<Json> {
         self.known.push(name);
         self.named.remove(name).filter(|value| !value.is_null())
     }
 
-    /// What `read` makes of a value; `default` where none is given, an error where there is no default either.
+    /// Converts an argument with `read`. An absent argument yields `default`, or an error if there is no default.
     pub(crate) fn read<T>(
         &mut self,
         name: &'static str,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Like [`Arguments::read`], for a value that may be missing.
+    /// Like [`Arguments::read`], for an argument that may be absent.
     pub(crate) fn read_optional<T>(
         &mut self,
         name: &'static str,
@@ -215,7 +215,7 @@
         })
     }
 
-    /// One of the keywords of `choices`, as what it stands for.
+    /// One of the keywords of `choices`, converted to the value paired with it.
     pub(crate) fn choice<T: Copy>(
         &mut self,
         name: &'static str,
@@ -235,7 +235,7 @@
         })
     }
 
-    /// A list; empty where none is given.
+    /// A list; empty if the argument is absent.
     pub(crate) fn list(
         &mut self,
         name: &'static str,
@@ -246,7 +246,7 @@
         })
     }
 
-    /// Checks that no argument is left that was not asked for.
+    /// Checks that every given argument was read.
     pub(crate) fn finish(self) -> Result<(), ConfigError> {
         let Some(name) = self.named.keys().next() else {
             return Ok(());
--- a/crates/operator-config/src/declaration.rs
+++ b/crates/operator-config/src/declaration.rs
@@ -1,19 +1,19 @@
-//! What the evaluator hands on: each call of one of the operator's functions, with its arguments as JSON.
+//! The output of the evaluator: each call of one of the operator's functions, with its arguments as JSON.
 use crate::SourceLocation;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
 
-/// In the value of a call: the key of the function's name.
+/// The key of the function's name in a call that is encoded as a value.
 const FUNCTION_KEY: &str = "#made";
-/// In the value of a call: the key of the place of the call, `[FILE, LINE]`.
+/// The key of the location, `[FILE, LINE]`, in a call that is encoded as a value.
 const LOCATION_KEY: &str = "#at";
 
-/// One call of an operator's function: which function, where, and with what.
+/// A call of one of the operator's functions: the function, the location and the arguments.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Declaration {
-    /// The function's name, a keyword of the operator's file.
+    /// The function's name in the script.
     pub function: String,
-    /// Where it was called.
+    /// The location of the call.
     pub at: SourceLocation,
     /// Arguments given by position.
     pub positional: Vec<Value>,
@@ -22,7 +22,8 @@
 }
 
 impl Declaration {
-    /// The call as a value that a script can hand to another declaration: what `part`, `kept` and their like return.
+    /// Encodes the call as a value that a script can pass to a declaration. `part`, `kept` and the other value
+    /// functions return it.
     pub fn into_value(self) -> Value {
         json!({
             FUNCTION_KEY: self.function,
@@ -32,7 +33,7 @@
         })
     }
 
-    /// The call that such a value stands for; `None` for any other value.
+    /// Decodes a call from what [`Declaration::into_value`] returned; `None` for any other value.
     pub fn from_value(value: &Value) -> Option<Self> {
         let function = value.get(FUNCTION_KEY)?.as_str()?.to_string();
         let location = value.get(LOCATION_KEY)?;
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,18 +1,18 @@
-//! The error of the operator's file, and the place in a script that it names.
+//! An error in the operator's file, and its location.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A place in a script.
+/// A location in a script.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceLocation {
     /// The path of the script, as it was given or loaded.
     pub file: String,
-    /// Counted from 1; 0 where no line is known.
+    /// The line, counted from 1; 0 if it is unknown.
     pub line: usize,
 }
 
 impl SourceLocation {
-    /// A file as a whole, without a line.
+    /// The location of a file as a whole, without a line.
     pub fn file_only(file: impl Into<String>) -> Self {
         SourceLocation {
             file: file.into(),
@@ -30,21 +30,21 @@
     }
 }
 
-/// What is invalid in a script and where. It is shown on one line: `FILE:LINE: MESSAGE`.
+/// An error in a script and its location, displayed on one line as `FILE:LINE: MESSAGE`.
 ///
-/// It crosses from the evaluator's process to the server as JSON, therefore the message is text here; the modules that
-/// find an error have an enum each (`ArgumentError`, `ValidationError`, and `EvaluationError` of the evaluator).
+/// The evaluator's process sends it to the server as JSON, so the message is text here. The modules that detect errors
+/// have an enum each (`ArgumentError`, `DeclarationError`, `ValidationError`, and `EvaluationError` in the evaluator).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{location}: {message}")]
 pub struct ConfigError {
-    /// The declaration at fault.
+    /// The location of the invalid declaration.
     pub location: SourceLocation,
     /// What was found and what was expected, on one line.
     pub message: String,
 }
 
 impl ConfigError {
-    /// An error at `location`, with what `cause` prints as its message.
+    /// Creates an error at `location` whose message is the text of `cause`.
     pub fn new(location: SourceLocation, cause: impl fmt::Display) -> Self {
         ConfigError {
             location,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's file of cottondyke as values. `cottondyke-script` evaluates the file, a Starlark script, to a list of
-//! [`Declaration`]s; this crate makes an [`OperatorConfig`] of them, validates it against itself and the handlers, and
-//! makes the plan by which the server calls dependencies. Every error names file, line and value, and what was expected.
+//! Typed configuration from the operator's file of cottondyke, a Starlark script. `cottondyke-script` evaluates the
+//! script to a list of [`Declaration`]s. This crate parses them into an [`OperatorConfig`], validates it on its own and
+//! against the handlers, and builds the plan by which the server calls dependencies. Every error names the file, the
+//! line, the value and what was expected.
 //!
 //! ```
 //! use cottondyke_operator_config::{Declaration, OperatorConfig, SourceLocation};
--- a/crates/operator-config/src/model.rs
+++ b/crates/operator-config/src/model.rs
@@ -1,5 +1,5 @@
-//! The operator's file as typed values. Each declaration carries the place where it stands, so that later checks can
-//! name it.
+//! The operator's file as typed values. Each declaration keeps its location in the script, so that later checks can
+//! report it.
 //!
 //! `cottondyke-script` writes these types as JSON and the server reads them; the `serde` names are those of that JSON.
 use crate::{serde_time, SourceLocation};
@@ -8,16 +8,16 @@
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 
-/// Dependencies that one file may declare.
+/// The maximum number of dependencies in one file.
 pub const MAX_DEPENDENCIES: usize = 64;
-/// Parts that one page may have.
+/// The maximum number of parts in one page.
 pub const MAX_PARTS: usize = 32;
-/// Fallbacks that one part may have.
+/// The maximum number of fallbacks of one part.
 pub const MAX_FALLBACKS: usize = 8;
-/// The size of the default value of a part, in bytes of JSON.
+/// The maximum size of the default value of a part, in bytes of JSON.
 pub const MAX_DEFAULT_VALUE_BYTES: usize = 65_536;
 
-/// The names of the safeguards that `defences(off = [...])` can switch off.
+/// The names of the safeguards that `defences(off = [...])` can disable.
 pub const SAFEGUARDS: [&str; 13] = [
     "budget",
     "limit",
@@ -34,7 +34,7 @@
     "suspicion",
 ];
 
-/// `serve(...)`: how the server runs without a configuration of the platform's.
+/// `serve(...)`: how the server runs without a platform configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Serve {
     /// Where it is declared.
@@ -43,18 +43,18 @@
     pub name: String,
     /// The address on which it accepts connections.
     pub listen: SocketAddr,
-    /// Requests that run at one time.
+    /// The maximum number of requests that run concurrently.
     #[serde(rename = "at_once")]
     pub max_running_requests: u64,
-    /// Memory that the process may take, in MiB.
+    /// The memory that the process may use, in MiB.
     pub memory_mb: u64,
-    /// File descriptors that the process may open.
+    /// The number of file descriptors that the process may open.
     #[serde(rename = "sockets")]
     pub max_descriptors: u64,
-    /// From the shutdown signal to the end of the process.
+    /// The time from the shutdown signal to the exit of the process.
     #[serde(rename = "stop", with = "serde_time")]
     pub shutdown_timeout: Time,
-    /// The longest time after which a rejected client is asked to come back.
+    /// The longest time after which a rejected client is told to retry.
     #[serde(rename = "pause", with = "serde_time")]
     pub max_retry_after: Time,
     /// The seed of the server's random numbers.
@@ -80,21 +80,21 @@
     pub at: SourceLocation,
     /// Its name, unique among the handlers.
     pub name: String,
-    /// Whether it may run twice for one request.
+    /// Whether it may run more than once for one request.
     #[serde(rename = "effect", with = "IdempotencyName")]
     pub idempotency: Idempotency,
-    /// The time within which an answer has its full value.
+    /// The time within which a response has its full value.
     #[serde(with = "serde_time")]
     pub response_target: Time,
-    /// The time after which a client no longer waits.
+    /// The time after which a client stops waiting.
     #[serde(with = "serde_time")]
     pub client_timeout: Time,
-    /// The value of an answer within the response target.
+    /// The value of a response within the response target.
     pub value: f64,
-    /// The fraction of the value left after the response target.
+    /// The fraction of `value` that a response has after the response target.
     #[serde(rename = "late_value")]
     pub late_value_ratio: f64,
-    /// How long a request with an idempotency key may be repeated.
+    /// How long repeats of a request with an idempotency key are deduplicated.
     #[serde(rename = "window", with = "serde_time")]
     pub dedup_window: Time,
 }
@@ -106,7 +106,7 @@
     pub at: SourceLocation,
     /// Its name, unique among the tenants.
     pub name: String,
-    /// Requests a second within its quota, over the whole fleet.
+    /// Its quota in requests per second, over the whole fleet.
     #[serde(rename = "per_second")]
     pub requests_per_second: f64,
 }
@@ -122,21 +122,21 @@
     pub zone: String,
     /// The address on which it accepts connections of other members.
     pub listen: SocketAddr,
-    /// The address at which other members reach it, where that is not `listen`.
+    /// The address at which other members reach it, if that is not `listen`.
     pub advertise: Option<SocketAddr>,
     /// How often another member is probed.
     #[serde(rename = "probe", with = "serde_time")]
     pub probe_interval: Time,
-    /// The replicas of the registry, by name.
+    /// The names and addresses of the registry's replicas.
     #[serde(rename = "keepers")]
     pub replicas: Vec<(String, SocketAddr)>,
-    /// The directory of what must survive a restart. A replica needs it.
+    /// The directory of the state that must survive a restart; required for a replica.
     #[serde(rename = "data")]
     pub data_dir: Option<String>,
     /// How long a quota may be used after it was requested.
     #[serde(rename = "lease", with = "serde_time")]
     pub lease_duration: Time,
-    /// The longest time for which a process may be stopped and still go on afterwards.
+    /// The longest time for which a process may be suspended and then resume.
     #[serde(rename = "longest_stop", with = "serde_time")]
     pub max_process_pause: Time,
 }
@@ -163,35 +163,35 @@
     /// Whether its replies are JSON; otherwise they are text.
     #[serde(rename = "json")]
     pub replies_are_json: bool,
-    /// The longest that one step of a part may wait for it.
+    /// The longest time that one step of a part may wait for it.
     #[serde(rename = "budget", with = "serde_time")]
     pub time_budget: Time,
-    /// Calls in flight that it survives, from all instances together unless `per_instance`.
+    /// The number of calls in flight that it can sustain, from all instances together unless `per_instance`.
     pub ceiling: u64,
-    /// Calls a second that it survives, from the same instances as `ceiling`.
+    /// The number of calls per second that it can sustain, from the same instances as `ceiling`.
     #[serde(rename = "rate")]
     pub max_rate: Option<u64>,
-    /// Whether `ceiling` and `max_rate` count for each instance on its own.
+    /// Whether `ceiling` and `max_rate` apply to each instance separately.
     #[serde(rename = "own")]
     pub per_instance: bool,
-    /// The least to which its concurrency limit adapts.
+    /// The lower bound of its adaptive concurrency limit.
     #[serde(rename = "floor")]
     pub min_limit: u64,
-    /// How long it may go on with a call after the call was cancelled.
+    /// How long it may continue to work on a call after the call was cancelled.
     #[serde(rename = "linger", with = "serde_time")]
     pub post_cancel_grace: Time,
-    /// Calls that may wait for its limit; as many as may be in flight where `None`.
+    /// The number of calls that may wait for its limit; if `None`, as many as may be in flight.
     #[serde(rename = "waiting")]
     pub max_waiting: Option<u64>,
-    /// Retries and hedged calls allowed, as a fraction of first calls.
+    /// The maximum number of retries and hedged calls, as a fraction of first calls.
     #[serde(rename = "retries")]
     pub retry_ratio: f64,
-    /// The quantile of its latency after which a call is hedged by a second; no hedging where `None`.
+    /// The quantile of its latency after which a second, hedged call is sent; no hedging if `None`.
     #[serde(rename = "hedge")]
     pub hedge_quantile: Option<f64>,
 }
 
-/// What stands in for a part whose dependency did not deliver it.
+/// The substitute for a part that its dependency did not deliver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fallback {
     /// `kept(age)`: the last good reply, up to this age.
@@ -200,10 +200,11 @@
     /// `other(dependency)`: a call to the dependency of this name.
     #[serde(rename = "Other")]
     Secondary(String),
-    /// `fixed(value)`: any value; sent as JSON where the dependency's replies are JSON, else a text as it stands.
+    /// `fixed(value)`: a constant. A string is sent without quotes if the dependency's replies are text; any other
+    /// value is sent as JSON.
     #[serde(rename = "Fixed")]
     Default(Json),
-    /// `leave_out()`: the page goes without the part.
+    /// `leave_out()`: the page omits the part.
     #[serde(rename = "LeaveOut")]
     Omit,
 }
@@ -219,46 +220,46 @@
     pub dependency: String,
     /// Whether the page fails without it.
     pub required: bool,
-    /// What is tried in its place, in this order, each with the place where it is declared.
+    /// The fallbacks in the order in which they are tried, each with the location of its declaration.
     pub fallbacks: Vec<(SourceLocation, Fallback)>,
 }
 
-/// `aggregation(...)`: the answer of a handler, composed of parts.
+/// `page(...)`: the response of a handler, composed of parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Aggregation {
     /// Where it is declared.
     pub at: SourceLocation,
     /// The name of the handler.
     pub handler: String,
-    /// Its parts, in the order in which they appear in the answer.
+    /// Its parts, in the order in which they appear in the response.
     pub parts: Vec<Part>,
 }
 
-/// All that the operator's file says.
+/// The whole configuration in an operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorConfig {
     /// The path of the file.
     pub file: String,
-    /// How the server runs on its own.
+    /// How the server runs without a platform configuration.
     pub serve: Option<Serve>,
     /// The fleet that this instance is a member of.
     pub peers: Option<Peers>,
-    /// Instances that may run at one time, where ceilings are divided in fixed parts.
+    /// The maximum number of running instances, if ceilings are divided into fixed shares.
     pub instances: Option<u64>,
     /// The memory for cached replies, in MiB.
     #[serde(rename = "kept_mb")]
     pub stale_cache_mb: f64,
-    /// Where `fleet(...)` stands; line 0 where it does not.
+    /// The location of `fleet(...)`; line 0 if it is not declared.
     #[serde(rename = "fleet")]
     pub fleet_at: SourceLocation,
-    /// The declared handlers, in their order.
+    /// The handlers in the order of their declaration.
     pub handlers: Vec<Handler>,
-    /// The declared tenants, in their order.
+    /// The tenants in the order of their declaration.
     pub tenants: Vec<Tenant>,
-    /// The declared dependencies, in their order.
+    /// The dependencies in the order of their declaration.
     pub dependencies: Vec<Dependency>,
-    /// The declared pages, in their order.
+    /// The pages in the order of their declaration.
     pub aggregations: Vec<Aggregation>,
-    /// Safeguards that are switched off, for trials.
+    /// The safeguards that are disabled, for experiments.
     pub disabled_safeguards: Vec<String>,
 }
--- a/crates/operator-config/src/parse/aggregation.rs
+++ b/crates/operator-config/src/parse/aggregation.rs
@@ -1,4 +1,4 @@
-//! `aggregation(...)` with its `part(...)`s and their fallbacks.
+//! `page(...)` with its `part(...)`s and their fallbacks.
 use super::error::DeclarationError;
 use crate::arguments::Arguments;
 use crate::{
@@ -68,7 +68,8 @@
         "kept" => &["most"],
         "other" => &["dependency"],
         "fixed" => &["value"],
-        // Not a fallback: the error is to say that, and not to blame its first argument.
+        // Not a fallback. Its name is accepted here so that the error below reports the part, not the positional
+        // argument.
         "part" => &["name"],
         _ => &[],
     };
--- a/crates/operator-config/src/parse/dependency.rs
+++ b/crates/operator-config/src/parse/dependency.rs
@@ -1,4 +1,4 @@
-//! `dependency(...)`: a service that pages are composed from.
+//! `dependency(...)`: a service that delivers parts of pages.
 use crate::arguments::Arguments;
 use crate::format::milliseconds;
 use crate::{ConfigError, Dependency};
@@ -49,8 +49,8 @@
 
 fn read_path(value: &Json) -> Option<String> {
     let path = value.as_str()?;
-    let is_plain = path.starts_with('/')
+    let is_valid = path.starts_with('/')
         && path.len() <= MAX_PATH_BYTES
         && path.bytes().all(|byte| byte.is_ascii_graphic());
-    is_plain.then(|| path.to_string())
+    is_valid.then(|| path.to_string())
 }
--- a/crates/operator-config/src/parse/error.rs
+++ b/crates/operator-config/src/parse/error.rs
@@ -1,6 +1,6 @@
-//! What can be invalid about one declaration.
+//! The errors of one declaration.
 
-/// What is invalid about a declaration whose arguments are plausible one by one.
+/// An error of a declaration that is not an `ArgumentError`.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DeclarationError {
     #[error("expected a declaration")]
@@ -10,19 +10,19 @@
     #[error("client_timeout is {timeout}: expected no less than the response target of {target}")]
     TimeoutBelowTarget { timeout: String, target: String },
     #[error(
-        "data is missing: expected a folder that outlives the process, since this instance is a keeper"
+        "data is missing: expected a directory that persists across restarts, since this instance is one of the keepers"
     )]
     MissingDataDirectory,
-    #[error("parts holds {count}: expected 1 to {max}")]
+    #[error("{count} parts: expected 1 to {max}")]
     PartCount { count: usize, max: usize },
-    #[error("{count} fall-backs: expected at most {max}")]
+    #[error("{count} fallbacks: expected at most {max}")]
     TooManyFallbacks { count: usize, max: usize },
-    #[error("fallbacks holds {function}(): expected {expected}")]
+    #[error("fallbacks contains {function}(): expected {expected}")]
     NotAFallback {
         function: String,
         expected: &'static str,
     },
-    #[error("off holds {value}: expected any of {known}{suggestion}")]
+    #[error("off contains {value}: expected any of {known}{suggestion}")]
     UnknownSafeguard {
         value: String,
         known: String,
--- a/crates/operator-config/src/parse/fleet.rs
+++ b/crates/operator-config/src/parse/fleet.rs
@@ -1,13 +1,13 @@
-//! `fleet(...)`: what all instances have in common.
+//! `fleet(...)`: the settings that all instances share.
 use crate::arguments::Arguments;
 use crate::{ConfigError, SourceLocation};
 
-/// The memory for cached replies where `fleet` does not say, in MiB.
+/// The default memory for cached replies, in MiB.
 pub(super) const DEFAULT_STALE_CACHE_MB: f64 = 4.0;
 const MAX_INSTANCES: u64 = 100_000;
 const MAX_STALE_CACHE_MB: f64 = 65_536.0;
 
-/// What `fleet(...)` says.
+/// The parsed arguments of `fleet(...)`.
 pub(super) struct Fleet {
     pub(super) at: SourceLocation,
     pub(super) instances: Option<u64>,
--- a/crates/operator-config/src/parse/mod.rs
+++ b/crates/operator-config/src/parse/mod.rs
@@ -1,6 +1,6 @@
-//! Makes typed values of a script's declarations, one module for each kind of declaration.
+//! Parses the declarations of a script into typed values, one module for each kind of declaration.
 //!
-//! The order in which a declaration reads its arguments is the order in which errors list the known ones.
+//! Errors list the known arguments of a declaration in the order in which its parser reads them.
 mod aggregation;
 mod dependency;
 mod error;
@@ -16,8 +16,8 @@
 use fleet::DEFAULT_STALE_CACHE_MB;
 
 impl OperatorConfig {
-    /// Types what the script `file` declared. The declarations are checked one by one; [`OperatorConfig::validate`]
-    /// checks them against each other.
+    /// Parses the declarations of the script `file`. They are checked one by one; [`OperatorConfig::validate`] checks
+    /// them against each other.
     pub fn from_declarations(
         file: &str,
         declarations: Vec<Declaration>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The configuration while its declarations are read.
+/// The configuration parsed so far.
 struct Parser {
     config: OperatorConfig,
     has_fleet: bool,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Fills `slot` with a declaration that may stand only once.
+/// Parses a declaration that may be given only once into `slot`.
 fn set_once<T>(
     slot: &mut Option<T>,
     arguments: Arguments,
--- a/crates/operator-config/src/parse/peers.rs
+++ b/crates/operator-config/src/parse/peers.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// How many replicas the registry may have: a majority of them must be there, so an even number gains nothing.
+/// The allowed numbers of registry replicas. A majority of them must be available, so an even number tolerates no more
+/// failures than the odd number below it.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
 const EXPECTED_REPLICAS: &str =
     "1, 3 or 5 names with an address each such as {\"a\": \"10.0.0.1:7100\"}";
@@ -18,7 +19,7 @@
 
 pub(super) fn parse_peers(mut arguments: Arguments) -> Result<Peers, ConfigError> {
     let replicas = arguments.read("keepers", EXPECTED_REPLICAS, None, read_replicas)?;
-    let data_dir = arguments.read_optional("data", "None or the path of a folder", |value| {
+    let data_dir = arguments.read_optional("data", "None or the path of a directory", |value| {
         value
             .as_str()
             .filter(|path| !path.is_empty())
--- a/crates/operator-config/src/parse/safeguards.rs
+++ b/crates/operator-config/src/parse/safeguards.rs
@@ -1,4 +1,4 @@
-//! `defences(...)`: the safeguards that are switched off.
+//! `defences(...)`: the safeguards that are disabled.
 use super::error::DeclarationError;
 use crate::arguments::Arguments;
 use crate::format::format_value;
--- a/crates/operator-config/src/parse/serve.rs
+++ b/crates/operator-config/src/parse/serve.rs
@@ -1,4 +1,4 @@
-//! `serve(...)`: how the server runs on its own.
+//! `serve(...)`: how the server runs without a platform configuration.
 use crate::arguments::Arguments;
 use crate::format::milliseconds;
 use crate::{ConfigError, Serve};
--- a/crates/operator-config/src/plan.rs
+++ b/crates/operator-config/src/plan.rs
@@ -1,4 +1,4 @@
-//! Makes the plan by which the server calls dependencies and composes pages.
+//! Builds the plan by which the server calls dependencies and composes pages.
 use crate::{Dependency, Fallback, OperatorConfig, Part};
 use cottondyke_dependency as dependency;
 use cottondyke_types::Time;
@@ -6,12 +6,13 @@
 
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 
-/// A handler as the plan and the validation need it, from the platform's configuration or from the file itself.
+/// The properties of a handler that the plan and the validation need. The platform's configuration or the file itself
+/// declares the handler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandlerSpec {
     /// The name by which a page refers to it.
     pub name: String,
-    /// The time within which an answer has its full value.
+    /// The time within which a response has its full value.
     pub response_target: Time,
 }
 
@@ -27,7 +28,7 @@
             .collect()
     }
 
-    /// The plan of a validated file and, for each of `handlers`, the place of its page among the plan's aggregations.
+    /// The plan of a validated file and, for each of `handlers`, the index of its page in the plan's aggregations.
     pub fn plan(&self, handlers: &[HandlerSpec]) -> (dependency::Plan, Vec<Option<usize>>) {
         let plan = dependency::Plan {
             dependencies: self
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The place of a dependency in the plan.
+    /// The index of a dependency in the plan.
     fn dependency_index(&self, name: &str) -> usize {
         self.dependencies
             .iter()
--- a/crates/operator-config/src/queries.rs
+++ b/crates/operator-config/src/queries.rs
@@ -1,4 +1,4 @@
-//! What the server asks of a configuration besides the plan: values of requests, safeguards, budgets shared by the fleet.
+//! Queries on a configuration besides the plan: values of requests, safeguards, and budgets shared by the fleet.
 use crate::{Dependency, OperatorConfig};
 use cottondyke_dependency::{Safeguards, RATE_WINDOW};
 use cottondyke_quota::BudgetSpec;
@@ -7,7 +7,7 @@
 /// The value of a request whose handler the platform's configuration declares.
 const DEFAULT_REQUEST_VALUE: f64 = 1.0;
 
-/// The name of the fleet's budget for a dependency's calls a second.
+/// The name of the fleet's budget for a dependency's calls per second.
 pub fn rate_budget_name(dependency: &str) -> String {
     format!("rate/{dependency}")
 }
@@ -18,7 +18,7 @@
 }
 
 impl OperatorConfig {
-    /// The safeguards of the calls to dependencies, as this file leaves them on.
+    /// The safeguards of the calls to dependencies; all that the file does not disable are on.
     pub fn safeguards(&self) -> Safeguards {
         Safeguards {
             time_budget: self.has_safeguard("budget"),
@@ -37,7 +37,7 @@
         !self.disabled_safeguards.iter().any(|off| off == name)
     }
 
-    /// The value of a request of a handler; 1 where the platform's configuration declares the handler.
+    /// The value of a request of a handler; 1 if the platform's configuration declares the handler.
     pub fn value(&self, handler: &str) -> f64 {
         self.handlers
             .iter()
@@ -45,14 +45,14 @@
             .map_or(DEFAULT_REQUEST_VALUE, |declared| declared.value)
     }
 
-    /// The longest that a call may occupy a dependency after it was sent: as long as the call is waited for, half as
-    /// long again during which a late reply is still read, and as long as the dependency may go on after that.
+    /// The longest time that a call may occupy a dependency after it was sent: its time budget, half of that again in
+    /// which a late reply is still read, and the time that the dependency may continue after the cancellation.
     pub fn max_call_duration(&self, dependency: &Dependency) -> Time {
         let late_reply_window = Time(dependency.time_budget.0 / 2);
         dependency.time_budget + late_reply_window + dependency.post_cancel_grace
     }
 
-    /// The budgets that all instances share: calls in flight, and calls a second where a rate is set.
+    /// The budgets that all instances share: calls in flight, and calls per second if a rate is set.
     pub fn shared_budgets(&self) -> Vec<BudgetSpec> {
         let shared = || self.dependencies.iter().filter(|d| !d.per_instance);
         let calls = shared().map(|dependency| BudgetSpec {
@@ -70,8 +70,9 @@
         calls.chain(rates).collect()
     }
 
-    /// Calls in flight that this instance may have at a dependency. Where the ceiling is divided in fixed parts, it is
-    /// one of them, rounded down so that their sum never passes the ceiling; where quotas are leased, it is the ceiling.
+    /// The maximum number of calls in flight from this instance to a dependency. If the ceiling is divided into fixed
+    /// shares, it is one share, rounded down so that their sum never exceeds the ceiling; if quotas are leased or the
+    /// ceiling is per instance, it is the ceiling.
     pub fn max_calls(&self, dependency: &Dependency) -> u64 {
         if self.peers.is_some() || dependency.per_instance {
             return dependency.ceiling;
--- a/crates/operator-config/src/summary.rs
+++ b/crates/operator-config/src/summary.rs
@@ -1,4 +1,4 @@
-//! What is in force, for people: one line for each fact of the plan.
+//! A human-readable summary of the configuration in force.
 use crate::format::format_duration;
 use crate::plan::HandlerSpec;
 use crate::{Aggregation, Dependency, Fallback, OperatorConfig, Part, Peers};
@@ -6,8 +6,8 @@
 use cottondyke_types::Time;
 
 impl OperatorConfig {
-    /// The text of what is in force: each dependency's limits, each page's parts and fallbacks, and the longest time
-    /// in which a page is answered. Each line ends with a line feed.
+    /// Summarizes the configuration in force: the limits of each dependency, the parts and fallbacks of each page, and
+    /// the longest time in which a page is answered. Each line ends with a line feed.
     pub fn summary(&self, handlers: &[HandlerSpec]) -> String {
         let (plan, _) = self.plan(handlers);
         let mut lines = Vec::new();
@@ -31,7 +31,7 @@
         lines.into_iter().map(|line| line + "\n").collect()
     }
 
-    /// For a dependency whose ceiling is leased: when the quota of a lost instance is free again.
+    /// For a dependency whose ceiling is leased: when the quota of a lost instance can be leased again.
     fn summarize_lost_lease(&self, dependency: &Dependency) -> Option<String> {
         let peers = self.peers.as_ref().filter(|_| !dependency.per_instance)?;
         let free_after = peers.lease_duration + self.max_call_duration(dependency);
--- a/crates/operator-config/src/validate/aggregations.rs
+++ b/crates/operator-config/src/validate/aggregations.rs
@@ -27,7 +27,7 @@
         Ok(())
     }
 
-    /// Checks the dependency and the fallbacks of a part; the calls that it makes if all but the last fail.
+    /// Checks the dependency and the fallbacks of a part. Returns the calls that it makes if all but the last fail.
     fn check_fallbacks<'a>(&self, part: &'a Part) -> Result<CallSequence<'a>, ConfigError> {
         let name = || part.name.clone();
         let primary = self.find_dependency(&part.at, &part.dependency)?;
@@ -98,14 +98,14 @@
     })
 }
 
-/// The calls that a part makes one after the other while each fails, and the time that they may take together.
+/// The calls that a part makes one after the other while each fails, and the sum of their time budgets.
 struct CallSequence<'a> {
     dependencies: Vec<&'a str>,
     time: Time,
 }
 
 impl CallSequence<'_> {
-    /// Checks that the calls leave the reserve for composing the page within the handler's response target.
+    /// Checks that the calls and the reserve for composing the page fit the handler's response target.
     fn check_fit(&self, part: &Part, handler: &HandlerSpec) -> Result<(), ConfigError> {
         if self.time + RESERVE <= handler.response_target {
             return Ok(());
--- a/crates/operator-config/src/validate/dependencies.rs
+++ b/crates/operator-config/src/validate/dependencies.rs
@@ -1,4 +1,5 @@
-//! Checks that each instance gets something of a dependency's ceiling and rate, and no less than the floor.
+//! Checks that each instance's share of a dependency's ceiling and rate is at least 1, and its share of the ceiling at
+//! least the floor.
 use super::error::ValidationError;
 use crate::{ConfigError, Dependency, OperatorConfig};
 
--- a/crates/operator-config/src/validate/error.rs
+++ b/crates/operator-config/src/validate/error.rs
@@ -1,26 +1,26 @@
-//! What can be invalid about a file whose declarations are valid one by one.
+//! The errors of a file whose declarations are valid one by one.
 use crate::{ConfigError, SourceLocation};
 
 /// A contradiction within the file, or between the file and the handlers.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ValidationError {
-    #[error("{kind} {name:?} is declared twice, first in line {first_line}")]
+    #[error("{kind} {name:?} is declared twice, first on line {first_line}")]
     DeclaredTwice {
         kind: &'static str,
         name: String,
         first_line: usize,
     },
     #[error(
-        "fleet: instances = {instances} beside peers(...) in line {peers_line}: fixed parts and parts that are lent \
-         are mixed: expected one of the two"
+        "fleet: instances = {instances} together with peers(...) on line {peers_line}: fixed shares and leased quotas \
+         cannot be combined: expected one of the two"
     )]
-    InstancesBesidePeers { instances: u64, peers_line: usize },
+    InstancesWithPeers { instances: u64, peers_line: usize },
     #[error(
-        "customer {name:?} beside peers(...): its rate over the fleet cannot be divided yet: expected \
-         fleet(instances = N) in place of peers"
+        "customer {name:?} together with peers(...): its fleet-wide rate cannot be divided yet: expected \
+         fleet(instances = N) instead of peers(...)"
     )]
-    TenantBesidePeers { name: String },
-    #[error("more dependencies than {max}")]
+    TenantWithPeers { name: String },
+    #[error("too many dependencies: expected at most {max}")]
     TooManyDependencies { max: usize },
     #[error(
         "dependency {name:?}: its ceiling of {ceiling} cannot be divided: expected fleet(instances = N) or peers(...) \
@@ -57,15 +57,15 @@
     UnknownDependency { name: String, suggestion: String },
     #[error("part {part:?} is in the page twice: expected once")]
     DuplicatePart { part: String },
-    #[error("part {part:?} is required and has fall-backs: expected none, or required = False")]
+    #[error("part {part:?} is required and has fallbacks: expected none, or required = False")]
     RequiredWithFallbacks { part: String },
-    #[error("part {part:?}: nothing comes after this fall-back: expected it last")]
+    #[error("part {part:?}: the fallbacks after this one are never tried: expected it last")]
     UnreachableFallback { part: String },
-    #[error("part {part:?} falls back on {dependency:?}, which it has asked already")]
+    #[error("part {part:?} falls back to {dependency:?}, which it has already called")]
     RepeatedDependency { part: String, dependency: String },
     #[error(
-        "part {part:?}: its budgets ({dependencies}) take {needed}, and {reserve} are kept back: expected no more \
-         than the response target of {handler:?}, {target}"
+        "part {part:?}: its budgets ({dependencies}) take {needed}, and {reserve} are reserved: expected no more than \
+         the response target of {handler:?}, {target}"
     )]
     BudgetsExceedTarget {
         part: String,
@@ -80,13 +80,13 @@
     #[error("no handler(...) is declared: expected at least one")]
     NoHandlers,
     #[error(
-        "handler {name:?} has no page: nothing would run its reqs; expected page({name:?}, ...)"
+        "handler {name:?} has no page: nothing would run its requests; expected page({name:?}, ...)"
     )]
     HandlerWithoutPage { name: String },
 }
 
 impl ValidationError {
-    /// The error of the declaration at `location`.
+    /// Converts it to an error at `location`.
     pub(super) fn at(self, location: &SourceLocation) -> ConfigError {
         ConfigError::new(location.clone(), self)
     }
--- a/crates/operator-config/src/validate/mod.rs
+++ b/crates/operator-config/src/validate/mod.rs
@@ -1,5 +1,5 @@
-//! Checks a file's declarations against each other and against the handlers that there are: names that are not
-//! declared, budgets that cannot fit, quotas of nothing.
+//! Checks the declarations of a file against each other and against the known handlers: undeclared names, time budgets
+//! that exceed a response target, shares of zero.
 mod aggregations;
 mod dependencies;
 mod error;
@@ -12,7 +12,7 @@
 use uniqueness::check_unique;
 
 impl OperatorConfig {
-    /// Checks that the file can be obeyed beside these handlers. The first error is returned.
+    /// Checks that the file is consistent with itself and with these handlers. The first error is returned.
     pub fn validate(&self, handlers: &[HandlerSpec]) -> Result<(), ConfigError> {
         check_unique("handler", self.handlers.iter().map(|h| (&*h.name, &h.at)))?;
         self.check_peers()?;
@@ -37,14 +37,14 @@
         Ok(())
     }
 
-    /// Checks that nothing stands beside `peers(...)` that only fixed parts can serve.
+    /// Checks that nothing is declared together with `peers(...)` that requires fixed shares.
     fn check_peers(&self) -> Result<(), ConfigError> {
         let Some(peers) = &self.peers else {
             return Ok(());
         };
         if let Some(instances) = self.instances {
             let peers_line = peers.at.line;
-            let error = ValidationError::InstancesBesidePeers {
+            let error = ValidationError::InstancesWithPeers {
                 instances,
                 peers_line,
             };
@@ -52,7 +52,7 @@
         }
         if let Some(tenant) = self.tenants.first() {
             let name = tenant.name.clone();
-            return Err(ValidationError::TenantBesidePeers { name }.at(&tenant.at));
+            return Err(ValidationError::TenantWithPeers { name }.at(&tenant.at));
         }
         Ok(())
     }
--- a/crates/operator-config/src/validate/standalone.rs
+++ b/crates/operator-config/src/validate/standalone.rs
@@ -1,9 +1,10 @@
-//! Checks a file that stands alone, without the platform's configuration.
+//! Checks a file that is used without a platform configuration.
 use super::error::ValidationError;
 use crate::{ConfigError, OperatorConfig, SourceLocation};
 
 impl OperatorConfig {
-    /// Checks that the file can be obeyed on its own. Nothing but its pages can run its handlers then.
+    /// Checks that the file is complete without a platform configuration. Each handler must have a page then, since
+    /// nothing else would run its requests.
     pub fn validate_standalone(&self) -> Result<(), ConfigError> {
         let file = SourceLocation::file_only(&self.file);
         if self.serve.is_none() {
--- a/crates/operator-config/src/validate/uniqueness.rs
+++ b/crates/operator-config/src/validate/uniqueness.rs
@@ -2,7 +2,7 @@
 use super::error::ValidationError;
 use crate::{ConfigError, SourceLocation};
 
-/// Checks that the names differ. Of two declarations of one name, the second is the error.
+/// Checks that the names are unique. Of two declarations of one name, the second is reported as the error.
 pub(super) fn check_unique<'a>(
     kind: &'static str,
     declarations: impl Iterator<Item = (&'a str, &'a SourceLocation)>,
--- a/crates/script/src/error.rs
+++ b/crates/script/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong during an evaluation beside the interpreter's own errors, and how either becomes the one line of a
+//! The errors of an evaluation besides those of the interpreter, and the conversion of both to a one-line
 //! [`ConfigError`].
 use crate::limits::{
     MAX_DECLARATIONS, MAX_FILES, MAX_FILE_BYTES, MAX_HEAP_BYTES, MAX_LOAD_DEPTH, MAX_TICKS,
@@ -7,35 +7,35 @@
 use starlark::codemap::FileSpan;
 use std::io;
 
-/// The longest message of an error, in characters.
+/// The maximum length of an error message, in characters.
 const MAX_MESSAGE_CHARS: usize = 400;
 
-/// An error that this crate finds while the interpreter runs.
+/// An error that this crate detects while the interpreter runs.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EvaluationError {
-    #[error("{function}: {argument} is a {type_name}: expected a plain value")]
-    NotAPlainValue {
+    #[error("{function}: {argument} is a {type_name}: expected a value that JSON can represent")]
+    NotJsonCompatible {
         function: &'static str,
         argument: String,
         type_name: &'static str,
     },
     #[error("{function} cannot be called here")]
-    NotRecording { function: &'static str },
+    MissingRecorder { function: &'static str },
     #[error("{function}: more than {MAX_DECLARATIONS} declarations")]
     TooManyDeclarations { function: &'static str },
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("load({path:?}): expected a file in the script's own folder")]
-    NotAPlainPath { path: String },
+    #[error("load({path:?}): expected a file in the script's own directory")]
+    InvalidPath { path: String },
     #[error("load({path:?}): {source}")]
-    CannotFind {
+    NotFound {
         path: String,
         #[source]
         source: io::Error,
     },
-    #[error("load({path:?}): it lies outside the script's folder")]
+    #[error("load({path:?}): it is outside the script's directory")]
     OutsideDirectory { path: String },
-    #[error("load({path:?}): the files load each other in a circle")]
+    #[error("load({path:?}): the file is already being loaded (circular load)")]
     CircularLoad { path: String },
     #[error("load({path:?}): expected at most {MAX_FILES} files, {MAX_LOAD_DEPTH} deep")]
     TooManyLoads { path: String },
@@ -47,7 +47,7 @@
     },
     #[error("{file}: {bytes} bytes, expected at most {MAX_FILE_BYTES}")]
     FileTooLarge { file: String, bytes: u64 },
-    #[error("{file}: expected at most {MAX_TICKS} steps and {MAX_HEAP_BYTES} bytes")]
+    #[error("{file}: expected at most {MAX_TICKS} steps and {MAX_HEAP_BYTES} bytes of heap")]
     LimitExceeded { file: String },
     #[error("{file}: {reason}")]
     CannotFreeze { file: String, reason: String },
@@ -59,7 +59,7 @@
     }
 }
 
-/// The place in a script that the interpreter names.
+/// Converts a source span of the interpreter to the location of its start.
 pub(crate) fn location_of(span: &FileSpan) -> SourceLocation {
     SourceLocation {
         file: span.filename().to_string(),
@@ -67,8 +67,8 @@
     }
 }
 
-/// An error of the interpreter on one line, without its drawing of the source. It is about the script at `file` where
-/// the interpreter names no place.
+/// Converts an error of the interpreter to one line, without its excerpt of the source. If the interpreter names no
+/// position, the error is located at the script `file` as a whole.
 pub(crate) fn to_config_error(file: &str, error: &starlark::Error) -> ConfigError {
     let location = match error.span() {
         Some(span) => location_of(span),
--- a/crates/script/src/evaluate.rs
+++ b/crates/script/src/evaluate.rs
@@ -5,7 +5,7 @@
 use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation};
 use std::path::Path;
 
-/// Evaluates the script at `path`: what it and the files that it loads declare, in the order of the calls.
+/// Evaluates the script at `path`. Returns what it and the files that it loads declare, in the order of the calls.
 ///
 /// # Errors
 /// If a file cannot be read, is not valid Starlark, fails, or exceeds one of the [limits](crate::limits).
--- a/crates/script/src/globals.rs
+++ b/crates/script/src/globals.rs
@@ -1,7 +1,7 @@
-//! The operator's functions, the globals of a script: each records its call.
+//! The operator's functions, which are the globals of a script.
 //!
-//! A *declaration* (`handler`, `page` ...) is recorded for the whole evaluation. The call of a *value function* (`part`,
-//! `kept` ...) becomes a value that the script hands to a declaration.
+//! A call of a *declaration* (`handler`, `page` ...) is recorded for the whole evaluation. A call of a *value function*
+//! (`part`, `kept` ...) returns a value that the script passes to a declaration.
 use crate::error::{location_of, EvaluationError};
 use crate::limits::MAX_DECLARATIONS;
 use cottondyke_operator_config::{ConfigError, Declaration, SourceLocation};
@@ -15,8 +15,8 @@
 use starlark::values::Value;
 use std::cell::RefCell;
 
-/// The declarations of an evaluation so far, each as JSON: an evaluator can refer only to types that the interpreter
-/// knows, in its `extra`.
+/// The declarations of an evaluation so far, each as JSON text, because the `extra` of an evaluator can refer only to
+/// types that the interpreter knows.
 pub(crate) type Recorder = RefCell<Vec<String>>;
 
 /// The globals of every file of an evaluation.
@@ -26,7 +26,7 @@
         .build()
 }
 
-/// The recorded declarations, in their order.
+/// The recorded declarations, in the order of the calls.
 pub(crate) fn recorded_declarations(
     file: &str,
     recorder: &Recorder,
@@ -38,7 +38,7 @@
     recorder.borrow().iter().map(read).collect()
 }
 
-/// Defines the operator's functions: the name in scripts, what is done with a call, and the type that it returns.
+/// Defines the operator's functions: the name in scripts, the function that handles a call, and the return type.
 macro_rules! define_operator_functions {
     ($($name:ident => $handle_call:ident -> $returned:ident;)+) => {
         #[starlark_module]
@@ -67,11 +67,11 @@
     customer => declare_named -> String;
     dependency => declare_named -> String;
     page => declare_named -> String;
-    part => make_value -> Json;
-    kept => make_value -> Json;
-    other => make_value -> Json;
-    fixed => make_value -> Json;
-    leave_out => make_value -> Json;
+    part => encode_call -> Json;
+    kept => encode_call -> Json;
+    other => encode_call -> Json;
+    fixed => encode_call -> Json;
+    leave_out => encode_call -> Json;
 }
 
 /// Records a declaration.
@@ -83,7 +83,7 @@
     let recorder = eval
         .extra
         .and_then(|extra| extra.downcast_ref::<Recorder>())
-        .ok_or(EvaluationError::NotRecording { function })?;
+        .ok_or(EvaluationError::MissingRecorder { function })?;
     let mut declarations = recorder.borrow_mut();
     if declarations.len() >= MAX_DECLARATIONS {
         return Err(EvaluationError::TooManyDeclarations { function });
@@ -108,8 +108,8 @@
     Ok(name)
 }
 
-/// Returns a value that stands for the call, for use in a declaration.
-fn make_value(
+/// Encodes the call as a value for use in a declaration.
+fn encode_call(
     _function: &'static str,
     _eval: &Evaluator,
     call: Declaration,
@@ -117,7 +117,7 @@
     Ok(call.into_value())
 }
 
-/// The call of `function` from where the evaluator is.
+/// Builds the declaration for the call of `function` that the evaluator is executing.
 fn to_declaration<'v>(
     function: &'static str,
     eval: &Evaluator<'v, '_, '_>,
@@ -127,7 +127,7 @@
     let positional = positional
         .items
         .into_iter()
-        .map(|value| to_json(function, "an argument", value))
+        .map(|value| to_json(function, "a positional argument", value))
         .collect::<Result<_, _>>()?;
     let named = named
         .into_iter()
@@ -150,7 +150,7 @@
 fn to_json(function: &'static str, argument: &str, value: Value) -> Result<Json, EvaluationError> {
     value
         .to_json_value()
-        .map_err(|_| EvaluationError::NotAPlainValue {
+        .map_err(|_| EvaluationError::NotJsonCompatible {
             function,
             argument: argument.to_string(),
             type_name: value.get_type(),
--- a/crates/script/src/lib.rs
+++ b/crates/script/src/lib.rs
@@ -1,8 +1,8 @@
 //! Evaluates the operator's file of cottondyke, a Starlark script, within limits of steps, depth, heap and files, and
-//! returns what it declares. Nothing is opened but the script and what it loads from its own directory.
+//! returns what it declares. It opens only the script and the files that the script loads from its own directory.
 //!
-//! The interpreter checks its heap only now and then, and bounds no single allocation. Therefore the program
-//! `cottondyke-script` runs this library in a process of its own, under the system's limits ([`process_limits`]).
+//! The interpreter checks the size of its heap only periodically and does not bound single allocations. Therefore the
+//! program `cottondyke-script` runs this library in a separate process with resource limits ([`process_limits`]).
 //!
 //! ```
 //! let path = std::env::temp_dir().join(format!("cottondyke-doc-{}.star", std::process::id()));
--- a/crates/script/src/loader.rs
+++ b/crates/script/src/loader.rs
@@ -1,4 +1,5 @@
-//! Reads and evaluates the files of one evaluation. Each is evaluated once, so that what it declares counts once.
+//! Reads and evaluates the files of one evaluation. Each is evaluated only once, so that its declarations are
+//! recorded once.
 use crate::error::EvaluationError;
 use crate::globals::Recorder;
 use crate::limits::{
@@ -15,15 +16,15 @@
 
 /// The files of one evaluation.
 pub(crate) struct ScriptLoader<'a> {
-    /// The directory of the script, outside of which nothing is read.
+    /// The canonical path of the script's directory, outside of which nothing is read.
     directory: PathBuf,
     globals: &'a Globals,
     recorder: &'a Recorder,
-    /// Files that were evaluated, by canonical path.
+    /// The files evaluated so far, by canonical path.
     loaded: RefCell<BTreeMap<PathBuf, FrozenModule>>,
-    /// Canonical paths of the files that are being evaluated now, the script itself first.
+    /// The canonical paths of the files being evaluated, the script itself first.
     loading: RefCell<Vec<PathBuf>>,
-    /// Steps of the files that were evaluated.
+    /// The ticks that the files evaluated so far have taken.
     ticks: Cell<u64>,
 }
 
@@ -79,7 +80,7 @@
         eval.extra = Some(self.recorder);
         eval.set_loader(self);
         eval.eval_module(ast, self.globals)?;
-        // The interpreter checks its limits only now and then: what it ended with may be over them.
+        // The interpreter checks its limits only periodically, so the totals at the end may exceed them.
         self.ticks
             .set(self.ticks.get() + eval.get_total_tick_count());
         let heap_bytes = eval.heap().peak_allocated_bytes();
@@ -93,18 +94,18 @@
     /// The canonical path of a file that a script loads.
     fn resolve(&self, path: &str) -> Result<PathBuf, EvaluationError> {
         let relative = Path::new(path);
-        let is_plain = relative
+        let is_valid = relative
             .components()
             .all(|component| matches!(component, Component::Normal(_)));
-        if !is_plain || path.is_empty() {
+        if !is_valid || path.is_empty() {
             let path = path.to_string();
-            return Err(EvaluationError::NotAPlainPath { path });
+            return Err(EvaluationError::InvalidPath { path });
         }
         let canonical = self
             .directory
             .join(relative)
             .canonicalize()
-            .map_err(|source| EvaluationError::CannotFind {
+            .map_err(|source| EvaluationError::NotFound {
                 path: path.to_string(),
                 source,
             })?;
@@ -146,7 +147,7 @@
     }
 }
 
-/// The text of a file of bounded size; `file` is its name in errors.
+/// Reads a file of bounded size; `file` is its name in errors.
 fn read_file(path: &Path, file: &str) -> Result<String, EvaluationError> {
     let cannot_read = |source| EvaluationError::CannotRead {
         file: file.to_string(),
--- a/crates/script/src/main.rs
+++ b/crates/script/src/main.rs
@@ -1,8 +1,8 @@
-//! `cottondyke-script FILE`: evaluates an operator's file under the system's limits and writes its configuration, or
-//! its first error, as JSON to standard output. The server starts it for each file that it reads: neither the
-//! interpreter nor the typing takes memory there, and nothing that a script does reaches it.
+//! `cottondyke-script FILE`: evaluates an operator's file under resource limits of the system and writes its
+//! configuration, or its first error, as JSON to standard output. The server runs it for each file that it reads, so
+//! that neither the interpreter nor the parsing takes memory in the server, and no script can affect the server.
 //!
-//! Exit code 0 where JSON was written, also that of an error in the script; 2 where none could be.
+//! The exit code is 0 if JSON was written, also for an error in the script, and 2 otherwise.
 use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use cottondyke_script::process_limits::{limit_process, ProcessLimitError};
 use std::path::Path;
--- a/crates/script/tests/scripts.rs
+++ b/crates/script/tests/scripts.rs
@@ -1,13 +1,13 @@
-//! Scripts, valid and invalid: each invalid one with the location and the text of its error.
+//! Evaluates and validates scripts, and checks the location and the text of the error of each invalid one.
 
 use cottondyke_operator_config::{ConfigError, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Numbers the directories of this process.
+/// The number of the next directory of this process.
 static NEXT_DIRECTORY: AtomicU64 = AtomicU64::new(0);
 
-/// A directory of its own for one script, removed at the end.
+/// A separate directory for one script, removed on drop.
 struct ScriptDirectory(PathBuf);
 
 impl ScriptDirectory {
@@ -42,7 +42,7 @@
     )
 }
 
-/// The configuration of a script that stands alone.
+/// The configuration of a script that is validated without a platform configuration.
 fn validated(text: &str) -> Result<OperatorConfig, ConfigError> {
     let directory = ScriptDirectory::new();
     let path = directory.write("shop.star", text);
@@ -106,7 +106,7 @@
     );
 }
 
-/// A script, the line of its error (0 where the error is about the whole file), and what the error's text contains.
+/// A script, the line of its error (0 if the error is about the whole file), and the texts that the error contains.
 type InvalidScript = (String, usize, &'static [&'static str]);
 
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
@@ -116,7 +116,7 @@
         (with_line("dependncy(\"stock\")"), 6, &["dependncy", "not found"]),
         (with_line("dependency(\"stock\")"), 6, &["addr is missing", "IP address with a port"]),
         (with_line("dependency(\"stock\", adr = \"127.0.0.1:1\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 3)"), 6,
-            &["\"adr\" is no argument", "nearest is \"addr\""]),
+            &["unknown argument \"adr\"", "nearest is \"addr\""]),
         (with_line("dependency(\"stock\", addr = \"stock.example:80\", budget = \"1ms\", ceiling = 3)"), 6,
             &["stock.example:80", "expected an IP address"]),
         (with_line("dependency(\"stock\", addr = \"127.0.0.1:1\", budget = 300, ceiling = 3)"), 6,
@@ -148,7 +148,7 @@
         (with_line("dependency(\"prices\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["\"prices\" is declared twice", "line 5"]),
         (with_line("dependency(\"a\", \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
-            &["2 unnamed arguments", "only name"]),
+            &["too many positional arguments (2)", "expected at most 1 (name)"]),
         (with_line("dependency(\"a\", name = \"b\", addr = \"127.0.0.1:1\", budget = \"1ms\", ceiling = 6)"), 6,
             &["name is given twice"]),
         (with_line("handler(\"x\", effect = \"replayble\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
@@ -158,12 +158,12 @@
         (with_line("handler(\"x\", effect = \"uniqued\", response_target = \"1s\", client_timeout = \"1s\")"), 6,
             &["handler \"x\" has no page"]),
         (with_line("handler(\"x\", effect = len, response_target = \"1s\", client_timeout = \"1s\")"), 6,
-            &["effect is a", "plain value"]),
+            &["effect is a", "value that JSON can represent"]),
         (with_line("fleet(instances = 2)"), 6, &["fleet: declared twice"]),
         (with_line("serve(listen = \"nowhere\")"), 6, &["serve: declared twice"]),
         (with_line("customer(\"c\", per_second = -1)"), 6, &["per_second = -1", "number from 0"]),
         (with_line("defences(off = [\"limits\"])"), 6, &["\"limits\"", "nearest is \"limit\""]),
-        (with_line(PEERS), 1, &["instances = 3 beside peers(...) in line 6", "expected one of the two"]),
+        (with_line(PEERS), 1, &["instances = 3 together with peers(...) on line 6", "expected one of the two"]),
         (with_line("peers(name = \"a\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\"})"), 6,
             &["data is missing", "keeper"]),
         (with_line("peers(name = \"x\", listen = \"127.0.0.1:0\", keepers = {\"a\": \"127.0.0.1:1\", \"b\": \"127.0.0.1:2\"})"), 6,
@@ -174,11 +174,11 @@
         (with_line(&PEERS.replace("name = \"x\"", "name = \"x\", leese = 1")), 6, &["\"leese\"", "nearest is \"lease\""]),
         (with_line(&format!("{PEERS}; {PEERS}")), 6, &["peers: declared twice"]),
         (HEAD.replace("instances = 3", "") + PEERS + "\ncustomer(\"c\", per_second = 5)\n", 7,
-            &["customer \"c\" beside peers(...)"]),
-        (with_line("load(\"../other.star\", \"x\")"), 6, &["../other.star", "own folder"]),
-        (with_line("load(\"/etc/hostname\", \"x\")"), 6, &["own folder"]),
+            &["customer \"c\" together with peers(...)"]),
+        (with_line("load(\"../other.star\", \"x\")"), 6, &["../other.star", "own directory"]),
+        (with_line("load(\"/etc/hostname\", \"x\")"), 6, &["own directory"]),
         (with_line("load(\"missing.star\", \"x\")"), 6, &["missing.star", "No such file"]),
-        (with_line("load(\"shop.star\", \"browse\")"), 6, &["shop.star", "circle"]),
+        (with_line("load(\"shop.star\", \"browse\")"), 6, &["shop.star", "circular load"]),
         (with_line("x = [i for i in range(2000000)]"), 0, &["limit"]),
         (with_line("def f(n):\n    return f(n + 1)\nf(0)"), 7, &["call stack overflow"]),
         (with_line("x = 1 // 0"), 6, &["zero"]),
@@ -186,11 +186,11 @@
         (with_page("part(\"catalog\")"), 6, &["\"catalog\" is not declared", "nearest is \"catalogue\""]),
         (with_page("part(\"catalogue\", fallbacks = [other(\"price\")])"), 6,
             &["\"price\" is not declared", "nearest is \"prices\""]),
-        (with_page("part(\"catalogue\", fallbacks = [other(\"catalogue\")])"), 6, &["asked already"]),
+        (with_page("part(\"catalogue\", fallbacks = [other(\"catalogue\")])"), 6, &["already called"]),
         (with_page("part(\"catalogue\", fallbacks = [leave_out(), kept(\"1s\")])"), 6,
-            &["nothing comes after", "expected it last"]),
+            &["the fallbacks after this one are never tried", "expected it last"]),
         (with_page("part(\"catalogue\", required = True, fallbacks = [kept(\"1s\")])"), 6,
-            &["required and has fall-backs"]),
+            &["required and has fallbacks"]),
         (with_page("part(\"catalogue\", required = 1)"), 6, &["required = 1", "True or False"]),
         (with_page("part(\"catalogue\", fallbacks = [kept(5)])"), 6, &["most = 5", "expected a time"]),
         (with_page("part(\"catalogue\", fallbacks = [\"kept\"])"), 6, &["fallbacks = \"kept\"", "expected kept(age)"]),
@@ -198,7 +198,7 @@
         (with_page("part(\"catalogue\", fallbacks = [fixed()])"), 6, &["value is missing"]),
         (with_page("part(\"catalogue\"), part(\"catalogue\")"), 6, &["in the page twice"]),
         (with_page("\"catalogue\""), 6, &["parts = \"catalogue\"", "expected part(name"]),
-        (with_page(""), 6, &["parts holds 0", "expected 1 to"]),
+        (with_page(""), 6, &["page: 0 parts", "expected 1 to"]),
         (format!("{HEAD}page(\"brows\", parts = [part(\"catalogue\")])\n"), 6,
             &["\"brows\" is not known", "nearest is \"browse\""]),
         (HEAD.replace("1s", "350ms") + "page(browse, parts = [part(\"catalogue\", fallbacks = [other(\"prices\")])])", 6,
@@ -211,7 +211,7 @@
     ]
 }
 
-/// Guards operators: each mistake is reported with file, line, value and what was expected.
+/// Guards against an error that does not tell the operator the file, the line, the value and what was expected.
 #[test]
 fn reports_the_location_and_the_expectation_when_a_script_is_invalid() {
     let cases = invalid_scripts();
@@ -233,7 +233,7 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards the machine: the steps, the depth and the memory of a script are bounded.
+/// Guards against a script that exhausts the CPU or the memory: its steps, call depth and heap are bounded.
 #[test]
 fn stops_the_evaluation_when_a_script_takes_too_many_steps_or_too_much_memory() {
     for text in [
--- a/examples/pages/shop.star
+++ b/examples/pages/shop.star
@@ -1,4 +1,4 @@
-# A page from three dependencies; `demo_platform shop` plays them on these ports.
+# A page composed from three dependencies; `demo_platform shop` simulates them on these ports.
 fleet(instances = 1)
 serve(listen = "127.0.0.1:6565")
 
--- a/examples/peers/shop.star
+++ b/examples/peers/shop.star
@@ -1,4 +1,4 @@
-# Three instances that share one dependency's ceiling; each file beside this one is one of them.
+# Three instances that share the ceiling of one dependency; a.star, b.star and c.star configure one instance each.
 KEEPERS = {"a": "127.0.0.1:7101", "b": "127.0.0.1:7102", "c": "127.0.0.1:7103"}
 
 def instance(name, port):
