--- a/crates/chaos/src/simulation/checks.rs
+++ b/crates/chaos/src/simulation/checks.rs
@@ -1,5 +1,5 @@
-//! Invariants of a simulated cluster: units in use never pass the budget's total, and once faults have ended the
-//! members agree and quota is usable again.
+//! Invariants of a simulated cluster: units in use never exceed the budget's total, and once faults have ended the
+//! members agree on the cluster's state and quota is usable again.
 use super::config::{SimulationResult, BUDGET, MILLISECOND, SECOND};
 use super::state::ClusterState;
 use cottondyke_cluster::ClusterNode;
@@ -7,14 +7,14 @@
 use cottondyke_membership::MemberState;
 use cottondyke_quota::Holder;
 
-/// The fraction of the units that are not fenced which must be usable at the end.
+/// The fraction of the unfenced units that must be usable at the end.
 const MIN_USABLE_FRACTION: f64 = 0.9;
 
-/// The first invariant that a run broke.
+/// The first invariant that a run violated.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SimulationError {
-    /// More units are in use, or usable without another message, than the budget has.
-    #[error("{at_ms:.1} ms: {units} units in use or usable of {total_units}\n{usage}")]
+    /// More units are in use, or usable without another message, than the budget has in total.
+    #[error("{at_ms:.1} ms: {units} units are in use or usable, but the budget has {total_units}\n{usage}")]
     BudgetExceeded {
         /// Simulated milliseconds since the start.
         at_ms: f64,
@@ -22,32 +22,32 @@
         units: u32,
         /// Units of the budget.
         total_units: u32,
-        /// Each member's usage, a line each.
+        /// The usage of each member, one per line.
         usage: String,
     },
     /// No replica is the leader at the end.
-    #[error("no keeper leads at the end")]
+    #[error("no replica is the leader at the end")]
     NoLeader,
-    /// A member does not list all that are up.
-    #[error("{member} lists {listed:?}, there are {up:?}")]
+    /// A member does not list all members that are up.
+    #[error("{member} lists the members {listed:?}, but {up:?} are up")]
     MembersMissing {
-        /// Whose list it is.
+        /// The member whose list is incomplete.
         member: String,
-        /// Whom it lists as alive or suspected.
+        /// The members that it lists as alive or suspected.
         listed: Vec<String>,
-        /// Who is up.
+        /// The members that are up.
         up: Vec<String>,
     },
     /// The voters are not the replicas with a disk.
-    #[error("the voters are {voters:?}, the disks {disks:?}")]
+    #[error("the voters are {voters:?}, but the replicas with a disk are {disks:?}")]
     VotersDiffer {
-        /// The leader's configuration.
+        /// The voters in the leader's configuration.
         voters: Vec<ReplicaId>,
         /// The replicas with a disk.
         disks: Vec<ReplicaId>,
     },
     /// Too few units are usable at the end.
-    #[error("{usable_units} units usable at the end of {total_units}, {fenced_units} kept back\n{usage}")]
+    #[error("{usable_units} of {total_units} units are usable at the end, {fenced_units} are fenced\n{usage}")]
     QuotaNotUsable {
         /// Usable units in the last second, on average.
         usable_units: f64,
@@ -55,12 +55,12 @@
         total_units: u32,
         /// Units fenced for calls of members whose leases expired.
         fenced_units: u32,
-        /// Each member's usage, a line each.
+        /// The usage of each member, one per line.
         usage: String,
     },
 }
 
-/// Checks that units in use, or usable without another message, do not pass the budget's total.
+/// Checks that units in use, or usable without another message, do not exceed the budget's total.
 pub(super) fn check_budget(state: &mut ClusterState) -> Result<(), SimulationError> {
     let total_units = state.config.total_units;
     let units = max_units_in_use(state);
@@ -75,8 +75,8 @@
     })
 }
 
-/// The most units that are in use or could be at this moment: what each member may begin without another message, and
-/// calls of incarnations that have ended.
+/// The most units that are or could be in use at this moment: those that each member may use without another message,
+/// and those of calls whose incarnations have ended.
 fn max_units_in_use(state: &mut ClusterState) -> u32 {
     let in_flight: u32 = state
         .nodes
@@ -93,7 +93,7 @@
     state.last_usable_units.iter().sum::<u32>() + orphaned
 }
 
-/// Checks the cluster at the end of a run, and completes the run's result.
+/// Checks the cluster at the end of a run, and adds the final measurements to the run's result.
 pub(super) fn check_end(
     state: &ClusterState,
     mean_usable_units: f64,
@@ -142,8 +142,8 @@
         .find(|instance| instance.is_leader())
 }
 
-/// Each member must list all that are up. One that was away itself may still list who died meanwhile, until it comes
-/// to probe it.
+/// Checks that each member lists all that are up. A member that was itself unreachable may still list one that died
+/// meanwhile, until it probes that one.
 fn check_members(state: &ClusterState) -> Result<(), SimulationError> {
     let up: Vec<String> = state
         .nodes
@@ -183,7 +183,7 @@
     Err(SimulationError::VotersDiffer { voters, disks })
 }
 
-/// Who uses how much, by its own view and by the leader's table.
+/// The usage of each member as the member itself and as the leader's table sees it, for error messages.
 fn describe_usage(state: &ClusterState) -> String {
     let leader = find_leader(state);
     let quotas = leader
@@ -191,7 +191,7 @@
         .and_then(|table| table.budgets.get(BUDGET))
         .map(|budget| &budget.quotas);
     let targets = leader.map(|leader| leader.targets(BUDGET));
-    let mut text = format!("  {targets:?}\n");
+    let mut text = format!("  targets {targets:?}\n");
     for (index, node) in state.nodes.iter().enumerate() {
         let used = state.calls.values().filter(|node| **node == index).count();
         let available = node.instance.as_ref().map(|instance| {
@@ -205,7 +205,8 @@
             .filter(|(holder, _)| is_of_node(holder))
             .collect();
         text += &format!(
-            "  {} life {}: {used} used, {} held, {available:?}, {}, {granted:?}\n",
+            "  {} incarnation {}: {used} calls in flight, {} of this incarnation, quota and epoch {available:?}, \
+             paused {}, granted {granted:?}\n",
             node.name,
             node.incarnation,
             node.calls_in_flight.len(),
--- a/crates/chaos/src/simulation/cluster.rs
+++ b/crates/chaos/src/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The loop of a simulation: takes the next event, lets it happen, and checks the budget.
+//! The event loop of a simulation: handles events in the order of their times, and checks the budget after each.
 use super::checks::{check_budget, check_end, SimulationError};
 use super::config::{
     EventLog, SimulationConfig, SimulationResult, LOAD_INTERVAL, MILLISECOND, SECOND,
@@ -8,12 +8,12 @@
 use super::state::ClusterState;
 use std::net::SocketAddr;
 
-/// Usable units are sampled in this time before the end.
+/// Usable units are sampled during this time before the end.
 const SAMPLED_DURATION: i64 = SECOND;
 /// The least time between two samples.
 const SAMPLE_INTERVAL: i64 = 10 * MILLISECOND;
 
-/// A simulated cluster that runs until its end or until it breaks an invariant.
+/// A simulated cluster that runs until its configured end or until an invariant is violated.
 ///
 /// ```
 /// use cottondyke_chaos::simulation::{ClusterSimulation, EventLog, SimulationConfig};
@@ -26,13 +26,13 @@
 /// ```
 pub struct ClusterSimulation {
     pub(super) state: ClusterState,
-    /// Usable units of all members, in the time before the end.
+    /// Samples of the sum of all members' usable units, from [`SAMPLED_DURATION`] before the end on.
     usable_samples: Vec<f64>,
     next_sample: i64,
 }
 
 impl ClusterSimulation {
-    /// Starts all members; what happens to them is drawn from the seed.
+    /// Starts all members. The seed determines all random choices of the run.
     pub fn new(seed: u64, config: SimulationConfig, log: EventLog) -> Self {
         let mut state = ClusterState::new(seed, config, log);
         if config.faults_until > 0 {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Runs to the end; the error is the first invariant that was broken.
+    /// Runs to the end; the error is the first violated invariant.
     pub fn run(mut self) -> Result<SimulationResult, SimulationError> {
         self.advance(self.state.config.end)?;
         let count = self.usable_samples.len().max(1);
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Lets an event happen, or defers it while its member is paused.
+    /// Handles an event, or defers it while its member is paused.
     fn step(&mut self, event: Event) {
         let index = match &event {
             Event::Deliver { to, .. } => self.state.node_at(*to),
@@ -197,14 +197,14 @@
     state.apply_outputs(index, outputs);
 }
 
-/// Lets a paused process go on: first the call that it was about to send, then what was deferred.
+/// Resumes a paused process: first it sends the call that it was about to send, then it handles the deferred events.
 fn resume(state: &mut ClusterState, index: usize, incarnation: u64) {
     let node = &mut state.nodes[index];
     if node.incarnation != incarnation {
         return;
     }
     node.is_paused = false;
-    if std::mem::take(&mut node.calls_on_resume) && node.is_up() {
+    if std::mem::take(&mut node.starts_call_on_resume) && node.is_up() {
         state.start_call(index);
     }
     let deferred = std::mem::take(&mut state.nodes[index].deferred);
--- a/crates/chaos/src/simulation/event.rs
+++ b/crates/chaos/src/simulation/event.rs
@@ -6,13 +6,13 @@
 /// How a message travels between members.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Transport {
-    /// On a connection.
+    /// As part of a connection's byte stream.
     Stream,
-    /// By itself.
+    /// As a datagram of its own.
     Datagram,
 }
 
-/// Something that happens at a time. Those with an incarnation are void once that has ended.
+/// Something that happens at a simulated time. An event with an incarnation is ignored once that incarnation has ended.
 pub(super) enum Event {
     Deliver {
         transport: Transport,
@@ -24,7 +24,7 @@
         node: usize,
         incarnation: u64,
     },
-    /// A member looks at its load.
+    /// A member reports its usage and starts calls.
     Load {
         node: usize,
         incarnation: u64,
@@ -50,7 +50,7 @@
     },
 }
 
-/// Pending events by time; those of one time in the order in which they were scheduled.
+/// Pending events ordered by time; events of the same time keep the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(i64, u64), Event>,
@@ -63,7 +63,7 @@
         self.events.insert((at, self.last_sequence), event);
     }
 
-    /// The next event up to a time, and when it happens.
+    /// Removes the next event that happens no later than `until`, and returns it with its time.
     pub(super) fn pop_until(&mut self, until: i64) -> Option<(i64, Event)> {
         let next = self.events.first_entry()?;
         if next.key().0 > until {
--- a/crates/chaos/src/simulation/faults.rs
+++ b/crates/chaos/src/simulation/faults.rs
@@ -9,12 +9,12 @@
 
 /// When the first fault is injected.
 pub(super) const FIRST_FAULT: i64 = 4 * SECOND;
-/// The fraction of killed members that lose what they wrote of their incarnation, and their disk.
+/// The fraction of killed members that lose the record of their incarnation and, if they are replicas, their disk.
 const DISK_LOSS_PROBABILITY: f64 = 0.3;
-/// The fraction of killed members, replicas aside, that come back.
+/// The fraction of killed members, other than replicas, that are restarted.
 const RESTART_PROBABILITY: f64 = 0.8;
 
-/// Injects one drawn fault and schedules the next, until faults end.
+/// Injects one random fault and schedules the next, until faults end.
 pub(super) fn inject_fault(state: &mut ClusterState) {
     if state.now >= state.config.faults_until {
         return;
@@ -22,7 +22,7 @@
     state.result.faults += 1;
     let index = state.random.usize(0..state.nodes.len());
     let kind = state.random.u8(0..10);
-    state.log(|| format!("fault {kind} at {}", state.nodes[index].name));
+    state.log(|| format!("fault of kind {kind} at {}", state.nodes[index].name));
     let node = &state.nodes[index];
     match kind {
         0..=3 => partition(state, index),
@@ -34,7 +34,7 @@
     state.schedule(next, Event::Fault);
 }
 
-/// Cuts a member off from some others, in one direction or both.
+/// Partitions a member from some of the others, in one direction or in both.
 fn partition(state: &mut ClusterState, index: usize) {
     let directions = 1 + usize::from(state.random.bool());
     let end = state.now + state.random.i64(SECOND..10 * SECOND);
@@ -59,15 +59,15 @@
     }
 }
 
-/// Stops a process where it is, at times between its look at its quota and the call that this allows.
+/// Suspends a process, sometimes after it checked its quota for a call and before it sent the call.
 fn pause(state: &mut ClusterState, index: usize) {
     let node = &state.nodes[index];
     let incarnation = node.incarnation;
     let has_free_quota = node.available_quota(state.now) > node.calls_in_flight.len() as u32;
-    let calls_on_resume = has_free_quota && state.random.bool();
+    let starts_call_on_resume = has_free_quota && state.random.bool();
     let node = &mut state.nodes[index];
     node.is_paused = true;
-    node.calls_on_resume = calls_on_resume;
+    node.starts_call_on_resume = starts_call_on_resume;
     let end = state.now + state.random.i64(100 * MILLISECOND..20 * SECOND);
     let resume = Event::Resume {
         node: index,
@@ -76,9 +76,9 @@
     state.schedule(end.min(state.config.faults_until), resume);
 }
 
-/// Kills a process, at times with the loss of its disk, and schedules its restart.
+/// Kills a process, sometimes with the loss of its disk, and schedules its restart.
 fn kill(state: &mut ClusterState, index: usize) {
-    // Of the pending writes some reached the disk, in their order.
+    // A random number of the pending writes reached the disk, oldest first.
     let pending = state.nodes[index].pending_writes.len();
     let written = state.random.usize(0..=pending);
     let node = &mut state.nodes[index];
@@ -99,14 +99,15 @@
         }
     }
     let end = state.now + state.random.i64(50 * MILLISECOND..8 * SECOND);
-    // Not every member comes back; replicas do.
+    // Replicas are always restarted, other members not always.
     if is_replica || state.random.f64() < RESTART_PROBABILITY {
         let restart = Event::Restart { node: index };
         state.schedule(end.min(state.config.faults_until), restart);
     }
 }
 
-/// Whether a majority of the voters keep their disks without this one. More is not promised.
+/// Whether a majority of the voters keep their disks if this member loses its own. Consensus gives no guarantee after
+/// the loss of more disks.
 fn may_lose_disk(state: &ClusterState, index: usize) -> bool {
     let leader = state
         .nodes
--- a/crates/chaos/src/simulation/mod.rs
+++ b/crates/chaos/src/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Deterministic simulation of many cluster members: messages, clocks, disks and crashes from one seed.
 //!
-//! It plays what [`cottondyke_cluster::ClusterNode`] decides, counts units of a budget where they are used, and holds
-//! their sum against the budget's total after every step. The same seed plays the same run, so a failure is replayed
-//! by its seed.
+//! It carries out the outputs of each [`cottondyke_cluster::ClusterNode`], counts the units of a budget that are in
+//! use, and checks after every event that their sum does not exceed the budget's total. The same seed reproduces the
+//! same run, so a failure is reproduced by its seed.
 
 mod checks;
 mod cluster;
--- a/crates/chaos/src/simulation/network.rs
+++ b/crates/chaos/src/simulation/network.rs
@@ -3,12 +3,13 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Addresses of one third octet.
+/// Number of addresses that share their third octet.
 const SUBNET_SIZE: usize = 250;
 const PORT: u16 = 7_000;
 /// The fraction of messages that arrive twice while there are faults.
 const DUPLICATE_PROBABILITY: f64 = 0.02;
-/// The fraction of messages that arrive out of order while there are faults, and by how much at most.
+/// The fraction of messages that are delayed by up to [`MAX_EXTRA_DELAY`] while there are faults, so that they can
+/// arrive out of order.
 const DELAY_PROBABILITY: f64 = 0.02;
 const MAX_EXTRA_DELAY: i64 = 2 * SECOND;
 const MAX_DELAY: i64 = 4 * MILLISECOND;
@@ -28,14 +29,14 @@
     Some(high as usize * SUBNET_SIZE + low as usize)
 }
 
-/// One direction between two members, by their indices.
+/// One direction of the connection between two members, given by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
     pub(super) from: usize,
     pub(super) to: usize,
 }
 
-/// Whether faults happen.
+/// Whether faults are injected at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Faults,
@@ -63,7 +64,7 @@
         self.partitions.remove(&link);
     }
 
-    /// After how long each copy of a message arrives; none where it is lost.
+    /// The delay of each copy of a message that arrives; empty if the message is lost.
     pub(super) fn delays(&self, random: &mut fastrand::Rng, link: Link, phase: Phase) -> Vec<i64> {
         let is_quiet = phase == Phase::Quiet;
         let is_lost =
--- a/crates/chaos/src/simulation/node.rs
+++ b/crates/chaos/src/simulation/node.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Latest simulated time of a timer.
+/// Latest simulated time for which a timer is scheduled.
 const MAX_TIMER: f64 = 1e15;
 
-/// A local clock: what it showed when the simulation began, and how fast it runs.
+/// A local clock: its reading at the start of the simulation, and its rate.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     pub(super) start: i64,
@@ -23,7 +23,7 @@
         Time(self.start + (now as f64 * self.rate) as i64)
     }
 
-    /// The simulated time, after `now`, at which this clock shows a local time.
+    /// The simulated time, later than `now`, at which this clock reads a local time.
     pub(super) fn simulated_time(self, now: i64, local: Time) -> i64 {
         ((local.0.saturating_sub(self.start)) as f64 / self.rate)
             .clamp(now as f64 + 1.0, MAX_TIMER)
@@ -35,26 +35,26 @@
     pub(super) name: String,
     pub(super) addr: SocketAddr,
     pub(super) clock: Clock,
-    /// The process; none while it is down.
+    /// The process; `None` while it is down.
     pub(super) instance: Option<ClusterNode>,
     pub(super) incarnation: u64,
-    /// The incarnation before, where the process left on disk that it has ended.
+    /// The incarnation before, if its end is recorded on disk.
     pub(super) previous_incarnation: Option<u64>,
-    /// Whether the process is stopped where it is.
+    /// Whether the process is suspended.
     pub(super) is_paused: bool,
-    /// Whether it was paused between a look at its quota that allowed a call and the sending of it.
-    pub(super) calls_on_resume: bool,
-    /// What waits until it resumes.
+    /// Whether it was paused after it checked its quota for a call and before it sent the call.
+    pub(super) starts_call_on_resume: bool,
+    /// Events that are handled once it resumes.
     pub(super) deferred: Vec<Event>,
     /// The next scheduled timer, in simulated time.
     pub(super) next_timer: i64,
-    /// What reached the disk, where it is a replica.
+    /// What has been written to disk; `None` if the member is not a replica.
     pub(super) disk: Option<PersistedState>,
-    /// Writes that have not reached the disk.
+    /// Writes that have not reached the disk yet, oldest first.
     pub(super) pending_writes: VecDeque<StorageOperation>,
-    /// Calls of this incarnation.
+    /// Calls in flight of this incarnation.
     pub(super) calls_in_flight: BTreeSet<u64>,
-    /// Units that it would use.
+    /// Units that it wants to use.
     pub(super) demand: u32,
 }
 
@@ -68,7 +68,7 @@
             incarnation: 0,
             previous_incarnation: None,
             is_paused: false,
-            calls_on_resume: false,
+            starts_call_on_resume: false,
             deferred: Vec::new(),
             next_timer: i64::MAX,
             disk: is_replica.then(|| PersistedState::new(ReplicaId(index as u64 + 1))),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Begins an incarnation with a new process.
+    /// Starts a new incarnation with a new process.
     pub(super) fn start(&mut self, incarnation: u64, instance: ClusterNode) {
         self.incarnation = incarnation;
         self.instance = Some(instance);
@@ -97,14 +97,14 @@
         self.clock.local_time(now)
     }
 
-    /// Units that its lease allows it now; none while it is down.
+    /// Units that its lease allows it to use now; 0 while it is down.
     pub(super) fn available_quota(&self, now: i64) -> u32 {
         self.instance.as_ref().map_or(0, |instance| {
             instance.available_quota(self.local_time(now), BUDGET)
         })
     }
 
-    /// Units that it uses or may use now without another message.
+    /// Units that it uses, or may use without receiving another message.
     pub(super) fn usable_units(&self, now: i64) -> u32 {
         self.available_quota(now)
             .max(self.calls_in_flight.len() as u32)
--- a/crates/chaos/src/simulation/scale.rs
+++ b/crates/chaos/src/simulation/scale.rs
@@ -1,4 +1,5 @@
-//! What a quiet cluster of a size costs, and how quickly it sees a death and moves quota.
+//! Measures, for clusters of different sizes without faults, their traffic and how quickly they detect a dead member
+//! and reallocate quota.
 use super::checks::SimulationError;
 use super::cluster::ClusterSimulation;
 use super::config::{
@@ -7,38 +8,39 @@
 use cottondyke_membership::{MemberState, MAX_DETECTION_PERIODS};
 use cottondyke_quota::Safeguards;
 
-/// Until a dead member must be in no member's list.
+/// Seconds within which a dead member must have left every member's list.
 pub const MAX_DETECTION_SECONDS: f64 =
     MAX_DETECTION_PERIODS as f64 * PROBE_INTERVAL as f64 / SECOND as f64;
-/// Until a total that was spread must be at the one member that needs it.
+/// Seconds within which a member whose demand jumps must get units that were spread over all members.
 pub const MAX_REALLOCATION_SECONDS: f64 = LEASE_DURATION as f64 / SECOND as f64;
 
 const REPLICAS: usize = 3;
 const UNITS_PER_MEMBER: u32 = 2;
-/// Later than any measurement.
+/// Later than the end of any measurement.
 const NO_END: i64 = 100_000 * SECOND;
-/// The longest wait for what is measured.
+/// The longest that a measurement waits for its event.
 const MAX_WAIT: i64 = 60 * SECOND;
-/// How long bytes are counted, and how long the cluster settles after a death.
+/// How long bytes are counted, and how long the cluster settles after a member's death.
 const QUIET_DURATION: i64 = 10 * SECOND;
 const DEATH_POLL_INTERVAL: i64 = 250 * MILLISECOND;
 const QUOTA_POLL_INTERVAL: i64 = 5 * MILLISECOND;
-/// The member whose demand jumps to the total, and the fraction of it that it must come to.
+/// The member whose demand jumps to the budget's total.
 const BUSY_MEMBER: usize = 3;
+/// The fraction of the total that must become usable to that member.
 const MIN_QUOTA_FRACTION: f64 = 0.7;
 
-/// What a cluster of a size costs, and how quick it is, in simulated time.
+/// Traffic and reaction times of a cluster, in simulated time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScaleMeasurement {
     /// Bytes sent per second and member, without faults or load.
     pub bytes_per_member_second: f64,
-    /// Until a dead member is in no member's list.
+    /// Seconds until a dead member has left every member's list.
     pub detection_seconds: f64,
-    /// Until a total that was spread is at the one member that needs it.
+    /// Seconds until a member whose demand jumps gets the units that were spread over all members.
     pub reallocation_seconds: f64,
 }
 
-/// Measures one cluster of a size.
+/// Measures one cluster with this many members.
 pub fn measure_scale(seed: u64, members: usize) -> Result<ScaleMeasurement, SimulationError> {
     let config = SimulationConfig {
         members,
@@ -51,7 +53,7 @@
         safeguards: Safeguards::default(),
     };
     let mut simulation = ClusterSimulation::new(seed, config, EventLog::Off);
-    // Members join one after another: the larger the cluster, the longer it takes to settle.
+    // Members join one after another: the larger the cluster, the longer it takes until all have joined.
     simulation.advance(20 * SECOND + members as i64 * SECOND / 50)?;
     Ok(ScaleMeasurement {
         bytes_per_member_second: measure_traffic(&mut simulation)?,
@@ -68,7 +70,7 @@
     Ok(bytes / (QUIET_DURATION / SECOND) as f64 / members as f64)
 }
 
-/// Kills the last member, and lets the cluster settle once no other lists it.
+/// Kills the last member, measures until no other member lists it, and then lets the cluster settle.
 fn measure_detection(simulation: &mut ClusterSimulation) -> Result<f64, SimulationError> {
     let start = simulation.state.now;
     let dead = simulation.state.config.members - 1;
--- a/crates/chaos/src/simulation/state.rs
+++ b/crates/chaos/src/simulation/state.rs
@@ -1,5 +1,5 @@
-//! The state of a simulated cluster, and the steps that events and faults are made of. Random draws are taken in the
-//! order of these steps: another order is another run of the same seed.
+//! The state of a simulated cluster, and the operations that events and faults consist of. Random numbers are drawn in
+//! the order of these operations: reordering them changes the run of a seed.
 use super::config::{
     EventLog, SimulationConfig, SimulationResult, BUDGET, LEASE_DURATION, LOAD_INTERVAL,
     MAX_PROCESS_PAUSE, MILLISECOND, POST_CANCEL_GRACE, PROBE_INTERVAL, SECOND, SECOND_BUDGET,
@@ -13,22 +13,24 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Clocks start anywhere in this range.
+/// Exclusive upper bound of a clock's reading at the start of the simulation.
 const MAX_CLOCK_START: i64 = 3_600 * SECOND;
-/// Any two clocks run apart by less than the drift that leases allow for.
+/// Range of the clocks' rates around 1: any two clocks drift apart by less than leases allow for.
 const CLOCK_DRIFT: f64 = 0.018;
 const ZONES: usize = 3;
-/// The fraction of writes that take long.
+/// The fraction of disk writes that are slow.
 const SLOW_WRITE_PROBABILITY: f64 = 0.01;
-/// How often a member's demand changes, per look at its load.
+/// The probability that a member's demand changes at one of its load updates.
 const DEMAND_CHANGE_PROBABILITY: f64 = 0.01;
-/// The fraction of changes after which a member would use up to the total.
+/// The fraction of changes after which a member wants up to all units of the budget.
 const HIGH_DEMAND_PROBABILITY: f64 = 0.25;
+/// Exclusive upper bound of a member's demand after the other changes.
 const LOW_DEMAND_END: u32 = 4;
-/// How long before the end demand stays as it is: what is under way between members then is usable nowhere.
+/// How long before the end demand stops changing: units that are moving from one member to another are usable by none,
+/// and would be missing from the usable units that are measured at the end.
 const CONSTANT_DEMAND_DURATION: i64 = SECOND + 500 * MILLISECOND;
 const MIN_CALL_DURATION: i64 = 10 * MILLISECOND;
-/// A call ends within the grace even where the look at the load that began it came late.
+/// A call ends within the post-cancel grace even if the load update that started it came late.
 const MAX_CALL_DURATION: i64 = POST_CANCEL_GRACE - LOAD_INTERVAL / 2;
 
 pub(super) struct ClusterState {
@@ -39,9 +41,9 @@
     pub(super) queue: EventQueue,
     pub(super) nodes: Vec<SimulatedNode>,
     pub(super) network: Network,
-    /// Calls in flight at the dependency, each with the member that began it.
+    /// Calls in flight at the dependency, each with the index of the member that started it.
     pub(super) calls: BTreeMap<u64, usize>,
-    /// Usable units of each member after its last event: they may be fewer by now.
+    /// Usable units of each member after its last event; they may have become fewer since.
     pub(super) last_usable_units: Vec<u32>,
     pub(super) result: SimulationResult,
     /// Bytes sent since faults ended.
@@ -80,7 +82,7 @@
         state
     }
 
-    /// Schedules an event, now if its time has passed.
+    /// Schedules an event, at the current time if its own has passed.
     pub(super) fn schedule(&mut self, at: i64, event: Event) {
         self.queue.schedule(at.max(self.now), event);
     }
@@ -106,14 +108,14 @@
         }
     }
 
-    /// Starts the process of a member, with what its disk holds.
+    /// Starts the process of a member from the contents of its disk.
     pub(super) fn start_node(&mut self, index: usize) {
         self.last_incarnation += 1;
         let incarnation = self.last_incarnation;
         let config = self.node_config(index, incarnation);
         let node = &mut self.nodes[index];
         let instance =
-            ClusterNode::new(config, node.disk.as_ref()).expect("what was written can be read");
+            ClusterNode::new(config, node.disk.as_ref()).expect("persisted state is readable");
         node.start(incarnation, instance);
         let timer = Event::Timer {
             node: index,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Carries out what a member decided, and schedules its next timer.
+    /// Carries out a member's outputs, and schedules its next timer.
     pub(super) fn apply_outputs(&mut self, index: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -173,7 +175,7 @@
                     self.schedule(self.now + duration, stored);
                 }
                 Output::Notify(event) => {
-                    // Quota changes too often to be logged before the end.
+                    // Quota changes too often to be logged while there are faults.
                     let is_quiet = self.now > self.config.faults_until;
                     if is_quiet || !matches!(event, ClusterEvent::QuotaChanged { .. }) {
                         self.log(|| format!("{}: {event:?}", self.nodes[index].name));
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Begins one call of a member at the dependency.
+    /// Starts one call of a member at the dependency.
     pub(super) fn start_call(&mut self, index: usize) {
         self.result.calls += 1;
         let call = self.result.calls;
@@ -242,7 +244,7 @@
         self.schedule(self.now + duration, Event::CallEnded { call });
     }
 
-    /// A member looks at its load: it reports its usage and begins as many calls as it wants and may.
+    /// Reports a member's usage, and starts as many calls as its demand and its quota allow.
     pub(super) fn update_load(&mut self, index: usize) {
         self.draw_demand(index);
         let node = &mut self.nodes[index];
@@ -270,13 +272,14 @@
             .saturating_sub(in_use)
             .min(demand.saturating_sub(in_use));
         self.apply_outputs(index, outputs);
-        // A burst takes all that it may.
+        // A burst of requests uses all available quota at once.
         for _ in 0..new_calls {
             self.start_call(index);
         }
     }
 
-    /// Demand is uneven, and moves, but for the end of the run.
+    /// Changes a member's demand at random: usually to a low value, sometimes to a high one. Demand stays constant at
+    /// the end of the run.
     fn draw_demand(&mut self, index: usize) {
         let may_change = !self.config.has_constant_demand
             && self.now < self.config.end - CONSTANT_DEMAND_DURATION;
--- a/crates/chaos/tests/simulation.rs
+++ b/crates/chaos/tests/simulation.rs
@@ -1,8 +1,8 @@
-//! Runs of simulated clusters under drawn faults.
+//! Runs of simulated clusters with random faults.
 use cottondyke_chaos::simulation::{ClusterSimulation, EventLog, SimulationConfig};
 
-/// Guards the budget: whatever is lost, partitioned, paused, killed or loses its disk, the units in use never pass the
-/// total, and are usable again once faults have ended.
+/// Guards against more units in use than the budget has when messages are lost and members are partitioned, paused,
+/// killed or lose their disks, and against units that stay unusable after faults have ended.
 #[test]
 fn never_exceeds_the_budget_when_faults_are_injected() {
     for seed in 0..12 {
@@ -14,9 +14,9 @@
     }
 }
 
-/// Guards the simulation itself: a seed that failed fails again.
+/// Guards against a simulation that is not deterministic: a seed that failed must fail again.
 #[test]
-fn plays_the_same_run_when_the_seed_is_the_same() {
+fn repeats_the_run_when_the_seed_is_the_same() {
     let run = || ClusterSimulation::new(5, SimulationConfig::random(5, 10), EventLog::Off).run();
     assert_eq!(run(), run());
 }
