--- a/crates/test-support/src/fake_dependency/connection.rs
+++ b/crates/test-support/src/fake_dependency/connection.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of one connection, with the latency and the response that the fault in force asks for.
+//! Serves the calls of one connection, with the latency and the response that the current fault determines.
 use super::config::{FakeDependencyConfig, Fault};
 use super::counting::{tag_of, Arrival, InFlightCall, Shared};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -6,19 +6,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A connection on which no request comes for this long is closed.
+/// A connection on which no request arrives for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Latency of [`Fault::Hang`]: longer than any caller waits.
 const HANG_LATENCY: Duration = Duration::from_secs(30);
-/// Latency of responses that fail at once.
+/// Latency of [`Fault::Fail`] and [`Fault::Reset`].
 const FAILURE_LATENCY: Duration = Duration::from_micros(200);
 /// How many times its usual latency an outlier takes.
 const OUTLIER_FACTOR: u32 = 10;
-/// How often a call in flight looks whether the dependency was stopped.
+/// How often a call in flight checks whether the dependency was stopped.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The part of the configured duration that a call goes on once its caller went away: the rest allows for the delay of
-/// this thread's own timers.
-const POST_CANCEL_MARGIN: f64 = 0.8;
+/// The fraction of the configured duration for which a call goes on after its caller disconnected; the rest allows for
+/// delays of this thread's own timers.
+const POST_CANCEL_FRACTION: f64 = 0.8;
 
 struct Request {
     id: String,
@@ -63,9 +63,9 @@
         let call = InFlightCall::new(shared, tag);
         let latency = latency(&shared.config, &arrival, number);
         if !wait_while_connected(shared, &writer, latency) {
-            // A call goes on after its caller left, for as long as the configuration says.
+            // The call goes on after its caller disconnected, for as long as the configuration says.
             let post_cancel = shared.config.post_cancel_duration;
-            thread::sleep(post_cancel.mul_f64(POST_CANCEL_MARGIN).min(latency));
+            thread::sleep(post_cancel.mul_f64(POST_CANCEL_FRACTION).min(latency));
             return Ok(());
         }
         drop(call);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Waits for a duration; false if the caller went away meanwhile, or the dependency was stopped.
+/// Waits for a duration; returns false if the caller disconnects meanwhile or the dependency is stopped.
 fn wait_while_connected(shared: &Shared, stream: &TcpStream, duration: Duration) -> bool {
     let deadline = Instant::now() + duration;
     loop {
@@ -114,7 +114,7 @@
         if stream.set_read_timeout(Some(timeout)).is_err() {
             return false;
         }
-        // The end of the connection, or bytes that nobody asked for, end the wait early.
+        // The end of the connection, or bytes that arrive before the response, end the wait early.
         match stream.peek(&mut [0]) {
             Err(e) if is_timeout(&e) => {}
             _ => return false,
@@ -141,11 +141,11 @@
     if number.is_multiple_of(2) {
         write_response(writer, 100, "half of")?;
     }
-    // With bytes of the next request unread a close is a reset; without, it is an early end.
+    // The peer sees a reset if bytes of its next request are unread here, otherwise an early end of the stream.
     writer.shutdown(Shutdown::Both)
 }
 
-/// Responds with one of five kinds of garbage, and closes.
+/// Sends one of five kinds of malformed response, and closes the connection.
 fn respond_corrupt(writer: &mut TcpStream, number: u64, body: &str) -> io::Result<()> {
     match number % 5 {
         0 => write_response(writer, 3_000_000_000, body)?,
--- a/crates/test-support/src/fake_dependency/counting.rs
+++ b/crates/test-support/src/fake_dependency/counting.rs
@@ -1,4 +1,4 @@
-//! Counts calls from their arrival to their end, whether or not their callers still wait.
+//! Counts calls from their arrival to their end, including those whose callers disconnected.
 use super::config::{CallCounts, FakeDependencyConfig, Fault};
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,26 +7,26 @@
 
 /// Length of the sliding window of [`CallCounts::max_per_second`].
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// Digits of a request's id by which time in flight is summed.
+/// Number of leading digits of a request's id by which time in flight is summed.
 const TAG_DIGITS: usize = 4;
 
-/// The fault in force, and what was counted.
+/// The current fault, and the calls counted so far.
 pub(super) struct State {
     pub(super) fault: Fault,
     pub(super) counts: CallCounts,
-    /// Calls of each request, by its id.
+    /// Number of calls of each request, by its id.
     calls_by_request: HashMap<String, u32>,
-    /// When the calls of the last [`RATE_WINDOW`] arrived.
+    /// Arrival times of the calls of the last [`RATE_WINDOW`].
     recent_arrivals: VecDeque<Instant>,
     random: fastrand::Rng,
 }
 
-/// What a call found when it arrived.
+/// The state of the dependency when a call arrived.
 pub(super) struct Arrival {
     pub(super) fault: Fault,
-    /// Calls in flight, itself among them.
+    /// Calls in flight, including this one.
     pub(super) in_flight: u64,
-    /// A uniform draw from 0 to 1 for its latency.
+    /// Uniform random number from 0 to 1 that determines its latency.
     pub(super) latency_draw: f64,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Counts one more call in flight.
+    /// Counts a call that arrives now, as in flight from then on.
     pub(super) fn record_arrival(&mut self, request_id: String) -> Arrival {
         let now = Instant::now();
         self.recent_arrivals.push_back(now);
@@ -68,7 +68,7 @@
     }
 }
 
-/// What the connections' threads share.
+/// State that the threads of all connections share.
 pub(super) struct Shared {
     pub(super) config: FakeDependencyConfig,
     state: Mutex<State>,
@@ -101,7 +101,7 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// The number of the next call, from 0.
+    /// Numbers calls, starting from 0.
     pub(super) fn next_call_number(&self) -> u64 {
         self.next_call.fetch_add(1, Ordering::Relaxed)
     }
@@ -115,7 +115,7 @@
 }
 
 impl<'a> InFlightCall<'a> {
-    /// The guard of a call that [`State::record_arrival`] has counted.
+    /// Creates the guard of a call that [`State::record_arrival`] has counted.
     pub(super) fn new(shared: &'a Shared, tag: String) -> Self {
         InFlightCall {
             shared,
@@ -135,7 +135,7 @@
     }
 }
 
-/// The digits of a request's id by which time in flight is summed; empty where it has fewer.
+/// The digits of a request's id by which time in flight is summed; empty if the id has fewer.
 pub(super) fn tag_of(request_id: &str) -> String {
     request_id.get(..TAG_DIGITS).unwrap_or_default().to_string()
 }
--- a/crates/test-support/src/fake_dependency/mod.rs
+++ b/crates/test-support/src/fake_dependency/mod.rs
@@ -1,5 +1,5 @@
-//! A dependency of pages: an HTTP/1.1 service with a limited concurrency, which slows down past it and fails as a
-//! test tells it to. It counts calls in flight, also those whose callers went away.
+//! A fake dependency of pages: an HTTP/1.1 service that slows down above its concurrency limit and fails as a test sets
+//! it to. It counts calls in flight, including those whose callers disconnected.
 
 mod config;
 mod connection;
--- a/crates/test-support/src/fake_dependency/server.rs
+++ b/crates/test-support/src/fake_dependency/server.rs
@@ -1,4 +1,4 @@
-//! A running dependency and its pool of threads.
+//! A running fake dependency and its thread pool.
 use super::config::{CallCounts, FakeDependencyConfig, Fault};
 use super::connection;
 use super::counting::Shared;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Connections that are served at a time.
+/// Connections that are served at the same time, one per thread of the pool.
 const MAX_CONNECTIONS: usize = 256;
 
 /// A running dependency; it stops when it is dropped.
@@ -60,12 +60,12 @@
         Ok(FakeDependency { addr, shared })
     }
 
-    /// Sets what it does wrong from now on; calls in flight go on as they began.
+    /// Sets how it fails from now on; calls in flight keep the fault with which they arrived.
     pub fn set_fault(&self, fault: Fault) {
         self.shared.state().fault = fault;
     }
 
-    /// What it counted so far.
+    /// The calls counted so far.
     pub fn counts(&self) -> CallCounts {
         self.shared.state().counts.clone()
     }
@@ -80,16 +80,16 @@
 
 /// Serves one connection after another on a thread of the pool.
 ///
-/// The pool stands ready: where one thread accepted all connections and started another for each, on busy cores calls
-/// were counted up to 0.8 s after they had arrived.
+/// All threads are started in advance: with one accepting thread that started another for each connection, calls were
+/// counted up to 0.8 s after they had arrived when the cores were busy.
 fn accept_connections(shared: &Shared, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         if shared.is_stopped() {
-            // Unblocks the next thread; those that serve have a limit to every wait, so every thread ends.
+            // Wakes the next thread. Threads that serve a connection have a timeout on every wait, so all threads end.
             let _ = listener.local_addr().and_then(TcpStream::connect);
             return;
         }
-        // A connection that fails is over; the next one is not affected.
+        // An error ends only its own connection.
         let _ = connection::serve(shared, stream);
     }
 }
--- a/crates/test-support/src/fake_machine/cores.rs
+++ b/crates/test-support/src/fake_machine/cores.rs
@@ -1,54 +1,54 @@
-//! The cores of a machine: runs that share them, the speed of a cold start, and what was put on them.
+//! The cores of a machine: the runs that share them, their speed after a cold start, and a record of their load.
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// What a machine is like.
+/// Configuration of a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineConfig {
     /// The number of cores.
     pub cores: f64,
-    /// The fraction of its full speed at which a cold one starts.
+    /// The fraction of full speed at which the machine runs right after a cold start.
     pub cold_speed: f64,
-    /// How long it takes to its full speed.
+    /// How long a cold machine takes to reach full speed.
     pub warm_after: Duration,
-    /// What the settings tell of the first, which is no more than that.
+    /// The cold speed that the server's settings state, which is no higher than the actual one.
     pub told_cold_speed: f64,
-    /// What the settings tell of the second, which is no less than that.
+    /// The warm-up time that the server's settings state, which is no shorter than the actual one.
     pub told_warm_within: Duration,
-    /// Runs a core that it survives when warm.
+    /// Runs per core that the machine survives when warm.
     pub overload_factor: f64,
-    /// Whether each run wants one call before it goes on the cores.
+    /// Whether each run needs one call to a dependency before it uses the cores.
     pub makes_calls: bool,
 }
 
 /// How a machine starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartKind {
-    /// Below its full speed.
+    /// Below full speed.
     Cold,
-    /// At its full speed.
+    /// At full speed.
     Warm,
 }
 
-/// A run that was put on the cores.
+/// A run that the machine started.
 #[derive(Clone, Copy, Debug)]
 pub struct BegunRun {
-    /// Since the machine's start.
+    /// When it started, counted from the machine's start.
     pub at: Duration,
-    /// Seconds on one core at full speed.
+    /// Work of the run, in seconds on one core at full speed.
     pub work: f64,
 }
 
-/// How many ran over a step, against what the machine survived then.
+/// Running and survivable number of runs during one step.
 #[derive(Clone, Copy, Debug)]
-struct CrowdingStep {
+struct LoadSample {
     at: Duration,
     length: f64,
     running: f64,
     survivable: f64,
 }
 
-/// The cores, and what runs on them.
+/// The cores, and the runs on them.
 #[derive(Debug)]
 pub(super) struct Cores {
     config: MachineConfig,
@@ -56,20 +56,20 @@
     started_at: Instant,
     advanced_at: Instant,
     is_hung: bool,
-    /// Seconds of work left, by the id of the run.
+    /// Remaining seconds of work of each run on the cores, by its id.
     runs: BTreeMap<String, f64>,
-    /// The same, of runs that wait for their call.
-    at_call: BTreeMap<String, f64>,
-    begun: Vec<BegunRun>,
-    steps: Vec<CrowdingStep>,
-    /// The number of the last notice of this life.
+    /// Seconds of work of each run that waits for its call, by its id.
+    waiting_for_call: BTreeMap<String, f64>,
+    started_runs: Vec<BegunRun>,
+    load_samples: Vec<LoadSample>,
+    /// The number of the last notice since the machine's start.
     last_notice: u64,
-    /// Notices that were not written to a link yet.
+    /// Notices that have not been written to a connection yet.
     notices: VecDeque<String>,
-    /// Which link is in force; a newer one replaces it.
-    link: u64,
-    /// Links up to this one are broken.
-    broken_link: u64,
+    /// The number of the current link, which replaced all earlier ones.
+    current_link: u64,
+    /// Links up to this number are broken.
+    last_broken_link: u64,
 }
 
 impl Cores {
@@ -81,20 +81,21 @@
             advanced_at: now,
             is_hung: false,
             runs: BTreeMap::new(),
-            at_call: BTreeMap::new(),
-            begun: Vec::new(),
-            steps: Vec::new(),
+            waiting_for_call: BTreeMap::new(),
+            started_runs: Vec::new(),
+            load_samples: Vec::new(),
             last_notice: 0,
             notices: VecDeque::new(),
-            link: 0,
-            broken_link: 0,
+            current_link: 0,
+            last_broken_link: 0,
         }
     }
 
+    /// Restarts with the same configuration; the current link breaks, and whether the machine is hung stays as it is.
     pub(super) fn restart(&mut self, start: StartKind, now: Instant) {
-        let (link, is_hung) = (self.link, self.is_hung);
+        let (link, is_hung) = (self.current_link, self.is_hung);
         *self = Cores::new(self.config, start, now);
-        (self.link, self.broken_link, self.is_hung) = (link, link, is_hung);
+        (self.current_link, self.last_broken_link, self.is_hung) = (link, link, is_hung);
     }
 
     pub(super) fn set_hung(&mut self, is_hung: bool) {
@@ -102,20 +103,21 @@
     }
 
     pub(super) fn break_link(&mut self) {
-        self.broken_link = self.link;
+        self.last_broken_link = self.current_link;
     }
 
-    /// A new link, which replaces the one before.
+    /// Opens a new link, which replaces the one before, and returns its number.
     pub(super) fn open_link(&mut self) -> u64 {
-        self.link += 1;
-        self.link
+        self.current_link += 1;
+        self.current_link
     }
 
     pub(super) fn is_link_open(&self, link: u64) -> bool {
-        link == self.link && link > self.broken_link
+        link == self.current_link && link > self.last_broken_link
     }
 
-    pub(super) fn hello(&self, now: Instant) -> String {
+    /// The first line on a new link: the state of the machine and its age in milliseconds.
+    pub(super) fn hello_line(&self, now: Instant) -> String {
         let state = match self.start {
             StartKind::Cold => "starting",
             StartKind::Warm => "running",
@@ -124,24 +126,25 @@
         format!("HELLO {state} {age}")
     }
 
-    fn warmth(&self, at: Duration, cold_speed: f64, warm_after: Duration) -> f64 {
-        let part = at.as_secs_f64() / warm_after.as_secs_f64();
+    /// The fraction of full speed at a time since the machine's start.
+    fn speed_at(&self, at: Duration, cold_speed: f64, warm_after: Duration) -> f64 {
+        let progress = at.as_secs_f64() / warm_after.as_secs_f64();
         match self.start {
-            StartKind::Cold => (cold_speed + (1.0 - cold_speed) * part).min(1.0),
+            StartKind::Cold => (cold_speed + (1.0 - cold_speed) * progress).min(1.0),
             StartKind::Warm => 1.0,
         }
     }
 
-    /// Moves the runs on, and ends those whose work is done.
+    /// Advances the runs up to `now`, and ends those whose work is done.
     pub(super) fn advance(&mut self, now: Instant) {
         let at = now.duration_since(self.started_at);
         let length = now.duration_since(self.advanced_at).as_secs_f64();
         self.advanced_at = now;
         let running = self.runs.len() as f64;
-        let speed = self.warmth(at, self.config.cold_speed, self.config.warm_after);
+        let speed = self.speed_at(at, self.config.cold_speed, self.config.warm_after);
         let extra = (self.config.overload_factor - 1.0) * speed;
         let survivable = self.config.cores * (1.0 + extra);
-        self.steps.push(CrowdingStep {
+        self.load_samples.push(LoadSample {
             at,
             length,
             running,
@@ -151,18 +154,24 @@
             return;
         }
         let share = (self.config.cores / running.max(1.0)).min(1.0);
-        for left in self.runs.values_mut() {
-            *left -= length * speed * share;
+        for remaining in self.runs.values_mut() {
+            *remaining -= length * speed * share;
         }
-        let ended = self.runs.iter().filter(|(_, left)| **left <= 0.0);
+        let ended = self.runs.iter().filter(|(_, remaining)| **remaining <= 0.0);
         let ended: Vec<String> = ended.map(|(id, _)| id.clone()).collect();
         for id in ended {
-            self.end(&id, "fine");
+            self.end_run(&id, "fine");
         }
     }
 
-    fn end(&mut self, id: &str, outcome: &str) {
-        if self.runs.remove(id).or(self.at_call.remove(id)).is_some() {
+    /// Removes a run, and queues the notice of its outcome.
+    fn end_run(&mut self, id: &str, outcome: &str) {
+        if self
+            .runs
+            .remove(id)
+            .or(self.waiting_for_call.remove(id))
+            .is_some()
+        {
             self.last_notice += 1;
             let notice = self.last_notice;
             self.notices
@@ -170,15 +179,15 @@
         }
     }
 
-    /// Puts a run on the cores; one that runs already is left alone.
-    pub(super) fn run(&mut self, id: &str, work: f64, now: Instant) {
-        if self.runs.contains_key(id) || self.at_call.contains_key(id) {
+    /// Starts a run; has no effect if the run has started already.
+    pub(super) fn start_run(&mut self, id: &str, work: f64, now: Instant) {
+        if self.runs.contains_key(id) || self.waiting_for_call.contains_key(id) {
             return;
         }
         let at = now.duration_since(self.started_at);
-        self.begun.push(BegunRun { at, work });
+        self.started_runs.push(BegunRun { at, work });
         if self.config.makes_calls {
-            self.at_call.insert(id.to_string(), work);
+            self.waiting_for_call.insert(id.to_string(), work);
             self.last_notice += 1;
             let notice = self.last_notice;
             self.notices
@@ -188,43 +197,45 @@
         }
     }
 
-    /// Lets a run go on from its call.
-    pub(super) fn resume(&mut self, id: &str) {
-        if let Some(work) = self.at_call.remove(id) {
+    /// Moves a run whose call is over to the cores.
+    pub(super) fn resume_run(&mut self, id: &str) {
+        if let Some(work) = self.waiting_for_call.remove(id) {
             self.runs.insert(id.to_string(), work);
         }
     }
 
-    pub(super) fn halt(&mut self, id: &str) {
-        self.end(id, "broken_off");
+    /// Ends a run before its work is done.
+    pub(super) fn cancel_run(&mut self, id: &str) {
+        self.end_run(id, "broken_off");
     }
 
     pub(super) fn take_notices(&mut self) -> Vec<String> {
         self.notices.drain(..).collect()
     }
 
-    /// The gauges: use of the cores, tasks that want one, memory, connections.
+    /// The gauges of a `STATS` line: utilization of the cores, runnable tasks, memory, connections.
     pub(super) fn gauges(&self) -> String {
         let running = self.runs.len() as f64;
         let used = (running / self.config.cores).min(1.0);
         format!("{used:.3} {running:.0} 0.1 3")
     }
 
-    pub(super) fn begun(&self) -> &[BegunRun] {
-        &self.begun
+    pub(super) fn started_runs(&self) -> &[BegunRun] {
+        &self.started_runs
     }
 
-    pub(super) fn peak_crowding(&self, window: Duration) -> f64 {
+    /// See [`FakeMachine::peak_crowding`](super::FakeMachine::peak_crowding).
+    pub(super) fn peak_load(&self, window: Duration) -> f64 {
         let span = window.as_secs_f64();
         let mut peak: f64 = 0.0;
         let (mut oldest, mut sum) = (0, 0.0);
-        for step in &self.steps {
-            sum += step.running * step.length;
-            while self.steps[oldest].at + window < step.at {
-                sum -= self.steps[oldest].running * self.steps[oldest].length;
+        for sample in &self.load_samples {
+            sum += sample.running * sample.length;
+            while self.load_samples[oldest].at + window < sample.at {
+                sum -= self.load_samples[oldest].running * self.load_samples[oldest].length;
                 oldest += 1;
             }
-            peak = peak.max(sum / span / step.survivable);
+            peak = peak.max(sum / span / sample.survivable);
         }
         peak
     }
--- a/crates/test-support/src/fake_machine/link.rs
+++ b/crates/test-support/src/fake_machine/link.rs
@@ -1,15 +1,15 @@
-//! The engine's end of the links: commands that act on the cores, and notices of what happened there.
-use super::{Shared, STEP};
+//! The engine's side of the links from the server: executes commands on the cores, and sends notices about their runs.
+use super::{Shared, STEP_INTERVAL};
 use crate::fakes::{EngineCommand, FakeEngine};
 use std::io::{self, BufReader};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Microseconds in a second, of the work that a body names.
-const MICROS: f64 = 1e6;
+/// A request's body gives the work of its run in microseconds.
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Takes links until the machine is stopped, each in threads of its own.
+/// Accepts links until the machine is stopped, and serves each on threads of its own.
 pub(super) fn accept_links(listener: &TcpListener, shared: &Arc<Shared>) {
     while !shared.is_stopped() {
         match listener.accept() {
@@ -17,12 +17,12 @@
                 let shared = shared.clone();
                 std::thread::spawn(move || serve(stream, &shared));
             }
-            Err(_) => std::thread::sleep(STEP),
+            Err(_) => std::thread::sleep(STEP_INTERVAL),
         }
     }
 }
 
-/// One link, from `ATTACH` to its end.
+/// Serves one link, from its `ATTACH` to its end.
 fn serve(stream: TcpStream, shared: &Arc<Shared>) -> io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
@@ -31,25 +31,25 @@
     reader.command()?;
     let (link, hello) = {
         let mut cores = shared.cores();
-        (cores.open_link(), cores.hello(Instant::now()))
+        (cores.open_link(), cores.hello_line(Instant::now()))
     };
     writer.send_line(&hello)?;
-    let reading = shared.clone();
-    let answers = FakeEngine(BufReader::new(writer.0.get_ref().try_clone()?));
-    std::thread::spawn(move || read_commands(reader, answers, link, &reading));
+    let reader_shared = shared.clone();
+    let reader_replies = FakeEngine(BufReader::new(writer.0.get_ref().try_clone()?));
+    std::thread::spawn(move || read_commands(reader, reader_replies, link, &reader_shared));
     while !shared.is_stopped() && shared.cores().is_link_open(link) {
         let notices = shared.cores().take_notices();
         if !notices.is_empty() {
             io::Write::write_all(writer.0.get_mut(), notices.concat().as_bytes())?;
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(STEP_INTERVAL);
     }
     writer.0.get_ref().shutdown(std::net::Shutdown::Both)
 }
 
 fn read_commands(
     mut reader: FakeEngine,
-    mut answers: FakeEngine,
+    mut replies: FakeEngine,
     link: u64,
     shared: &Shared,
 ) -> io::Result<()> {
@@ -58,26 +58,27 @@
         if !shared.cores().is_link_open(link) {
             return Ok(());
         }
-        if let Some(answer) = carry_out(&command, shared) {
-            answers.send_line(&answer)?;
+        if let Some(reply) = execute(&command, shared) {
+            replies.send_line(&reply)?;
         }
     }
 }
 
-fn carry_out((words, body): &EngineCommand, shared: &Shared) -> Option<String> {
+/// Executes a command on the cores, and returns the reply line if it has one.
+fn execute((words, body): &EngineCommand, shared: &Shared) -> Option<String> {
     let mut cores = shared.cores();
     match words[0].as_str() {
         "RUN" => {
             let micros: f64 = String::from_utf8_lossy(body).parse().unwrap_or(0.0);
-            cores.run(&words[1], micros / MICROS, Instant::now());
+            cores.start_run(&words[1], micros / MICROS_PER_SECOND, Instant::now());
             None
         }
         "HALT" => {
-            cores.halt(&words[1]);
+            cores.cancel_run(&words[1]);
             None
         }
         "FEED" | "SKIP" => {
-            cores.resume(&words[1]);
+            cores.resume_run(&words[1]);
             None
         }
         "STAT" => Some(format!("STATS {} {}", words[1], cores.gauges())),
--- a/crates/test-support/src/fake_machine/mod.rs
+++ b/crates/test-support/src/fake_machine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine of one machine in real time: cores that its runs share, a cold start, and a record of what was put on
-//! them. Each run takes the work that its request's body names, in microseconds on one core at full speed.
+//! A fake engine on a machine that is simulated in real time: its runs share a number of cores, it can start cold, and
+//! it records its load. The body of a request gives the work of its run, in microseconds on one core at full speed.
 mod cores;
 mod link;
 
@@ -12,17 +12,17 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often the cores move on.
-const STEP: Duration = Duration::from_millis(2);
+/// How often the runs on the cores are advanced.
+const STEP_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A machine that takes the engine's end of the server's links.
+/// A machine whose engine accepts links from the server.
 #[derive(Debug)]
 pub struct FakeMachine {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// What the machine's threads share.
+/// State that the machine's threads share.
 #[derive(Debug)]
 struct Shared {
     cores: Mutex<Cores>,
@@ -40,7 +40,7 @@
 }
 
 impl FakeMachine {
-    /// A machine that has just started.
+    /// Starts a machine on a free port of the loopback interface.
     pub fn start(config: MachineConfig, start: StartKind) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
@@ -54,42 +54,42 @@
         let stepping = shared.clone();
         std::thread::spawn(move || {
             while !stepping.is_stopped() {
-                std::thread::sleep(STEP);
+                std::thread::sleep(STEP_INTERVAL);
                 stepping.cores().advance(Instant::now());
             }
         });
         Ok(FakeMachine { addr, shared })
     }
 
-    /// Where the server connects.
+    /// The address to which the server connects.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The machine went down with all that ran on it and starts anew, now.
+    /// Restarts the machine now: its runs and its link end, and its records start anew.
     pub fn restart(&self, start: StartKind) {
         self.shared.cores().restart(start, Instant::now());
     }
 
-    /// From now on runs make no progress (`true`), or do again (`false`); commands are read and answered.
+    /// Sets whether runs make no progress from now on. Commands are read and answered in either case.
     pub fn set_hung(&self, is_hung: bool) {
         self.shared.cores().set_hung(is_hung);
     }
 
-    /// Ends the link, as a network does: nothing more comes or goes on it.
+    /// Breaks the current link as a network failure does: nothing more is sent or executed on it.
     pub fn break_link(&self) {
         self.shared.cores().break_link();
     }
 
-    /// The runs that were begun since the last start, in their order.
+    /// The runs that were started since the machine's last start, oldest first.
     pub fn begun(&self) -> Vec<BegunRun> {
-        self.shared.cores().begun().to_vec()
+        self.shared.cores().started_runs().to_vec()
     }
 
-    /// The largest mean number of runs on the cores over any `window` since the last start, as a part of what the machine
-    /// survived at that moment.
+    /// The largest mean number of runs on the cores over any `window` since the last start, as a fraction of the number
+    /// that the machine survives at the end of that window.
     pub fn peak_crowding(&self, window: Duration) -> f64 {
-        self.shared.cores().peak_crowding(window)
+        self.shared.cores().peak_load(window)
     }
 }
 
--- a/crates/test-support/src/fakes/connection.rs
+++ b/crates/test-support/src/fakes/connection.rs
@@ -1,12 +1,12 @@
-//! What all fakes share: the limit of their waits, the next connection of a listener, the wall clock.
+//! Functions that all fakes share: accepting a connection with a timeout, and reading the wall clock.
 use std::io;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// No fake waits longer than this for a connection or for bytes.
+/// The longest that a fake waits for a connection or for bytes.
 pub const IO_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often [`accept`] looks for a connection.
+/// How often [`accept`] checks for a connection.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The wall clock, in milliseconds since the Unix epoch.
@@ -17,7 +17,7 @@
         .as_millis() as u64
 }
 
-/// The next connection of a listener; an error of kind `WouldBlock` if none comes within [`IO_TIMEOUT`].
+/// Accepts the next connection of a listener; fails with `WouldBlock` if none arrives within [`IO_TIMEOUT`].
 pub fn accept(listener: &TcpListener) -> io::Result<TcpStream> {
     listener.set_nonblocking(true)?;
     let deadline = Instant::now() + IO_TIMEOUT;
--- a/crates/test-support/src/fakes/fake_engine.rs
+++ b/crates/test-support/src/fakes/fake_engine.rs
@@ -1,21 +1,21 @@
-//! The engine that runs work for the server, as its end of one connection.
+//! A fake of the engine that executes runs for the server: the engine's side of one connection.
 use super::connection::{accept, IO_TIMEOUT};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
 
-/// Commands that carry a body, whose size is their last word.
+/// Commands that are followed by a body, whose size is their last word.
 const COMMANDS_WITH_BODY: [&str; 2] = ["RUN", "FEED"];
 /// Ends each line and each body.
 const LINE_END: &[u8; 2] = b"\r\n";
 
-/// A command's words, and its body where it has one.
+/// The words of a command, and its body, which is empty for commands without one.
 pub type EngineCommand = (Vec<String>, Vec<u8>);
 
-/// One connection from the server, as the engine sees it.
+/// The engine's side of one connection from the server.
 #[derive(Debug)]
 pub struct FakeEngine(
-    /// The connection, with what was read ahead of it.
+    /// The connection, with bytes that were read ahead.
     pub BufReader<TcpStream>,
 );
 
@@ -25,7 +25,7 @@
         Ok(FakeEngine(BufReader::new(accept(listener)?)))
     }
 
-    /// The next command, whatever it is; an error at the end of the connection.
+    /// Receives the next command of any kind; fails at the end of the connection.
     pub fn command(&mut self) -> io::Result<EngineCommand> {
         let mut line = String::new();
         if self.0.read_line(&mut line)? == 0 {
@@ -42,7 +42,7 @@
         Ok((words, body))
     }
 
-    /// The next command that does not ask for gauges; those that do are answered with fixed ones.
+    /// Receives the next command other than `STAT`; answers each `STAT` before it with fixed gauges.
     pub fn receive_command(&mut self) -> io::Result<EngineCommand> {
         let deadline = Instant::now() + IO_TIMEOUT;
         loop {
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Sends one line, whose end is added.
+    /// Sends one line, to which the line end is added.
     pub fn send_line(&mut self, line: &str) -> io::Result<()> {
         self.0.get_mut().write_all(format!("{line}\r\n").as_bytes())
     }
 
-    /// Sends one line and a body, whose size is added as the line's last word.
+    /// Sends one line and a body; the body's size is added as the line's last word.
     pub fn send_line_with_body(&mut self, line: &str, body: &[u8]) -> io::Result<()> {
         let mut bytes = format!("{line} {}\r\n", body.len()).into_bytes();
         bytes.extend(body);
--- a/crates/test-support/src/fakes/fake_service.rs
+++ b/crates/test-support/src/fakes/fake_service.rs
@@ -1,12 +1,12 @@
-//! An HTTP service that the server calls (records service, control plane), as its end of one connection.
+//! A fake of an HTTP service that the server calls (records service, control plane): its side of one connection.
 use super::connection::accept;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// One connection to an HTTP service, as the service sees it.
+/// The service's side of one connection from the server.
 #[derive(Debug)]
 pub struct FakeService(
-    /// The connection, with what was read ahead of it.
+    /// The connection, with bytes that were read ahead.
     pub BufReader<TcpStream>,
 );
 
@@ -15,14 +15,14 @@
 pub struct ReceivedRequest {
     /// The request line: method, path and version.
     pub line: String,
-    /// Header lines as they came.
+    /// Header lines as they were received.
     pub headers: Vec<String>,
-    /// As many bytes as `Content-Length` says.
+    /// The body, as many bytes as `Content-Length` says.
     pub body: Vec<u8>,
 }
 
 impl ReceivedRequest {
-    /// The value of the first header of this name, which is compared by case.
+    /// The value of the first header with this name; the comparison is case-sensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -36,7 +36,7 @@
         Ok(FakeService(BufReader::new(accept(listener)?)))
     }
 
-    /// The next request; an error at the end of the connection.
+    /// Receives the next request; fails at the end of the connection.
     pub fn receive_request(&mut self) -> io::Result<ReceivedRequest> {
         let mut lines = Vec::new();
         loop {
@@ -63,7 +63,7 @@
         Ok(request)
     }
 
-    /// Replies with a status (code and reason), header lines that end in CRLF each, and a body.
+    /// Sends a response with a status (code and reason), header lines that each end in CRLF, and a body.
     pub fn reply(&mut self, status: &str, headers: &str, body: &[u8]) -> io::Result<()> {
         let mut bytes = format!(
             "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
--- a/crates/test-support/src/fakes/fake_sidecar.rs
+++ b/crates/test-support/src/fakes/fake_sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar: encodes and decodes frames by itself, so that a fault of the server's codec shows in tests.
+//! A fake sidecar with a frame codec of its own, so that tests detect bugs in the server's codec.
 use super::connection::IO_TIMEOUT;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -36,18 +36,18 @@
 pub struct ReceivedFrame {
     /// The frame's type.
     pub kind: u8,
-    /// The stream that it belongs to; 0 is the connection.
+    /// The stream that it belongs to; 0 is the connection itself.
     pub stream: u32,
-    /// The first byte of its payload: an answer's outcome (0 shed, 1 done, others errors).
+    /// The first byte of its payload; for an answer this is the outcome (0 shed, 1 done, others errors).
     pub code: u8,
-    /// Names and values, in their order.
+    /// Names and values of its fields, in order.
     pub fields: Vec<(String, String)>,
-    /// What follows the fields.
+    /// The bytes after the fields.
     pub body: Vec<u8>,
 }
 
 impl ReceivedFrame {
-    /// The value of the first field of this name.
+    /// The value of the first field with this name.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
@@ -55,7 +55,7 @@
             .map(|f| f.1.as_str())
     }
 
-    /// Decodes a payload into code, fields and body; panics on one that is cut short, as a test should.
+    /// Decodes a payload into code, fields and body; panics on a truncated one, which fails the test.
     fn decode_payload(&mut self, payload: &[u8]) {
         self.code = payload[0];
         let field_count = payload[1];
@@ -76,7 +76,7 @@
     }
 }
 
-/// A sidecar's connection to the server.
+/// The sidecar's side of a connection to the server.
 #[derive(Debug)]
 pub struct FakeSidecar(
     /// The connection.
@@ -104,7 +104,7 @@
             .write_all(&frame(kind, stream, &payload(fields, body)))
     }
 
-    /// The next frame; an error at the end of the connection.
+    /// Receives the next frame; fails at the end of the connection.
     pub fn receive(&mut self) -> io::Result<ReceivedFrame> {
         let mut head = [0; FRAME_HEAD_BYTES];
         self.0.read_exact(&mut head)?;
--- a/crates/test-support/src/fakes/mod.rs
+++ b/crates/test-support/src/fakes/mod.rs
@@ -1,6 +1,6 @@
-//! The other ends of the server's protocols, as small as they can be: a sidecar, an engine, an HTTP service.
+//! Minimal fakes of the server's peers: a sidecar, an engine and an HTTP service.
 //!
-//! They block, one connection each, and wait no longer than [`IO_TIMEOUT`] for anything.
+//! Each has one connection, and blocks for at most [`IO_TIMEOUT`] per wait.
 
 mod connection;
 mod fake_engine;
--- a/crates/test-support/src/faulty_link.rs
+++ b/crates/test-support/src/faulty_link.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy between two processes that on command partitions, stalls, delays or resets connections, each direction
-//! by itself. Bytes that a stall held arrive late; those that a partition dropped never do.
+//! A TCP proxy between two processes that can partition, stall or delay each direction of its connections, and reset
+//! them. Bytes that were stalled arrive late; bytes that were dropped by a partition never arrive.
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,22 +7,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Size of a read.
+/// Maximum size of a read.
 const READ_BUFFER_BYTES: usize = 16_384;
-/// How often a direction looks at its state.
+/// How often a direction checks for a change of its state.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For how long bytes are collected that will be delivered late.
+/// How long bytes are collected for a late delivery.
 const COLLECT_DURATION: Duration = Duration::from_millis(700);
-/// Limit of a connection's set-up, and of a write.
+/// Timeout of connecting to the target, and of a write.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a link does with the bytes of one direction.
+/// How a link treats the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
     /// Forwards them.
     #[default]
     Open,
-    /// Holds them, and forwards them once the direction is open again.
+    /// Leaves them unread, and forwards them once the direction is open again.
     Stalled,
     /// Drops them; connections that lost bytes are reset once the direction is open again.
     Partitioned,
@@ -33,22 +33,23 @@
 /// The direction of bytes on a connection, as an index into [`State::directions`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    /// From the client, who connected.
+    /// From the client, which opened the connection.
     Outbound = 0,
     /// Back to the client.
     Inbound = 1,
 }
 
-/// Which of the link's connections one is.
+/// Identifies a connection of the link.
 #[derive(Clone, Copy)]
 struct ConnectionId {
-    /// Its place among all, from 1.
+    /// Its number in the order of acceptance, from 1.
     number: u64,
-    /// The resets that came before it.
+    /// How many resets the link had when it was accepted.
     resets: u64,
 }
 
-/// Connections up to one are closed towards their clients, and what those had sent is delivered late.
+/// A late delivery: the clients' sides of all connections up to `last_connection` are closed, and the bytes that the
+/// clients sent are delivered after `delay`.
 #[derive(Clone, Copy, Default)]
 struct LateDelivery {
     last_connection: u64,
@@ -59,7 +60,7 @@
 struct State {
     target: Option<SocketAddr>,
     directions: [LinkState; 2],
-    /// Connections from before the last of these are closed.
+    /// Resets so far; connections that were accepted before the last of them are closed.
     resets: u64,
     /// Connections accepted so far.
     accepted: u64,
@@ -71,11 +72,11 @@
     stopped: AtomicBool,
 }
 
-/// What one direction of a connection is to do now.
-struct Orders {
+/// The current instructions for one direction of a connection.
+struct Instructions {
     link: LinkState,
     is_reset: bool,
-    /// How much later to deliver what was sent, where the connection is closed for that.
+    /// The delay of the bytes that were sent, if the connection is closed for a late delivery.
     late_delivery: Option<Duration>,
 }
 
@@ -86,11 +87,11 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn orders(&self, direction: Direction, connection: ConnectionId) -> Orders {
+    fn instructions(&self, direction: Direction, connection: ConnectionId) -> Instructions {
         let state = self.state();
         let late = state.late_delivery;
         let is_late = connection.number <= late.last_connection;
-        Orders {
+        Instructions {
             link: state.directions[direction as usize],
             is_reset: state.resets != connection.resets,
             late_delivery: is_late.then_some(late.delay),
@@ -127,13 +128,13 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub struct FaultyLink {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl FaultyLink {
-    /// Starts one on a free port; until it has a target it closes what connects.
+    /// Starts one on a free port of the loopback interface; until it has a target it closes accepted connections.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let addr = listener.local_addr()?;
@@ -148,25 +149,25 @@
                     return;
                 }
                 let shared = serving.clone();
-                // Each wait of a connection has a limit and looks whether the link was stopped, so every thread ends.
+                // Every wait of a connection has a timeout and checks whether the link was stopped, so all threads end.
                 let _ = spawn_thread(move || forward_connection(&shared, client));
             }
         });
         Ok(FaultyLink { addr, shared })
     }
 
-    /// Where connections lead from now on; those that are open stay.
+    /// Sets the target of new connections; open connections keep theirs.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.shared.state().target = target;
     }
 
-    /// Sets both directions: from the clients, and back to them.
+    /// Sets the states of both directions: from the clients to the target, and back.
     pub fn set_directions(&self, outbound: LinkState, inbound: LinkState) {
         self.shared.state().directions = [outbound, inbound];
     }
 
-    /// Delivers what is under way now this much later, on connections that their clients see closed: so it arrives
-    /// after messages that were sent later.
+    /// Closes the clients' sides of all open connections, and delivers the bytes in transit on them after a delay, so
+    /// that they arrive after messages that were sent later.
     pub fn deliver_late(&self, delay: Duration) {
         let mut state = self.shared.state();
         state.late_delivery = LateDelivery {
@@ -206,7 +207,7 @@
         (state.target, connection)
     };
     let Some(target) = target else { return };
-    // No connection is set up through a partition, in whichever direction it is.
+    // A partition in either direction prevents connecting to the target.
     let deadline = Instant::now() + CONNECT_TIMEOUT;
     while shared.is_partitioned() {
         if Instant::now() > deadline || shared.is_stopped() {
@@ -251,10 +252,10 @@
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     let mut has_lost_bytes = false;
     loop {
-        let orders = shared.orders(direction, connection);
-        if let Some(delay) = orders.late_delivery {
+        let instructions = shared.instructions(direction, connection);
+        if let Some(delay) = instructions.late_delivery {
             if direction == Direction::Outbound {
-                hold_back(shared, &mut from, &mut to, delay);
+                deliver_after_delay(shared, &mut from, &mut to, delay);
                 break;
             }
             // The inbound direction ends with the outbound one.
@@ -264,16 +265,16 @@
             }
             continue;
         }
-        let is_open_after_loss = has_lost_bytes && orders.link != LinkState::Partitioned;
-        if orders.is_reset || shared.is_stopped() || is_open_after_loss {
+        let is_open_after_loss = has_lost_bytes && instructions.link != LinkState::Partitioned;
+        if instructions.is_reset || shared.is_stopped() || is_open_after_loss {
             break;
         }
-        if orders.link == LinkState::Stalled {
-            // Bytes wait in the system's buffers, as they would before a peer that reads nothing.
+        if instructions.link == LinkState::Stalled {
+            // Bytes stay in the kernel's buffers, as with a peer that does not read.
             thread::sleep(POLL_INTERVAL);
             continue;
         }
-        match forward_read(orders.link, &mut from, &mut to, &mut buffer) {
+        match forward_read(instructions.link, &mut from, &mut to, &mut buffer) {
             Forwarded::Nothing | Forwarded::Delivered => {}
             Forwarded::Dropped => has_lost_bytes = true,
             Forwarded::Closed => break,
@@ -283,17 +284,17 @@
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// What became of one read.
+/// The outcome of one read.
 enum Forwarded {
-    /// No bytes came in time.
+    /// No bytes arrived before the read timeout.
     Nothing,
     Delivered,
     Dropped,
-    /// One of the ends is closed.
+    /// One of the two connections is closed.
     Closed,
 }
 
-/// Reads once, and delivers or drops what came.
+/// Reads once, and delivers or drops the bytes.
 fn forward_read(
     link: LinkState,
     from: &mut TcpStream,
@@ -324,14 +325,15 @@
     }
 }
 
-/// Collects bytes for a while, closes the sender's end, and delivers them once the delay has passed.
-fn hold_back(shared: &Shared, from: &mut TcpStream, to: &mut TcpStream, delay: Duration) {
+/// Collects bytes for [`COLLECT_DURATION`], closes the sender's connection, and delivers the bytes once the delay has
+/// passed.
+fn deliver_after_delay(shared: &Shared, from: &mut TcpStream, to: &mut TcpStream, delay: Duration) {
     let start = Instant::now();
-    let (mut held_back, mut buffer) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
+    let (mut collected, mut buffer) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
     while start.elapsed() < COLLECT_DURATION {
         match from.read(&mut buffer) {
             Ok(0) => break,
-            Ok(count) => held_back.extend_from_slice(&buffer[..count]),
+            Ok(count) => collected.extend_from_slice(&buffer[..count]),
             Err(_) => {}
         }
     }
@@ -339,5 +341,5 @@
     while start.elapsed() < delay && !shared.is_stopped() {
         thread::sleep(POLL_INTERVAL);
     }
-    let _ = to.write_all(&held_back);
+    let _ = to.write_all(&collected);
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fake peers of the server on loopback: sidecar, engine, HTTP service, dependency, and faulty links between them.
 //!
-//! Tests, chaos experiments and the demo platform share them. Fakes count what crosses their sockets and fail as a
-//! test or a seeded schedule tells them to.
+//! Tests, chaos experiments and the demo platform share them. A test or a seeded schedule sets the faults of the fakes
+//! and reads what they recorded.
 
 pub mod fake_dependency;
 pub mod fake_machine;
--- a/examples/demo_platform/dependencies.rs
+++ b/examples/demo_platform/dependencies.rs
@@ -1,19 +1,19 @@
-//! The dependencies of the shop's page.
+//! Fakes of the dependencies of the shop page.
 use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig, Fault};
 use std::io;
 use std::thread;
 use std::time::Duration;
 
-/// Ports of catalogue, prices and stock.
+/// Ports of the dependencies `catalogue`, `prices` and `stock`.
 const PORTS: [u16; 3] = [8101, 8102, 8103];
-/// The index of the dependency that fails.
+/// The index of the dependency that gets the fault.
 const PRICES: usize = 1;
 const MEAN_LATENCY: Duration = Duration::from_millis(40);
 const CONCURRENCY_LIMIT: u64 = 24;
 const POST_CANCEL_DURATION: Duration = Duration::from_millis(300);
 
-/// Plays them until the program is interrupted, the prices with a fault.
-pub(crate) fn play(fault: Fault) -> io::Result<()> {
+/// Runs the dependencies until the program is interrupted, with a fault in `prices`.
+pub(crate) fn run(fault: Fault) -> io::Result<()> {
     let start = |(port, seed): (u16, u64)| {
         let config = FakeDependencyConfig {
             mean_latency: MEAN_LATENCY,
--- a/examples/demo_platform/engine.rs
+++ b/examples/demo_platform/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: every run needs one call, and its result is the request's body followed by the call's response.
+//! A fake engine: each run makes one call, and its result is the request's body followed by the call's response.
 use cottondyke_test_support::fakes::FakeEngine;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader};
@@ -10,12 +10,12 @@
     TcpListener::bind(ADDRESS)
 }
 
-/// Serves one connection of the server after another.
+/// Serves connections from the server, one after another.
 pub(crate) fn serve(listener: &TcpListener) -> io::Result<()> {
     for stream in listener.incoming() {
         let connection = FakeEngine(BufReader::new(stream?));
         if let Err(error) = serve_connection(connection) {
-            println!("engine: the link ended ({error})");
+            println!("engine: connection ended: {error}");
         }
     }
     Ok(())
@@ -23,7 +23,7 @@
 
 fn serve_connection(mut connection: FakeEngine) -> io::Result<()> {
     connection.0.get_ref().set_read_timeout(None)?;
-    // Each message of the engine has a number of its own.
+    // The engine's messages are numbered in sequence.
     let mut number = 0;
     let mut bodies: BTreeMap<String, Vec<u8>> = BTreeMap::new();
     loop {
--- a/examples/demo_platform/main.rs
+++ b/examples/demo_platform/main.rs
@@ -1,9 +1,9 @@
-//! A demo of the server's surroundings. Addresses are those of `examples/config.json`.
+//! Fakes of the server's peers for a demo. They use the addresses of `examples/config.json`.
 //!
-//! - `demo_platform` plays the engine, the records service and the control plane.
-//! - `demo_platform send TEXT` sends one request as a sidecar would.
-//! - `demo_platform shop [FAULT]` plays the dependencies of `examples/pages/shop.star`, the prices with a fault.
-//! - `demo_platform browse TEXT` asks for the shop's page.
+//! - `demo_platform` runs the engine, the records service and the control plane.
+//! - `demo_platform send TEXT` sends one request as a sidecar does.
+//! - `demo_platform shop [FAULT]` runs the dependencies of `examples/pages/shop.star`, with a fault in `prices`.
+//! - `demo_platform browse TEXT` requests the shop page.
 
 mod dependencies;
 mod engine;
@@ -21,10 +21,10 @@
     let command = arguments.first().map(String::as_str);
     let rest = arguments.get(1..).unwrap_or_default();
     match command {
-        None => play_platform()?,
+        None => run_platform()?,
         Some("send") => sidecar::send_request("greet", &rest.join(" "))?,
         Some("browse") => sidecar::send_request("browse", &rest.join(" "))?,
-        Some("shop") => dependencies::play(parse_fault(rest)?)?,
+        Some("shop") => dependencies::run(parse_fault(rest)?)?,
         Some(_) => {
             eprintln!("usage: demo_platform [send TEXT | shop [hang|fail|reset] | browse TEXT]");
             return Ok(ExitCode::from(EXIT_BAD_USAGE));
@@ -40,13 +40,13 @@
         Some("fail") => Ok(Fault::Fail),
         Some("reset") => Ok(Fault::Reset),
         Some(other) => Err(io::Error::other(format!(
-            "{other}: expected hang, fail or reset"
+            "unknown fault {other:?}: expected hang, fail or reset"
         ))),
     }
 }
 
-/// Plays engine, records service and control plane until it is interrupted.
-fn play_platform() -> io::Result<()> {
+/// Runs the engine, the records service and the control plane until the program is interrupted.
+fn run_platform() -> io::Result<()> {
     let engine = engine::listen()?;
     let services = services::listen()?;
     println!(
--- a/examples/demo_platform/services.rs
+++ b/examples/demo_platform/services.rs
@@ -1,4 +1,5 @@
-//! The HTTP services that the server calls: records service and control plane, each with one fixed response.
+//! Fakes of the HTTP services that the server calls, the records service and the control plane. Each sends one fixed
+//! response.
 use cottondyke_test_support::fakes::FakeService;
 use std::io::{self, BufReader};
 use std::net::{TcpListener, TcpStream};
@@ -7,13 +8,13 @@
 pub(crate) const RECORDS_ADDRESS: &str = "127.0.0.1:8900";
 pub(crate) const CONTROL_PLANE_ADDRESS: &str = "127.0.0.1:8761";
 
-/// The services' listeners.
+/// The listeners of both services.
 pub(crate) struct Services {
     records: TcpListener,
     control_plane: TcpListener,
 }
 
-/// How a service responds.
+/// The fixed response of a service.
 #[derive(Clone, Copy)]
 struct Response {
     status: &'static str,
@@ -37,7 +38,7 @@
 }
 
 impl Services {
-    /// Serves both on threads, for as long as the program runs.
+    /// Serves both on background threads until the program ends.
     pub(crate) fn start(self) {
         thread::spawn(move || serve("records", &self.records, RECORDS_RESPONSE));
         thread::spawn(move || serve("control", &self.control_plane, CONTROL_PLANE_RESPONSE));
--- a/examples/demo_platform/sidecar.rs
+++ b/examples/demo_platform/sidecar.rs
@@ -1,18 +1,18 @@
-//! One request as a sidecar sends it, and its answer.
+//! Sends one request as a sidecar does, and prints its answer.
 use cottondyke_test_support::fakes::{unix_ms, FakeSidecar};
 use std::io;
 
 const SERVER_ADDRESS: &str = "127.0.0.1:6565";
 /// Frame type of a request.
 const REQUEST_FRAME: u8 = 1;
-/// Streams count from 1; 0 is the connection.
+/// Streams are numbered from 1; 0 is the connection itself.
 const FIRST_STREAM: u32 = 1;
 
 /// Sends a request for a handler and prints the answer.
 pub(crate) fn send_request(handler: &str, text: &str) -> io::Result<()> {
     let address = SERVER_ADDRESS.parse().map_err(io::Error::other)?;
     let mut sidecar = FakeSidecar::connect(address)?;
-    // Requests that are sent in the same millisecond differ by their process.
+    // The process id keeps the ids of requests that are sent in the same millisecond apart.
     let id = format!("{:08x}{:08x}", std::process::id(), unix_ms() as u32);
     let at = unix_ms().to_string();
     let fields = [
