--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -1,4 +1,4 @@
-//! Moments where two events cross, forced to come in the bad order each time.
+//! Idempotency keys and races between two events, which each test forces into the order that could fail.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use serde_json::{json, Value};
@@ -7,7 +7,7 @@
 
 const KEY: &[(&str, &str)] = &[("once", "basket")];
 
-/// A keyed request that came to the machine at `at`.
+/// Sends a keyed request whose timestamp says that it arrived at the machine at `at`.
 fn send_request_at(sidecar: &mut FakeSidecar, number: u32, key: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
     let fields = [
@@ -21,27 +21,28 @@
     sidecar.send(1, number, &fields, b"").unwrap();
 }
 
-/// A server with a dedup window of 100 ms.
-fn short_window(conf: &mut Value) {
+/// Sets the dedup window of all handlers to 100 ms.
+fn set_short_dedup_window(conf: &mut Value) {
     for class in conf["settings"]["classes"].as_array_mut().unwrap() {
         class["dedup_window_ms"] = json!(100.0);
     }
 }
 
-/// A server, its engine, a sidecar of which the engine has known a request, and a client of which it never does.
-fn with_stranger() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
+/// A server, its engine, a sidecar of which the engine has accepted a request (a proven connection), and a client of
+/// which it has accepted none.
+fn start_with_unproven_client() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     expect_served(&mut link, &mut sidecar, 1, READ, &[]);
-    let stranger = rig.sidecar();
-    (rig, link, sidecar, stranger)
+    let unproven = rig.sidecar();
+    (rig, link, sidecar, unproven)
 }
 
-/// Guards effects: the dedup window goes by when an attempt reached the machine. Two attempts that lay unread past a short
-/// window, and are read together, run once.
+/// Guards against two runs of a keyed request whose attempts stay unread for longer than the dedup window and are then
+/// read together: the window counts from when an attempt reached the machine, not from when it was read.
 #[test]
 fn runs_once_when_two_attempts_are_read_after_the_window() {
-    let rig = Rig::with(short_window);
+    let rig = Rig::with(set_short_dedup_window);
     let (mut link, mut sidecar) = rig.ready();
     let now = unix_ms();
     for (number, key, at) in [
@@ -58,28 +59,29 @@
     );
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"bought")
         .unwrap();
-    let mut heard = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
-    heard.sort_by_key(|h| h.stream);
+    let mut answers = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
+    answers.sort_by_key(|answer| answer.stream);
     assert_eq!(
-        heard.map(|h| (h.stream, h.code, h.body)),
+        answers.map(|answer| (answer.stream, answer.code, answer.body)),
         [1, 2].map(|s| (s, 1, b"bought".to_vec()))
     );
 }
 
-/// Guards effects: an attempt that reached the machine within the window, and is read after it, repeats the one that ran,
-/// whether that still goes on or is over. One that came after the window is another request.
+/// Guards against a second run of a keyed request by an attempt that reached the machine within the dedup window and is
+/// read after it: it gets the result of the first attempt, whether that is still running or done. An attempt that
+/// arrived after the window is a new request.
 #[test]
 fn does_not_run_an_attempt_within_the_window_that_is_read_after_it() {
-    for over in [false, true] {
-        let rig = Rig::with(short_window);
+    for is_done in [false, true] {
+        let rig = Rig::with(set_short_dedup_window);
         let (mut link, mut sidecar) = rig.ready();
         let start = unix_ms();
         send_request_at(&mut sidecar, 1, "basket", start);
         assert_eq!(expect_start(&mut link), id(1));
-        if over {
+        if is_done {
             complete_run(&mut link, &mut sidecar, 1);
         }
-        // Past the window and the slack of sockets, by the clock that the stamps go by.
+        // Waits until the window and the slack of time limits are over by the clock of the timestamps.
         while unix_ms() < start + 250 {
             assert_eq!(check_health(&mut sidecar), 1);
         }
@@ -88,9 +90,9 @@
         assert_eq!(
             expect_start(&mut link),
             id(3),
-            "the try that was read late does not run"
+            "the attempt that was read late does not run"
         );
-        if !over {
+        if !is_done {
             complete_run(&mut link, &mut sidecar, 1);
         }
         let late = sidecar.receive().unwrap();
@@ -102,7 +104,7 @@
     }
 }
 
-/// Guards tenants against one another: the same key of another tenant is another request.
+/// Guards against one tenant's request getting the result of another tenant's request with the same key.
 #[test]
 fn separates_idempotency_keys_of_tenants() {
     let rig = Rig::with(|conf| {
@@ -121,45 +123,49 @@
     }
 }
 
-/// Guards results against a client that copies a key it has seen: its connection, of which the engine knows no request,
-/// is given no result, open or kept; the sidecar's own repeats are.
+/// Guards against disclosing results to a client that copies a key: a connection of which the engine has accepted no
+/// request gets neither the result of an open request nor a stored one, while repeats by the sidecar itself do.
 #[test]
 fn gives_no_result_for_a_copied_key() {
-    let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
+    let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
     send_request(&mut sidecar, 2, BUY, KEY, b"");
     assert_eq!(expect_start(&mut link), id(2));
-    send_request(&mut stranger, 3, BUY, KEY, b"");
+    send_request(&mut unproven, 3, BUY, KEY, b"");
     assert_eq!(
-        stranger.receive().unwrap().code,
+        unproven.receive().unwrap().code,
         9,
         "while the first is open"
     );
     send_request(&mut sidecar, 4, BUY, KEY, b"");
-    assert_eq!(check_health(&mut stranger), 1);
+    assert_eq!(check_health(&mut unproven), 1);
     complete_run(&mut link, &mut sidecar, 2);
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    send_request(&mut stranger, 5, BUY, KEY, b"");
-    assert_eq!(stranger.receive().unwrap().code, 9, "when it is kept");
+    send_request(&mut unproven, 5, BUY, KEY, b"");
+    assert_eq!(
+        unproven.receive().unwrap().code,
+        9,
+        "when its result is stored"
+    );
     send_request(&mut sidecar, 6, BUY, KEY, b"");
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
     expect_served(&mut link, &mut sidecar, 7, READ, &[]);
 }
 
-/// Guards keys against a client that uses them first: what the engine does not know leaves nothing behind, whether a
-/// genuine attempt joined it or comes later.
+/// Guards against a client that blocks a key by using it first: a request that the engine rejects leaves the key free
+/// for genuine attempts, whether one was coalesced with it or arrives later.
 #[test]
 fn frees_a_key_that_an_unproven_client_used_first() {
-    for joins in [true, false] {
-        let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
-        send_request(&mut stranger, 2, BUY, KEY, b"");
+    for is_coalesced in [true, false] {
+        let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
+        send_request(&mut unproven, 2, BUY, KEY, b"");
         assert_eq!(expect_start(&mut link), id(2));
-        if joins {
+        if is_coalesced {
             send_request(&mut sidecar, 3, BUY, KEY, b"");
-            assert_eq!(check_health(&mut sidecar), 1, "it has been taken");
+            assert_eq!(check_health(&mut sidecar), 1, "the attempt has been read");
         }
         link.send_line(&format!("NO RUN {}", id(2))).unwrap();
-        assert_eq!(stranger.receive().unwrap().code, 9);
-        if !joins {
+        assert_eq!(unproven.receive().unwrap().code, 9);
+        if !is_coalesced {
             send_request(&mut sidecar, 3, BUY, KEY, b"");
         }
         assert_eq!(expect_start(&mut link), id(3));
@@ -167,27 +173,27 @@
     }
 }
 
-/// Guards a sidecar's request against a copy of it, whichever is read first: the copy is failed, the answer is the
-/// sidecar's.
+/// Guards against a copy of a sidecar's request that gets the answer in its place: whichever is read first, the copy
+/// fails and the sidecar gets the answer.
 #[test]
-fn gives_a_copied_request_nothing() {
-    let (_rig, mut link, mut sidecar, mut stranger) = with_stranger();
+fn fails_a_copied_request() {
+    let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
     for (number, copy_first) in [(2, true), (3, false)] {
         let (first, second) = if copy_first {
-            (&mut stranger, &mut sidecar)
+            (&mut unproven, &mut sidecar)
         } else {
-            (&mut sidecar, &mut stranger)
+            (&mut sidecar, &mut unproven)
         };
         send_request(first, number, PAY, &[], b"same");
         assert_eq!(expect_start(&mut link), id(number.into()));
         send_request(second, number, PAY, &[], b"same");
-        assert_eq!(stranger.receive().unwrap().code, 9);
+        assert_eq!(unproven.receive().unwrap().code, 9);
         complete_run(&mut link, &mut sidecar, number);
     }
 }
 
-/// Guards connections against a sidecar that gives a request up and says so: the request is answered at once, its run is
-/// stopped, and what follows on the connection is served.
+/// Guards against a cancelled request that disturbs its connection: the request is answered at once, its run is
+/// stopped, and later requests on the connection are served.
 #[test]
 fn keeps_the_connection_when_a_request_is_cancelled() {
     let rig = Rig::start();
@@ -195,10 +201,10 @@
     send_request(&mut sidecar, 1, READ, &[], b"");
     let run = expect_start(&mut link);
     sidecar.0.write_all(&frame(3, 1, b"")).unwrap();
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.stream, heard.code), (1, 9));
+    let answer = sidecar.receive().unwrap();
+    assert_eq!((answer.stream, answer.code), (1, 9));
     assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
-    // One that is answered already, and one that never was.
+    // Cancels a request that is answered already, and one that never existed.
     sidecar
         .0
         .write_all(&[frame(3, 1, b""), frame(3, 77, b"")].concat())
@@ -208,28 +214,30 @@
     expect_served(&mut link, &mut sidecar, 2, READ, &[]);
 }
 
-/// Guards the due time where callers tell how long they wait: it goes before the client timeout.
+/// Guards against answers that come after the caller stopped waiting: how long it waits, if the request states it,
+/// takes precedence over the client timeout.
 #[test]
-fn answers_by_the_deadline_that_the_caller_tells() {
+fn answers_by_the_deadline_that_the_caller_sends() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     send_request(&mut sidecar, 1, BRIEF, &[], b"");
     send_request(&mut sidecar, 2, READ, &[("wait", "300")], b"");
-    let _hang = (expect_start(&mut link), expect_start(&mut link));
-    let heard =
-        [sidecar.receive().unwrap(), sidecar.receive().unwrap()].map(|h| (h.stream, h.code));
+    let _unfinished_runs = (expect_start(&mut link), expect_start(&mut link));
+    let answers = [sidecar.receive().unwrap(), sidecar.receive().unwrap()]
+        .map(|answer| (answer.stream, answer.code));
     assert_eq!(
-        heard,
+        answers,
         [(2, 9), (1, 9)],
         "the client timeout of the first is 600 ms"
     );
     for (number, wait) in [(3, "1e9"), (4, "soon")] {
         send_request(&mut sidecar, number, READ, &[("wait", wait)], b"");
-        assert_eq!(sidecar.receive().unwrap().code, 9, "no caller means that");
+        assert_eq!(sidecar.receive().unwrap().code, 9, "invalid wait {wait:?}");
     }
 }
 
-/// Guards value: a repeat that joined an attempt which fell due before the engine was there runs itself, since nothing ran.
+/// Guards against failing a repeat that could still run: if the first attempt reaches its deadline before the engine is
+/// connected, nothing has run, so the repeat that was coalesced with it runs itself.
 #[test]
 fn runs_a_repeat_when_the_first_attempt_never_ran() {
     let rig = Rig::start();
@@ -237,18 +245,19 @@
     let now = unix_ms();
     send_request_at(&mut sidecar, 1, "basket", now - 1_800);
     send_request_at(&mut sidecar, 2, "basket", now);
-    let heard = sidecar.receive().unwrap();
+    let answer = sidecar.receive().unwrap();
     assert_eq!(
-        (heard.stream, heard.code != 1),
+        (answer.stream, answer.code != 1),
         (1, true),
-        "the first fell due"
+        "the first attempt reached its deadline"
     );
     let mut link = rig.link(0);
     assert_eq!(expect_start(&mut link), id(2));
     complete_run(&mut link, &mut sidecar, 2);
 }
 
-/// Guards a start against a SIGHUP that comes while the files are read: it ends nothing, and the files are read again.
+/// Guards against a SIGHUP that ends the process or is lost because it arrives while the files are read at the start:
+/// the files are read again.
 #[test]
 fn survives_sighup_while_the_files_are_read() {
     let (conf, _peers) = with_peers();
@@ -260,7 +269,7 @@
         .unwrap()
         .success());
     let process = Process::start("--config", path);
-    // Opening ends once the program opens the file to read it.
+    // Opening a FIFO for writing blocks until the program opens it for reading.
     let open = || {
         std::fs::OpenOptions::new()
             .write(true)
@@ -272,12 +281,12 @@
     file.write_all(conf.to_string().as_bytes()).unwrap();
     drop(file);
     process.listen_addr();
-    // The signal was kept: the files are read again.
+    // The signal was not lost: the files are read again.
     open().write_all(conf.to_string().as_bytes()).unwrap();
     process.wait_for_log("configuration reloaded");
 }
 
-/// Guards the time from the shutdown signal to the end: a short one that comes just after the start is kept.
+/// Guards against exceeding a short shutdown timeout when the signal arrives just after the start.
 #[test]
 fn ends_in_time_when_the_shutdown_timeout_is_short() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(200));
@@ -290,27 +299,24 @@
     );
 }
 
-/// Guards sidecars that rest on a connection until the server ends it: they see its end in order, and a request that
-/// comes after the server's half-close runs nowhere.
+/// Guards against a reset of idle connections at shutdown: the sidecar receives a go-away frame and then the end of the
+/// stream, and a request that arrives after the server's half-close never runs.
 #[test]
-fn closes_an_idle_connection_in_order() {
+fn closes_an_idle_connection_without_a_reset() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
-    let (mut link, mut resting) = rig.ready();
-    expect_served(&mut link, &mut resting, 1, PAY, &[]);
+    let (mut link, mut idle) = rig.ready();
+    expect_served(&mut link, &mut idle, 1, PAY, &[]);
     rig.signal("-TERM");
-    assert_eq!(resting.receive().unwrap().kind, 6);
-    assert_eq!(
-        resting.receive().unwrap_err().kind(),
-        ErrorKind::UnexpectedEof
-    );
-    // After the end of the server's half: read by nobody, and no reset.
-    send_request(&mut resting, 2, PAY, &[], b"");
-    assert_eq!(
-        resting.receive().unwrap_err().kind(),
-        ErrorKind::UnexpectedEof
-    );
-    drop(resting);
+    assert_eq!(idle.receive().unwrap().kind, 6);
+    assert_eq!(idle.receive().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    // The server has closed its half of the connection: it discards the request, and does not reset the connection.
+    send_request(&mut idle, 2, PAY, &[], b"");
+    assert_eq!(idle.receive().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    drop(idle);
     assert_eq!(rig.wait_for_exit().0.code(), Some(0));
-    let mut orders = std::iter::from_fn(|| link.receive_command().ok());
-    assert!(!orders.any(|(words, _)| words[0] == "RUN"), "it never ran");
+    let mut commands = std::iter::from_fn(|| link.receive_command().ok());
+    assert!(
+        !commands.any(|(words, _)| words[0] == "RUN"),
+        "it never ran"
+    );
 }
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -1,9 +1,9 @@
-//! From a request to its one final answer.
+//! Requests and their answers, of which each request gets exactly one.
 use crate::rig::*;
 use cottondyke_test_support::fakes::*;
 use std::io::Write;
 
-/// Guards bodies and results against any change on their way, line ends and NULs included.
+/// Guards against changes to the bytes of bodies, responses and results, such as line ends and NUL bytes.
 #[test]
 fn passes_bodies_responses_and_results_of_any_bytes() {
     let rig = Rig::start();
@@ -42,18 +42,19 @@
     let result: Vec<u8> = all.iter().chain(&all).copied().collect();
     link.send_line_with_body(&format!("DONE 3 {} fine 8.5", id(1)), &result)
         .unwrap();
-    let heard = sidecar.receive().unwrap();
+    let answer = sidecar.receive().unwrap();
     assert_eq!(
-        (heard.kind, heard.stream, heard.code, &heard.body),
+        (answer.kind, answer.stream, answer.code, &answer.body),
         (2, 1, 1, &result)
     );
     assert!(
-        heard.field("say").unwrap().parse::<f64>().unwrap() > 0.0,
-        "the free value goes out with answers"
+        answer.field("say").unwrap().parse::<f64>().unwrap() > 0.0,
+        "answers carry the advised share of traffic"
     );
 }
 
-/// Guards the frames against any split, and answers against the order of requests.
+/// Guards against frames that are misread when they arrive in pieces, and against answers that go to the wrong
+/// request when runs end in another order.
 #[test]
 fn answers_32_requests_in_any_order_when_read_in_small_pieces() {
     let rig = Rig::with(|conf| {
@@ -78,59 +79,61 @@
         .chunks(11)
         .for_each(|piece| sidecar.0.write_all(piece).unwrap());
     let mut runs: Vec<_> = (0..32).map(|_| expect_start(&mut link)).collect();
-    // One more is more than a connection may have open: it is rejected, the others stay.
+    // A request past the limit of open requests per connection is rejected; the others are not affected.
     send_request(&mut sidecar, 33, READ, &[], b"");
     assert_eq!((sidecar.receive().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
     for (n, run) in runs.iter().enumerate() {
         link.send_line_with_body(&format!("DONE {} {run} fine 1", n + 1), run.as_bytes())
             .unwrap();
-        let heard = sidecar.receive().unwrap();
-        assert_eq!((heard.code, heard.body), (1, run.as_bytes().to_vec()));
-        assert_eq!(id(heard.stream.into()), *run);
+        let answer = sidecar.receive().unwrap();
+        assert_eq!((answer.code, answer.body), (1, run.as_bytes().to_vec()));
+        assert_eq!(id(answer.stream.into()), *run);
     }
 }
 
-/// Guards a connection against requests that can be read and not run: each gets its own answer.
+/// Guards against an invalid request that ends its connection or fails other requests: each invalid one gets an answer.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn fails_only_the_request_with_an_invalid_field() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     let at = unix_ms().to_string();
-    let good = [
+    let valid = [
         ("class", READ),
         ("id", "00000000000000ff"),
         ("at", &at),
         ("from", "1"),
         ("kb", "1.0"),
     ];
-    let with = |place: usize, value: &'static str| {
-        let mut fields = good.to_vec();
-        fields[place].1 = value;
+    let with = |index: usize, value: &'static str| {
+        let mut fields = valid.to_vec();
+        fields[index].1 = value;
         fields
     };
     let twice = |name: &'static str| {
-        good.iter()
+        valid
+            .iter()
             .copied()
             .chain([(name, "1")])
             .collect::<Vec<_>>()
     };
-    let without = |place: usize| {
-        good.iter()
+    let without = |index: usize| {
+        valid
+            .iter()
             .copied()
             .enumerate()
-            .filter(move |(n, _)| *n != place)
+            .filter(move |(n, _)| *n != index)
             .map(|f| f.1)
     };
-    let mut bad = vec![
+    let mut invalid = vec![
         with(0, "nobody"),
         with(1, "12"),
         with(1, "00000000000000fg"),
         with(2, "now"),
     ];
-    bad.push(good.iter().copied().chain([("cost", "1e300")]).collect());
-    bad.extend([
+    invalid.push(valid.iter().copied().chain([("cost", "1e300")]).collect());
+    invalid.extend([
         with(3, "x"),
         with(4, "0"),
         with(4, "2000"),
@@ -138,23 +141,23 @@
         twice("kb"),
         twice("tenant"),
     ]);
-    bad.extend((0..5).map(|place| without(place).collect()));
-    for (n, fields) in bad.iter().enumerate() {
+    invalid.extend((0..5).map(|index| without(index).collect()));
+    for (n, fields) in invalid.iter().enumerate() {
         sidecar.send(1, n as u32 + 1, fields, b"").unwrap();
-        let heard = sidecar.receive().unwrap();
+        let answer = sidecar.receive().unwrap();
         assert_eq!(
-            (heard.kind, heard.stream, heard.code),
+            (answer.kind, answer.stream, answer.code),
             (2, n as u32 + 1, 9),
             "{fields:?}"
         );
     }
-    sidecar.send(1, 90, &good, &[0; 2_049]).unwrap();
+    sidecar.send(1, 90, &valid, &[0; 2_049]).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9, "a body past 2 KiB");
     sidecar.0.write_all(&frame(1, 91, &[3, 200, b'x'])).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9, "fields past the frame");
     send_request(&mut sidecar, 100, READ, &[], b"");
     let run = expect_start(&mut link);
-    // The same id while it is open cannot be told apart: the second is failed, the first goes on.
+    // Two open requests with the same id cannot be told apart: the second fails, the first goes on.
     sidecar
         .send(
             1,
@@ -184,15 +187,15 @@
     sidecar.receive().unwrap().stream
 }
 
-/// Guards against two answers: a run that ends after its request fell due is not sent.
+/// Guards against a second answer to a request: the result of a run that ends after the deadline is not sent.
 #[test]
 fn fails_a_request_once_when_its_deadline_passes() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
     send_request(&mut sidecar, 1, BRIEF, &[], b"");
     let run = expect_start(&mut link);
-    let heard = sidecar.receive().unwrap();
-    assert_eq!((heard.stream, heard.code), (1, 9));
+    let answer = sidecar.receive().unwrap();
+    assert_eq!((answer.stream, answer.code), (1, 9));
     assert_eq!(
         link.receive_command().unwrap().0,
         ["HALT", &run],
@@ -201,7 +204,7 @@
     link.send_line_with_body(&format!("DONE 1 {run} fine 400"), b"too late")
         .unwrap();
     send_request(&mut sidecar, 2, READ, &[], b"");
-    // Until its end is heard of, the stop is asked for again.
+    // HALT is sent again until the engine reports the end of the run.
     let run = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
         .unwrap();
@@ -211,16 +214,17 @@
     assert_eq!(
         sidecar.receive().unwrap().body,
         b"in time",
-        "nothing stands between the two answers"
+        "no other answer is sent between the two"
     );
 }
 
-/// Guards load and pace against stamps that are wrong: they are no sign that requests lie unread here.
+/// Guards against shedding load because of wrong timestamps: those of a connection of which the engine has accepted no
+/// request are no evidence of a queueing delay.
 #[test]
-fn learns_no_queueing_delay_from_a_wrong_stamp() {
+fn learns_no_queueing_delay_from_a_wrong_timestamp() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.ready();
-    let mut rude = rig.sidecar();
+    let mut unproven = rig.sidecar();
     for n in 1..=20 {
         let (id, at) = (id(n.into()), (unix_ms() - 1_000).to_string());
         let fields = [
@@ -230,10 +234,10 @@
             ("from", "1"),
             ("kb", "1.0"),
         ];
-        rude.send(1, n, &fields, b"").unwrap();
+        unproven.send(1, n, &fields, b"").unwrap();
         let run = expect_start(&mut link);
         link.send_line(&format!("NO RUN {run}")).unwrap();
-        assert_eq!(rude.receive().unwrap().code, 9);
+        assert_eq!(unproven.receive().unwrap().code, 9);
     }
     send_request(&mut sidecar, 21, READ, &[], b"");
     run_through(&mut link, 1, b"");
@@ -244,7 +248,7 @@
     );
 }
 
-/// Guards due times against clocks that differ by hours, either way.
+/// Guards against wrong deadlines when the client's clock is hours ahead or behind.
 #[test]
 fn serves_a_request_stamped_by_a_differing_clock() {
     let rig = Rig::start();
@@ -275,7 +279,8 @@
     }
 }
 
-/// Guards keyed requests against a second run: repeats share the first one's result, open or kept.
+/// Guards against a second run of a keyed request: repeats get the result of the first attempt, both while that is open
+/// and after its result is stored.
 #[test]
 fn runs_a_keyed_request_once_for_all_its_attempts() {
     let rig = Rig::start();
@@ -292,10 +297,10 @@
     );
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"bought")
         .unwrap();
-    let mut heard = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
-    heard.sort_by_key(|h| h.stream);
+    let mut answers = [sidecar.receive().unwrap(), sidecar.receive().unwrap()];
+    answers.sort_by_key(|answer| answer.stream);
     assert_eq!(
-        heard.map(|h| (h.stream, h.code, h.body)),
+        answers.map(|answer| (answer.stream, answer.code, answer.body)),
         [1, 2].map(|s| (s, 1, b"bought".to_vec()))
     );
     send_request(&mut sidecar, 4, BUY, &once, b"buy");
@@ -306,7 +311,7 @@
     );
 }
 
-/// Guards joined requests: where the first one's run failed, they hear that too.
+/// Guards against coalesced requests that get no answer when the run of the first attempt fails.
 #[test]
 fn fails_repeats_of_a_failed_request() {
     let rig = Rig::start();
