--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -4,7 +4,7 @@
 use cottondyke_admission::{
     Arrival, CallOutcome, CallerId, HandlerId, LoadSample, RequestId, RunOutcome, TenantId, Time,
 };
-use cottondyke_settings::{number, optional_number, present, text, unsigned, WireNames};
+use cottondyke_settings::{non_null, number, optional_number, string, unsigned, WireNames};
 use serde_json::Value;
 
 /// Tenths of a millisecond in one millisecond.
@@ -42,7 +42,7 @@
 }
 
 pub(crate) fn arrival(event: &Value, handlers: usize) -> Result<Arrival, AdapterError> {
-    let flags = present(event, "flags").and_then(Value::as_u64);
+    let flags = non_null(event, "flags").and_then(Value::as_u64);
     let flags = flags.unwrap_or(0);
     let hint = optional_number(event, "cost_ms")?;
     let hint = hint.filter(|ms| flags & HAS_COST_HINT != 0 && *ms > 0.0);
@@ -52,17 +52,17 @@
     Ok(Arrival {
         id: request_id(event)?,
         handler,
-        tenant: present(event, "client_group")
+        tenant: non_null(event, "client_group")
             .and_then(Value::as_u64)
             .map(|n| TenantId(n as usize)),
-        caller: present(event, "by").and_then(Value::as_u64).map(CallerId),
+        caller: non_null(event, "by").and_then(Value::as_u64).map(CallerId),
         cost_hint: hint.map(rounded_down),
         is_retry: flags & IS_RETRY != 0,
         duplicate_of: duplicate_of.map(checked_duplicate).transpose()?,
         memory_kb: optional_number(event, "mem_kb")?.unwrap_or(0.0),
         queueing_delay,
         observed_delay: queueing_delay,
-        client_wait: optional_number(event, "grace_ms")?
+        client_time_left: optional_number(event, "grace_ms")?
             .filter(|ms| *ms > 0.0)
             .map(rounded_down),
     })
@@ -71,7 +71,7 @@
 /// The id of the request that this one repeats; 0 on the wire stands for none.
 fn duplicate_of(event: &Value) -> Result<Option<u64>, AdapterError> {
     let key = "same_as";
-    let number = present(event, key).map(|_| unsigned(event, key));
+    let number = non_null(event, key).map(|_| unsigned(event, key));
     Ok(number.transpose()?.filter(|n| *n != 0))
 }
 
@@ -89,7 +89,7 @@
     Ok(HandlerId(category))
 }
 
-/// Rounded up, while the client's remaining wait is rounded down: either makes the deadline that is computed from it
+/// Rounded up, while the client's time left is rounded down: either makes the deadline that is computed from it
 /// earlier, never later.
 fn queueing_delay(event: &Value) -> Result<Time, AdapterError> {
     let milliseconds = optional_number(event, "lay_ms")?.unwrap_or(0.0);
@@ -98,7 +98,7 @@
 }
 
 pub(crate) fn run_outcome(event: &Value) -> Result<RunOutcome, AdapterError> {
-    match text(event, "ending")? {
+    match string(event, "ending")? {
         "delivered" => Ok(RunOutcome::Completed),
         "app_error" => Ok(RunOutcome::Failed),
         "revoked" => Ok(RunOutcome::Cancelled),
@@ -110,7 +110,7 @@
 }
 
 pub(crate) fn call_outcome(event: &Value) -> Result<CallOutcome, AdapterError> {
-    match text(event, "ending")? {
+    match string(event, "ending")? {
         "delivered" => Ok(CallOutcome::Completed),
         "shed" | "dial_failed" | "unused" => Ok(CallOutcome::NotExecuted),
         "app_error" => Ok(CallOutcome::Failed),
--- a/crates/adapter/src/instances.rs
+++ b/crates/adapter/src/instances.rs
@@ -4,7 +4,7 @@
 use crate::encode::encode_actions;
 use crate::error::AdapterError;
 use cottondyke_admission::{Actions, AdmissionController, LoadSample, Time};
-use cottondyke_settings::{admission_controller, text, unsigned, wire_names, WireNames};
+use cottondyke_settings::{admission_controller, string, unsigned, wire_names, WireNames};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
         let events = batch.get("arrivals").and_then(Value::as_array);
         let mut commands = Vec::new();
         for event in events.ok_or(AdapterError::MissingEvents)? {
-            let instance = text(event, "who")?;
-            let name = text(event, "cmd")?;
+            let instance = string(event, "who")?;
+            let name = string(event, "cmd")?;
             let actions = match name {
                 "Create" => self.create(now, instance, event)?,
                 "Destroy" => {
@@ -85,12 +85,12 @@
                 let id = decode::request_id(event)?;
                 controller.run_ended(now, id, decode::run_outcome(event)?)
             }
-            "NeedsDep" => controller.call_wanted(now, decode::request_id(event)?),
+            "NeedsDep" => controller.call_requested(now, decode::request_id(event)?),
             "CallResult" => {
                 let id = decode::request_id(event)?;
                 controller.call_ended(now, id, decode::call_outcome(event)?)
             }
-            "Abandoned" => controller.caller_gone(now, decode::request_id(event)?),
+            "Abandoned" => controller.request_abandoned(now, decode::request_id(event)?),
             "Leaving" => controller.drain(now, decode::duration(event, "grace_ms")?),
             "Wake" => controller.tick(now, decode::load_sample(event, &self.wire_names)?),
             _ => {
--- a/crates/admission/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -24,8 +24,8 @@
     Duplicate,
     /// Failed: its run exceeded the termination threshold.
     PastThreshold,
-    /// Failed: more requests run on the cores than the server survives.
-    OverSurvivableConcurrency,
+    /// Failed: more requests run on the cores than the concurrency ceiling allows.
+    OverConcurrencyCeiling,
     /// Rejected: requests and idempotency keys take too much memory.
     OverMemoryQueued,
     /// Failed: requests and idempotency keys take too much memory, with nothing queued.
@@ -35,7 +35,7 @@
     /// Rejected: the slow-start budget would let it start too late for its response target.
     OverSlowStartBudget,
     /// Rejected: it is predicted not to finish within its response target.
-    Unwinnable,
+    PredictedLate,
     /// Started.
     NextToStart,
     /// Continues without the call that it waited for.
@@ -52,12 +52,12 @@
             Rule::AtDeadline => "at_deadline",
             Rule::Duplicate => "duplicate",
             Rule::PastThreshold => "past_threshold",
-            Rule::OverSurvivableConcurrency => "over_survivable_concurrency",
+            Rule::OverConcurrencyCeiling => "over_survivable_concurrency",
             Rule::OverMemoryQueued => "over_memory_queued",
             Rule::OverMemoryRunning => "over_memory_running",
             Rule::PastDrainGrace => "past_drain_grace",
             Rule::OverSlowStartBudget => "over_slow_start_budget",
-            Rule::Unwinnable => "unwinnable",
+            Rule::PredictedLate => "unwinnable",
             Rule::NextToStart => "next_to_start",
             Rule::PastCallWait => "past_call_wait",
             Rule::NextToCall => "next_to_call",
--- a/crates/admission/src/arrival.rs
+++ b/crates/admission/src/arrival.rs
@@ -26,7 +26,7 @@
     /// The part of `queueing_delay` that is trusted to show how long requests wait to be read; zero if none is.
     pub observed_delay: Time,
     /// How much longer the client waits, if known.
-    pub client_wait: Option<Time>,
+    pub client_time_left: Option<Time>,
 }
 
 /// How a run ended.
--- a/crates/admission/src/call_times.rs
+++ b/crates/admission/src/call_times.rs
@@ -4,16 +4,16 @@
 #[derive(Default)]
 pub(crate) struct CallTimes {
     /// The mean over many calls.
-    pub(crate) usual: f64,
+    pub(crate) long_term_mean: f64,
     /// The mean over the last few calls.
-    pub(crate) recent: f64,
+    pub(crate) short_term_mean: f64,
 }
 
 impl CallTimes {
     /// Adds a call. Each weight is that of the newest call in its mean; the first call sets both means.
-    pub(crate) fn record(&mut self, time: f64, usual_weight: f64, recent_weight: f64) {
-        update_mean(&mut self.usual, time, usual_weight);
-        update_mean(&mut self.recent, time, recent_weight);
+    pub(crate) fn record(&mut self, time: f64, long_term_weight: f64, short_term_weight: f64) {
+        update_mean(&mut self.long_term_mean, time, long_term_weight);
+        update_mean(&mut self.short_term_mean, time, short_term_weight);
     }
 }
 
--- a/crates/admission/src/caller_table.rs
+++ b/crates/admission/src/caller_table.rs
@@ -32,8 +32,8 @@
         self.last_seen.len()
     }
 
-    /// The number of callers seen within the advice lifetime as of the last call of `forget_old`, and of those seen
-    /// since.
+    /// The number of callers seen within the advice lifetime as of the last call of `remove_expired`, and of those
+    /// seen since.
     pub(crate) fn recent(&self) -> usize {
         self.recent
     }
@@ -55,7 +55,7 @@
     }
 
     /// Removes the callers that no longer follow advice and no longer keep a connection, and recounts the recent ones.
-    pub(crate) fn forget_old(&mut self, now: Time) {
+    pub(crate) fn remove_expired(&mut self, now: Time) {
         let CallerConfig {
             max_idle,
             advice_lifetime,
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -92,7 +92,7 @@
 ///         memory_kb: 10.0,
 ///         queueing_delay: Time(0),
 ///         observed_delay: Time(0),
-///         client_wait: None,
+///         client_time_left: None,
 ///     },
 /// );
 /// assert_eq!(actions.start, [id]);
--- a/crates/admission/src/inputs.rs
+++ b/crates/admission/src/inputs.rs
@@ -53,8 +53,8 @@
     }
 
     /// A run has not ended long after its request was answered. It no longer counts against the concurrency limit, so
-    /// that other requests can run. It may still occupy the machine, so it counts towards the survivable concurrency
-    /// until its end is reported.
+    /// that other requests can run. It may still occupy the machine, so it counts towards the concurrency ceiling until
+    /// its end is reported.
     pub fn run_overdue(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
@@ -65,8 +65,8 @@
         self.apply_rules(now, Actions::default())
     }
 
-    /// A run wants to call a dependency and waits until the call is made or skipped.
-    pub fn call_wanted(&mut self, now: Time, id: RequestId) -> Actions {
+    /// A run requests a call to a dependency and waits until the call is made or skipped.
+    pub fn call_requested(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
             request.want_call(now, self.costs.core_clock);
@@ -91,7 +91,7 @@
     }
 
     /// The caller no longer waits for the response to a request.
-    pub fn caller_gone(&mut self, now: Time, id: RequestId) -> Actions {
+    pub fn request_abandoned(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
             request.answered = true;
--- a/crates/admission/src/memory.rs
+++ b/crates/admission/src/memory.rs
@@ -17,13 +17,16 @@
 impl MemoryLimits {
     /// The memory that all requests and `keys` idempotency keys take.
     pub(crate) fn used(&self, requests: &RequestTable, keys: usize) -> f64 {
-        let running: f64 = requests.started().map(|r| self.extra_to_start(r)).sum();
+        let running: f64 = requests
+            .started()
+            .map(|r| self.additional_running_memory(r))
+            .sum();
         let all: f64 = requests.iter().map(|r| r.arrival.memory_kb).sum();
         running + all + keys as f64 * self.per_key
     }
 
     /// The additional memory that a request takes once it is started.
-    pub(crate) fn extra_to_start(&self, request: &RequestRecord) -> f64 {
+    pub(crate) fn additional_running_memory(&self, request: &RequestRecord) -> f64 {
         request.arrival.memory_kb * (self.running_factor - 1.0)
     }
 }
--- a/crates/admission/src/policy/call_limiter.rs
+++ b/crates/admission/src/policy/call_limiter.rs
@@ -3,15 +3,15 @@
 use crate::{call_occupancy::CallOccupancy, call_times::CallTimes, CallConfig, CallOutcome, Time};
 
 const SHARE_FRACTION: f64 = 0.9; // fraction of this server's share of calls that is used
-const SLOW_FACTOR: f64 = 4.0; // multiple of its usual time at which a call is slow, or may be abandoned
+const SLOW_FACTOR: f64 = 4.0; // multiple of the long-term mean at which a call is slow, or may be abandoned
 const SHARED_TIMEOUT_FACTOR: f64 = 3.0; // further multiple for a shared dependency, unless backed off
-const SINGLE_SLOW_FACTOR: f64 = 2.0; // multiple of its usual time at which a call is slow, with one at a time
+const SINGLE_SLOW_FACTOR: f64 = 2.0; // multiple of the long-term mean at which a call is slow, one at a time
 const DECREASE_FACTOR: f64 = 0.85; // fraction of the limit that is kept after a call failed or was slow
 const MIN_DECREASE_FACTOR: f64 = 0.5; // the smallest fraction that is kept, for a limit below one
 const MAX_CALLS_PER_CORE: f64 = 4.0;
 const SPARE_FRACTION: f64 = 0.8; // part of the maximum that the limit keeps while nearly all calls succeed
 const MIN_SHARE: f64 = 0.25; // smallest part of the share in use when calls overload the dependency
-const RECENT_WEIGHT: f64 = 0.25; // weight of the newest call in the recent call time
+const SHORT_TERM_WEIGHT: f64 = 0.25; // weight of the newest call in the short-term mean
 
 /// Limits the calls to a dependency.
 pub(crate) struct CallLimiter {
@@ -57,7 +57,7 @@
 
     fn fits_share(&self, share: f64, now: Time, in_flight: usize) -> bool {
         let occupied = (in_flight + self.occupancy.abandoned()) as f64;
-        let needed = (self.times.recent + self.occupancy.linger()).min(self.allowance(share));
+        let needed = (self.times.short_term_mean + self.occupancy.linger()).min(self.allowance(share));
         let fits_one = self.single_call && occupied == 0.0 && self.free_call_time(now) >= needed;
         occupied + 1.0 <= share * SHARE_FRACTION || fits_one
     }
@@ -74,12 +74,12 @@
     /// How long to wait for a call if another attempt, or a response without the call, is possible.
     pub(crate) fn early_timeout(&self, is_backed_off: bool) -> Time {
         let factor = if is_backed_off || self.config.share.is_none() { 1.0 } else { SHARED_TIMEOUT_FACTOR };
-        Time((self.times.usual * SLOW_FACTOR * factor) as i64)
+        Time((self.times.long_term_mean * SLOW_FACTOR * factor) as i64)
     }
 
     /// The expected wait of a call behind `calls_ahead` others.
     pub(crate) fn expected_wait(&self, now: Time, calls_ahead: f64) -> f64 {
-        (self.next_call_at - now).as_f64().max(0.0) + calls_ahead * self.times.recent / self.limit
+        (self.next_call_at - now).as_f64().max(0.0) + calls_ahead * self.times.short_term_mean / self.limit
     }
 
     /// Whether a call may be abandoned and repeated early. A shared dependency would then run the abandoned
@@ -94,9 +94,10 @@
     /// together; many callers do that with one call each, so there the limit falls below one.
     pub(crate) fn call_ended(&mut self, now: Time, time: Time, outcome: CallOutcome) {
         let slow_factor = if self.single_call { SINGLE_SLOW_FACTOR } else { SLOW_FACTOR };
-        let is_fast = self.times.usual == 0.0 || time.as_f64() <= slow_factor * self.times.usual;
-        self.times.record(time.as_f64(), EWMA_WEIGHT * EWMA_WEIGHT, RECENT_WEIGHT);
-        let slow_time = slow_factor * self.times.usual;
+        let is_fast =
+            self.times.long_term_mean == 0.0 || time.as_f64() <= slow_factor * self.times.long_term_mean;
+        self.times.record(time.as_f64(), EWMA_WEIGHT * EWMA_WEIGHT, SHORT_TERM_WEIGHT);
+        let slow_time = slow_factor * self.times.long_term_mean;
         let limit = if outcome == CallOutcome::Completed && is_fast {
             self.limit + self.increase(time.as_f64(), slow_time)
         } else {
@@ -114,7 +115,7 @@
     fn increase(&self, time: f64, slow_time: f64) -> f64 {
         let margin = 1.0 - time / slow_time.max(1.0);
         if self.limit < 1.0 {
-            self.limit * margin * RECENT_WEIGHT
+            self.limit * margin * SHORT_TERM_WEIGHT
         } else {
             1.0
         }
--- a/crates/admission/src/policy/caller_tracker.rs
+++ b/crates/admission/src/policy/caller_tracker.rs
@@ -45,7 +45,7 @@
     /// they were learned: each request then needs a new connection until the gaps are learned again.
     pub(crate) fn update_idle_timeout(&mut self, now: Time) -> Option<Time> {
         let CallerConfig { expected, max_idle, .. } = self.config;
-        self.table.forget_old(now);
+        self.table.remove_expired(now);
         let are_few = expected.max(self.table.len() as f64) <= FEW_CALLERS;
         let idle_timeout = if are_few { max_idle } else { self.cheapest_idle_timeout(now) };
         let previous = std::mem::replace(&mut self.idle_timeout, idle_timeout);
--- a/crates/admission/src/policy/effects.rs
+++ b/crates/admission/src/policy/effects.rs
@@ -66,7 +66,7 @@
             && self.calls.has_spare_capacity()
             && request.attempts + 1 < MAX_ATTEMPTS;
         let is_backed_off = may_skip && self.calls.limit < self.calls.cores;
-        let abandons_early = (may_repeat || is_backed_off) && self.calls.times.usual > 0.0;
+        let abandons_early = (may_repeat || is_backed_off) && self.calls.times.long_term_mean > 0.0;
         let max_wait = if abandons_early { self.calls.early_timeout(is_backed_off) } else { time_left };
         let timeout = time_left.min(max_wait).min(self.calls.max_call_time(now));
         timeout.max(self.schedule.resolution)
--- a/crates/admission/src/policy/rules.rs
+++ b/crates/admission/src/policy/rules.rs
@@ -18,12 +18,12 @@
         (Rule::AtDeadline, Self::at_deadline, Self::terminate),
         (Rule::Duplicate, Self::duplicate, Self::coalesce),
         (Rule::PastThreshold, Self::past_threshold, Self::terminate),
-        (Rule::OverSurvivableConcurrency, Self::over_survivable_concurrency, Self::terminate),
+        (Rule::OverConcurrencyCeiling, Self::over_concurrency_ceiling, Self::terminate),
         (Rule::OverMemoryQueued, Self::over_memory_queued, Self::reject),
         (Rule::OverMemoryRunning, Self::over_memory_running, Self::terminate),
         (Rule::PastDrainGrace, Self::past_drain_grace, Self::reject),
         (Rule::OverSlowStartBudget, Self::over_slow_start_budget, Self::reject),
-        (Rule::Unwinnable, Self::unwinnable, Self::reject),
+        (Rule::PredictedLate, Self::predicted_late, Self::reject),
         (Rule::NextToStart, Self::next_to_start, Self::start),
         (Rule::PastCallWait, Self::past_call_wait, Self::skip_call),
         (Rule::NextToCall, Self::next_to_call, Self::call),
@@ -78,9 +78,9 @@
         running.max_by_key(|r| (r.started_at, r.id())).map(RequestRecord::id)
     }
 
-    /// Keeps the runs on the cores within the number that the server survives, cold or warm: once
-    /// more are seen, cancellable runs are terminated until no more run than that.
-    fn over_survivable_concurrency(&self, now: Time) -> Option<RequestId> {
+    /// Keeps the runs on the cores within the concurrency ceiling, cold or warm: once more are seen,
+    /// cancellable runs are terminated until no more run than that.
+    fn over_concurrency_ceiling(&self, now: Time) -> Option<RequestId> {
         let is_not_cancelled = |r: &&RequestRecord| !(r.answered && self.is_cancellable(r));
         let not_cancelled =
             self.requests.on_core().filter(is_not_cancelled).chain(self.requests.overdue()).count() as f64;
@@ -112,7 +112,7 @@
     /// Predictive admission, evaluated again after every input: while the cores are in use, a queued request
     /// that would not finish within its response target behind those ahead of it is rejected early enough for
     /// another server to take it.
-    fn unwinnable(&self, now: Time) -> Option<RequestId> {
+    fn predicted_late(&self, now: Time) -> Option<RequestId> {
         let on_core = self.requests.on_core().count() as f64;
         let runs_in_use = self.concurrency.utilization.max(on_core / self.concurrency.limit);
         if runs_in_use.max(self.call_backlog()) < FREE_UTILIZATION {
@@ -169,7 +169,7 @@
         let may_start = |request: &&RequestRecord| {
             (fits_uncancellable || self.is_cancellable(request))
                 && (has_call_capacity || !self.priorities.handler(request).makes_calls)
-                && self.memory.extra_to_start(request) <= free_memory
+                && self.memory.additional_running_memory(request) <= free_memory
         };
         let first = self.start_order(now).into_iter().find(may_start);
         first.filter(|r| self.fits_slow_start(now, r)).map(RequestRecord::id)
@@ -187,7 +187,7 @@
 
     /// The oldest run that waits to call. After an unsuccessful call it must have backed off first.
     fn next_to_call(&self, now: Time) -> Option<RequestId> {
-        let backoff = |r: &RequestRecord| self.calls.times.usual * r.attempts as f64;
+        let backoff = |r: &RequestRecord| self.calls.times.long_term_mean * r.attempts as f64;
         let has_backed_off = |r: &&RequestRecord| (now - r.phase_since).as_f64() >= backoff(r);
         let waiting = self.requests.awaiting_call().filter(has_backed_off);
         let oldest = waiting.min_by_key(|r| (r.arrived_at, r.id())).map(RequestRecord::id);
--- a/crates/admission/src/policy/slow_start.rs
+++ b/crates/admission/src/policy/slow_start.rs
@@ -50,7 +50,7 @@
 
     /// Records started work. Nothing is recorded if there is no bound: a warm server may start any number of
     /// requests, and the record would grow with them.
-    pub(crate) fn add_begun(&mut self, at: Time, work: f64, concurrency: &ConcurrencyLimit) {
+    pub(crate) fn add_started(&mut self, at: Time, work: f64, concurrency: &ConcurrencyLimit) {
         if self.allowed(at, concurrency).is_some() {
             self.started.push_back(StartedWork { at, work });
             self.total += work;
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -58,7 +58,7 @@
         let arrived_at = now - arrival.queueing_delay;
         let target = handler.response_target + Time((handler.target_stretch * base_cost) as i64);
         let client_deadline = arrival
-            .client_wait
+            .client_time_left
             .map_or(arrived_at + handler.client_timeout, |wait| now + wait);
         RequestRecord {
             arrival,
--- a/crates/admission/src/transitions.rs
+++ b/crates/admission/src/transitions.rs
@@ -20,7 +20,7 @@
         if let Some(request) = self.requests.get_mut(id) {
             request.start(now, self.costs.core_clock);
             self.slow_start
-                .add_begun(now, work.unwrap_or(0.0), &self.concurrency);
+                .add_started(now, work.unwrap_or(0.0), &self.concurrency);
             self.concurrency.runnable = self.concurrency.runnable.map(|runnable| runnable + 1.0);
             actions.start.push(id);
         }
--- a/crates/admission/tests/decide/admission.rs
+++ b/crates/admission/tests/decide/admission.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn rejects_an_unwinnable_queued_request_while_the_limit_is_shrunk() {
+fn rejects_a_queued_request_that_is_predicted_late_while_the_limit_is_shrunk() {
     // With few runs on the cores, predictive admission took a server for idle that was busy reading requests.
     let mut server = ServerModel::new(DEFAULT_SETUP);
     arrive(&mut server, 3, Time(6500));
@@ -45,7 +45,7 @@
 fn starts_another_tenant_first_when_a_tenant_has_filled_its_share() {
     // When one tenant sent three times its share, as many requests of the other tenants were rejected as of its excess.
     let mut server = ServerModel::new(Setup {
-        tells_client_wait: true,
+        tells_client_time_left: true,
         ..DEFAULT_SETUP
     });
     for n in 0..33 {
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn rejects_an_unwinnable_request_with_a_retry_time_when_overloaded() {
-    // An unwinnable request that stayed queued until its client timeout kept its caller from trying another server, and
-    // gave it no retry time. A server that rejected quickly without a retry time attracted the traffic of callers that
-    // choose the least busy server.
+fn rejects_a_request_that_is_predicted_late_with_a_retry_time_when_overloaded() {
+    // A request that was predicted late but stayed queued until its client timeout kept its caller from trying another
+    // server, and gave it no retry time. A server that rejected quickly without a retry time attracted the traffic of
+    // callers that choose the least busy server.
     for advice_format in [
         AdviceFormat::Share,
         AdviceFormat::Credit,
--- a/crates/admission/tests/decide/advice.rs
+++ b/crates/admission/tests/decide/advice.rs
@@ -17,7 +17,7 @@
             expected_callers,
             ..DEFAULT_SETUP
         });
-        run_in_turn(&mut server, callers, callers.max(1), Time(100));
+        run_for_callers(&mut server, callers, callers.max(1), Time(100));
         assert!(
             (min..=max).contains(&server.advice),
             "credit {} for {callers} of {expected_callers}",
@@ -90,7 +90,7 @@
             expected_callers,
             ..DEFAULT_SETUP
         });
-        run_in_turn(&mut server, callers, 120, Time(1500));
+        run_for_callers(&mut server, callers, 120, Time(1500));
         assert!(
             (min..=max).contains(&server.idle_timeout.0),
             "{callers} of {expected_callers} callers: {:?}",
--- a/crates/admission/tests/decide/calls.rs
+++ b/crates/admission/tests/decide/calls.rs
@@ -46,7 +46,7 @@
         call_share: Some(share),
         ..DEFAULT_SETUP
     });
-    let spans = calls_in_a_row(&mut server, CLIENT_TIMEOUT, RESPONSE_TARGET.scaled(12.0));
+    let spans = make_sequential_calls(&mut server, CLIENT_TIMEOUT, RESPONSE_TARGET.scaled(12.0));
     let call_time = |window_start: Time| {
         let window_end = window_start + RESPONSE_TARGET;
         let inside = |span: &CallSpan| {
@@ -69,8 +69,8 @@
         call_share: Some(0.8),
         ..DEFAULT_SETUP
     });
-    calls_in_a_row(&mut server, Time(100), RESPONSE_TARGET.scaled(3.0));
-    let slow = calls_in_a_row(&mut server, Time(2500), RESPONSE_TARGET.scaled(6.0));
+    make_sequential_calls(&mut server, Time(100), RESPONSE_TARGET.scaled(3.0));
+    let slow = make_sequential_calls(&mut server, Time(2500), RESPONSE_TARGET.scaled(6.0));
     (server, slow)
 }
 
@@ -94,7 +94,7 @@
     // While calls were queued nothing was started, not even requests that make no calls.
     let (mut server, _) = server_with_slow_calls();
     for id in server.in_state(State::AwaitingCall) {
-        server.caller_gone(id);
+        server.request_abandoned(id);
     }
     for _ in 0..4 {
         arrive(&mut server, 1, Time(0));
--- a/crates/admission/tests/decide/config.rs
+++ b/crates/admission/tests/decide/config.rs
@@ -64,18 +64,18 @@
         memory_kb: scale,
         queueing_delay: duration,
         observed_delay: duration,
-        client_wait: Some(duration),
+        client_time_left: Some(duration),
     }
 }
 
-/// Returns all actions of a controller whose requests each want a call.
+/// Returns all actions of a controller whose runs each request a call.
 fn run(scale: f64, advice_format: AdviceFormat) -> Vec<Actions> {
     let mut controller = AdmissionController::new(STARTED_AT, &config(scale, advice_format));
     let mut actions = vec![controller.tick(STARTED_AT, LoadSample::default())];
     for id in (0..REQUESTS).map(RequestId) {
         let now = Time(i64::from(id.0) * 5);
         actions.push(controller.arrival(now, arrival(id, scale)));
-        actions.push(controller.call_wanted(now, id));
+        actions.push(controller.call_requested(now, id));
     }
     let sample = LoadSample {
         cpu_utilization: Some(scale),
--- a/crates/admission/tests/decide/invariants.rs
+++ b/crates/admission/tests/decide/invariants.rs
@@ -22,7 +22,7 @@
     let index = choice as usize;
     Setup {
         cancellation: cancellations[index % 3],
-        tells_client_wait: choice & 4 != 0,
+        tells_client_time_left: choice & 4 != 0,
         is_cold: choice & 8 != 0,
         advice_format: advice_formats[index / 16 % 4],
         call_share: (choice & 64 != 0).then_some([0.8, 2.5][index / 512 % 2]),
@@ -30,7 +30,7 @@
         memory_limit_kb: if choice & 256 != 0 { 600.0 } else { 1e6 },
         expected_callers: [0.0, 4.0, 5000.0][index / 1024 % 3],
         overload_window: Time(if choice & 0x8000 != 0 { 30_000 } else { 0 }),
-        has_hints: choice & 0x8000 != 0,
+        has_cost_hints: choice & 0x8000 != 0,
     }
 }
 
@@ -65,7 +65,7 @@
         11 => {
             let unanswered = server.requests.iter().filter(|(_, r)| !r.answered);
             if let Some(id) = pick(unanswered.map(|(id, _)| *id).collect()) {
-                server.caller_gone(id);
+                server.request_abandoned(id);
             }
         }
         12 if b % 64 == 0 && server.draining.is_none() => server.drain(Time(20_000)),
@@ -76,9 +76,14 @@
 
 fn arrive(server: &mut ServerModel, a: u16, b: u16) {
     let queueing_delay = Time((b % 4000) as i64);
-    let client_wait = Time((a % 30_000) as i64 + 100);
+    let client_time_left = Time((a % 30_000) as i64 + 100);
     let idempotency_key = Some((b % 7) as u32);
-    server.arrive(a as usize, queueing_delay, client_wait, idempotency_key);
+    server.arrive(
+        a as usize,
+        queueing_delay,
+        client_time_left,
+        idempotency_key,
+    );
 }
 
 fn call_outcome(b: u16) -> CallOutcome {
--- a/crates/admission/tests/decide/server_model.rs
+++ b/crates/admission/tests/decide/server_model.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Setup {
     pub(crate) cancellation: Cancellation,
-    pub(crate) tells_client_wait: bool,
+    pub(crate) tells_client_time_left: bool,
     pub(crate) is_cold: bool,
     pub(crate) advice_format: AdviceFormat,
     pub(crate) call_share: Option<f64>,
@@ -41,12 +41,12 @@
     /// The window over which overload is measured; zero disables the slow-start budget.
     pub(crate) overload_window: Time,
     /// Whether requests carry a cost hint.
-    pub(crate) has_hints: bool,
+    pub(crate) has_cost_hints: bool,
 }
 
 pub(crate) const DEFAULT_SETUP: Setup = Setup {
     cancellation: Cancellation::Drop,
-    tells_client_wait: false,
+    tells_client_time_left: false,
     is_cold: false,
     advice_format: AdviceFormat::Share,
     call_share: None,
@@ -54,7 +54,7 @@
     memory_limit_kb: 1e6,
     expected_callers: 4.0,
     overload_window: Time(0),
-    has_hints: false,
+    has_cost_hints: false,
 };
 pub(crate) const CORES: usize = 2;
 pub(crate) const OVERLOAD_FACTOR: f64 = 4.0;
@@ -197,12 +197,12 @@
     }
 
     /// Lets a request for one of the three handlers arrive. It has waited `queueing_delay` to be read, and its client
-    /// waits `client_wait` longer.
+    /// waits `client_time_left` longer.
     pub(crate) fn arrive(
         &mut self,
         handler: usize,
         queueing_delay: Time,
-        client_wait: Time,
+        client_time_left: Time,
         idempotency_key: Option<u32>,
     ) -> RequestId {
         let id = RequestId(self.next_id);
@@ -212,9 +212,9 @@
         let arrived_at = self.now - queueing_delay;
         let idempotency_key = idempotency_key.filter(|_| idempotency == Idempotency::Keyed);
         let duplicate_of = self.original(idempotency_key, arrived_at);
-        let tells_client_wait = self.setup.tells_client_wait;
-        let deadline = if tells_client_wait {
-            self.now + client_wait
+        let tells_client_time_left = self.setup.tells_client_time_left;
+        let deadline = if tells_client_time_left {
+            self.now + client_time_left
         } else {
             (arrived_at + CLIENT_TIMEOUT).max(self.now)
         };
@@ -235,13 +235,13 @@
             handler: HandlerId(handler),
             tenant: Some(TenantId(self.tenant.unwrap_or(id.0 as usize % 4))),
             caller: self.caller,
-            cost_hint: self.setup.has_hints.then_some(FULL_SPEED_WORK),
+            cost_hint: self.setup.has_cost_hints.then_some(FULL_SPEED_WORK),
             is_retry: id.0.is_multiple_of(5),
             duplicate_of,
             memory_kb: MEMORY_KB,
             queueing_delay,
             observed_delay: queueing_delay,
-            client_wait: tells_client_wait.then_some(client_wait),
+            client_time_left: tells_client_time_left.then_some(client_time_left),
         };
         let actions = self.controller.arrival(self.now, arrival);
         self.apply(actions);
@@ -286,7 +286,7 @@
             self.end_run(id, RunOutcome::Cancelled);
             return;
         }
-        let actions = self.controller.call_wanted(self.now, id);
+        let actions = self.controller.call_requested(self.now, id);
         self.apply(actions);
     }
 
@@ -310,14 +310,14 @@
         self.apply(actions);
     }
 
-    pub(crate) fn caller_gone(&mut self, id: RequestId) {
+    pub(crate) fn request_abandoned(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).unwrap();
         request.answered = true;
         if matches!(request.state, State::Queued | State::Coalesced) {
             request.state = State::Ended;
         }
         let is_at_call = matches!(request.state, State::AwaitingCall | State::Calling);
-        let actions = self.controller.caller_gone(self.now, id);
+        let actions = self.controller.request_abandoned(self.now, id);
         self.apply(actions);
         if is_at_call {
             self.end_run(id, RunOutcome::Cancelled);
--- a/crates/admission/tests/decide/slow_start.rs
+++ b/crates/admission/tests/decide/slow_start.rs
@@ -7,7 +7,7 @@
 const COLD: Setup = Setup {
     is_cold: true,
     overload_window: WINDOW,
-    has_hints: true,
+    has_cost_hints: true,
     ..DEFAULT_SETUP
 };
 /// The time between two arrivals: their work is five times what the cores can do at full speed.
--- a/crates/admission/tests/decide/workloads.rs
+++ b/crates/admission/tests/decide/workloads.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs `count` requests one after the other, of `callers` callers in turn; callers are unknown if that is 0.
-pub(crate) fn run_in_turn(server: &mut ServerModel, callers: u64, count: u64, run_time: Time) {
+pub(crate) fn run_for_callers(server: &mut ServerModel, callers: u64, count: u64, run_time: Time) {
     for turn in 0..count {
         server.caller = (callers > 0).then(|| CallerId(turn % callers));
         run_all(server, &[0], 1, run_time, 0.5);
@@ -54,7 +54,7 @@
 }
 
 /// Makes calls one after the other for `duration`, each as long as `call_time` or its timeout, whichever is shorter.
-pub(crate) fn calls_in_a_row(
+pub(crate) fn make_sequential_calls(
     server: &mut ServerModel,
     call_time: Time,
     duration: Time,
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -94,14 +94,14 @@
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let document: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let conf = object(&document, "settings")?;
-        let seed = settings::text(&document, "seed").map_err(ConfigError::Value)?;
+        let seed = settings::string(&document, "seed").map_err(ConfigError::Value)?;
         let (sockets, memory_mb) = limits(&document)?;
         let names = settings::wire_names(conf);
         if names.handlers.is_empty() || names.handlers.iter().any(String::is_empty) {
             return Err(ConfigError::UnnamedClass);
         }
         let mut config = Config {
-            name: settings::text(&document, "name")
+            name: settings::string(&document, "name")
                 .map_err(ConfigError::Value)?
                 .to_string(),
             listen: address(&document, "listen")?,
@@ -187,7 +187,7 @@
 }
 
 fn address(document: &Value, key: &'static str) -> Result<SocketAddr, ConfigError> {
-    let text = settings::text(document, key).map_err(ConfigError::Value)?;
+    let text = settings::string(document, key).map_err(ConfigError::Value)?;
     text.parse().map_err(|_| ConfigError::InvalidAddress {
         key,
         text: text.to_string(),
@@ -199,7 +199,7 @@
     let below = conf
         .get("family_info")
         .and_then(|info| info.get("below")?.as_str());
-    if below == Some("none") && settings::present(document, "records").is_none() {
+    if below == Some("none") && settings::non_null(document, "records").is_none() {
         return Ok(None);
     }
     address(document, "records").map(Some)
--- a/crates/server/src/config/validate.rs
+++ b/crates/server/src/config/validate.rs
@@ -16,7 +16,7 @@
 /// Reads `front.callers`: how the callers that share the credit are counted. Only one way may be configured, since a
 /// configured number of callers could contradict the number of connections.
 pub(super) fn caller_source(document: &Value, conf: &Value) -> Result<CallerSource, ConfigError> {
-    let Some(front) = settings::present(document, "front") else {
+    let Some(front) = settings::non_null(document, "front") else {
         return Ok(CallerSource::Configured);
     };
     let callers = front.get("callers").unwrap_or(&Value::Null);
@@ -31,7 +31,7 @@
     };
     let upstreams = conf
         .get("family_info")
-        .and_then(|info| settings::present(info, "upstreams"));
+        .and_then(|info| settings::non_null(info, "upstreams"));
     match upstreams {
         Some(upstreams) if source == CallerSource::Connections => Err(ConfigError::MixedCallers {
             upstreams: upstreams.to_string(),
@@ -57,11 +57,11 @@
     check_number(info, "mem_limit_kb", MEMORY_KB)?;
     check_number(rules, "overload_factor", OVERLOAD_FACTOR)?;
     // Without `fall_ms` there is no slow-start budget: an invalid value must not be treated as a missing one.
-    if settings::present(rules, "fall_ms").is_some() {
+    if settings::non_null(rules, "fall_ms").is_some() {
         check_number(rules, "fall_ms", DURATION_MS)?;
     }
     // `below` decides whether a records service is needed: an unknown value must not be treated as one of the others.
-    let below = settings::text(info, "below").map_err(ConfigError::Value)?;
+    let below = settings::string(info, "below").map_err(ConfigError::Value)?;
     if !BELOW.contains(&below) {
         return Err(ConfigError::UnknownBelow {
             value: below.to_string(),
--- a/crates/server/src/dispatcher/arrivals.rs
+++ b/crates/server/src/dispatcher/arrivals.rs
@@ -140,7 +140,7 @@
         lookup: DedupLookup,
     ) {
         let counts_connections = self.config.caller_source == CallerSource::Connections;
-        let client_wait = request
+        let client_time_left = request
             .client_wait_ms
             .map(|ms| (time_of_ms(ms) - delay.reported).max(Time(0)));
         let arrival = Arrival {
@@ -154,7 +154,7 @@
             memory_kb: request.memory_kb,
             queueing_delay: delay.reported,
             observed_delay: delay.observed,
-            client_wait,
+            client_time_left,
         };
         let in_flight = InFlightRequest {
             connection,
@@ -242,13 +242,13 @@
         request.coalesced_with = None;
         let delay = now - request.arrived;
         let earlier = request.arrival;
-        let client_wait = earlier
-            .client_wait
+        let client_time_left = earlier
+            .client_time_left
             .map(|wait| (wait + earlier.queueing_delay - delay).max(Time(0)));
         request.arrival = Arrival {
             queueing_delay: delay,
             observed_delay: Time(0),
-            client_wait,
+            client_time_left,
             duplicate_of: original,
             ..earlier
         };
@@ -290,7 +290,7 @@
 
     fn handle_caller_gone(&mut self, now: Time, id: RequestId, stream: StreamId) {
         self.answer(now, id, Response::Failed(stream));
-        let actions = self.admission.caller_gone(now, id);
+        let actions = self.admission.request_abandoned(now, id);
         self.perform_all(now, actions);
     }
 }
--- a/crates/server/src/dispatcher/outcomes.rs
+++ b/crates/server/src/dispatcher/outcomes.rs
@@ -35,7 +35,7 @@
             ExecutionEvent::Ended(id, outcome, output) => {
                 self.handle_run_ended(now, id, outcome, output)
             }
-            ExecutionEvent::CallWanted(id) => Some(self.admission.call_wanted(now, id)),
+            ExecutionEvent::CallWanted(id) => Some(self.admission.call_requested(now, id)),
             ExecutionEvent::CallEnded(id, outcome) => {
                 Some(self.admission.call_ended(now, id, outcome))
             }
--- a/crates/server/src/dispatcher/requests.rs
+++ b/crates/server/src/dispatcher/requests.rs
@@ -31,7 +31,7 @@
 impl InFlightRequest {
     /// When it must be answered: at the end of the wait that its caller states, or else of the client timeout.
     pub(super) fn deadline(&self, client_timeout: Time) -> Time {
-        let wait = match self.arrival.client_wait {
+        let wait = match self.arrival.client_time_left {
             Some(wait) => wait + self.arrival.queueing_delay,
             None => client_timeout,
         };
--- a/crates/settings/src/admission.rs
+++ b/crates/settings/src/admission.rs
@@ -1,7 +1,7 @@
 //! Builds an admission controller from the settings.
 
 use crate::error::SettingsError;
-use crate::json::{duration, flag, list, number, optional_number, text, unsigned};
+use crate::json::{duration, flag, list, number, optional_number, string, unsigned};
 use cottondyke_admission::{
     AdmissionConfig, AdmissionController, AdviceFormat, CallConfig, CallerConfig, Cancellation,
     ConcurrencyConfig, GoalWeights, Handler, Idempotency, MemoryLimits, Time,
@@ -113,7 +113,7 @@
 }
 
 fn idempotency(class: &Value) -> Result<Idempotency, SettingsError> {
-    match text(class, "effect")? {
+    match string(class, "effect")? {
         "repeatable" => Ok(Idempotency::Idempotent),
         "by_key" => Ok(Idempotency::Keyed),
         "once" => Ok(Idempotency::NonIdempotent),
@@ -182,7 +182,7 @@
 }
 
 fn cancellation(family_info: &Value) -> Result<Cancellation, SettingsError> {
-    match text(family_info, "preemption")? {
+    match string(family_info, "preemption")? {
         "none" => Ok(Cancellation::Never),
         "drop" => Ok(Cancellation::Drop),
         "pause" => Ok(Cancellation::Suspend),
@@ -191,7 +191,7 @@
 }
 
 fn advice_format(family_info: &Value) -> Result<AdviceFormat, SettingsError> {
-    match text(family_info, "advert")? {
+    match string(family_info, "advert")? {
         "none" => Ok(AdviceFormat::Unused),
         "bias" => Ok(AdviceFormat::Share),
         "tokens" => Ok(AdviceFormat::Credit),
@@ -210,7 +210,7 @@
 
 /// This server's share of calls, if all servers call the same dependency.
 fn call_share(family_info: &Value) -> Result<Option<f64>, SettingsError> {
-    match text(family_info, "below")? {
+    match string(family_info, "below")? {
         "common" => optional_number(family_info, "dep_share"),
         _ => Ok(None),
     }
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -10,7 +10,7 @@
 const MAX_DURATION: f64 = 1e15;
 
 /// The value of a key, if it is there and not null.
-pub fn present<'a>(object: &'a Value, key: &str) -> Option<&'a Value> {
+pub fn non_null<'a>(object: &'a Value, key: &str) -> Option<&'a Value> {
     object.get(key).filter(|v| !v.is_null())
 }
 
@@ -18,9 +18,9 @@
 ///
 /// # Errors
 /// Returns an error if it is missing or not a string.
-pub fn text<'a>(object: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
-    let text = object.get(key).and_then(Value::as_str);
-    text.ok_or_else(|| SettingsError::NotString { key: key.into() })
+pub fn string<'a>(object: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
+    let string = object.get(key).and_then(Value::as_str);
+    string.ok_or_else(|| SettingsError::NotString { key: key.into() })
 }
 
 /// The non-negative whole number of a key.
@@ -49,7 +49,7 @@
         let number = value.as_f64().filter(|n| n.is_finite());
         number.ok_or_else(|| SettingsError::NotNumber { key: key.into() })
     };
-    present(object, key).map(finite).transpose()
+    non_null(object, key).map(finite).transpose()
 }
 
 /// Whether the value of a key is true; a missing or other value counts as false.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -20,5 +20,5 @@
 
 pub use admission::{admission_config, admission_controller, idempotencies, read_cache_ttl};
 pub use error::SettingsError;
-pub use json::{flag, number, optional_number, present, text, unsigned};
+pub use json::{flag, non_null, number, optional_number, string, unsigned};
 pub use wire_names::{wire_names, WireNames};
