--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -38,8 +38,8 @@
     MemberUp(Member),
     /// A member left, or was declared dead.
     MemberDown(Member),
-    /// Other members suspected this node or declared it dead, and this node refuted it.
-    SuspicionRefuted,
+    /// Other members had declared this node dead, and it rejoined.
+    Rejoined,
     /// Another process runs under this node's name; this is its identity.
     DuplicateName(Member),
     /// The replica's storage failed or holds unusable data: the replica no longer takes part in consensus.
--- a/crates/cluster/src/node/leases.rs
+++ b/crates/cluster/src/node/leases.rs
@@ -118,7 +118,7 @@
 
     /// Reports changes in whether a lease is in force, and in the available units of each budget.
     pub(super) fn report_lease_changes(&mut self, now: Time) {
-        let in_force = now < self.lease_holder.lease_end();
+        let in_force = now < self.lease_holder.latest_lease_expiry();
         if in_force != self.reported_lease_in_force {
             self.reported_lease_in_force = in_force;
             self.notify(ClusterEvent::LeaseChanged { in_force });
--- a/crates/cluster/src/node/membership.rs
+++ b/crates/cluster/src/node/membership.rs
@@ -31,7 +31,7 @@
                 Effect::Send { to, bytes } => self.outputs.push(Output::Datagram { to, bytes }),
                 Effect::MemberUp(member) => self.notify(ClusterEvent::MemberUp(member)),
                 Effect::MemberDown(member) => self.notify(ClusterEvent::MemberDown(member)),
-                Effect::SuspicionRefuted => self.notify(ClusterEvent::SuspicionRefuted),
+                Effect::Rejoined => self.notify(ClusterEvent::Rejoined),
                 Effect::DuplicateName(member) => self.notify(ClusterEvent::DuplicateName(member)),
             }
         }
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -181,7 +181,7 @@
             .as_ref()
             .map_or(Time::MAX, ReplicaHost::next_tick);
         let lease_expiry = if self.reported_lease_in_force {
-            self.lease_holder.lease_end()
+            self.lease_holder.latest_lease_expiry()
         } else {
             Time::MAX
         };
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -104,7 +104,7 @@
     pub(super) fn redirect_lease_requests(&mut self, now: Time, replica_index: Option<usize>) {
         if let Some(index) = replica_index {
             self.request_target = index;
-            self.lease_holder.renew_soon();
+            self.lease_holder.renew_early();
         } else {
             self.rotate_request_target(now);
         }
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -27,7 +27,7 @@
             is_leader: self.is_leader(),
             members: self.members(),
             is_replica: replica.is_some_and(|r| r.is_initialized() && !r.has_failed()),
-            lease_ms: remaining_ms(now, self.lease_holder.lease_end()),
+            lease_ms: remaining_ms(now, self.lease_holder.latest_lease_expiry()),
             quotas: quotas.collect(),
             budgets: budgets
                 .map(|(name, budget)| budget_status(name, budget))
--- a/crates/dependency/src/aggregator/audit.rs
+++ b/crates/dependency/src/aggregator/audit.rs
@@ -11,7 +11,7 @@
 
 impl Aggregator {
     /// Checks the invariants of the state after an input at `now`.
-    pub fn audit(&self, now: Time) -> Result<(), InvariantViolation> {
+    pub fn check_invariants(&self, now: Time) -> Result<(), InvariantViolation> {
         for (id, gate) in &self.gates {
             self.check_gate(*id, gate)?;
         }
--- a/crates/dependency/src/aggregator/call.rs
+++ b/crates/dependency/src/aggregator/call.rs
@@ -77,12 +77,12 @@
         }
         self.actions.push(Action::Call {
             call: id,
-            run: part.request,
-            to: dependency,
+            request: part.request,
+            dependency,
             body: run.request.body.clone(),
-            within: timeout,
-            reuse: run.request.may_repeat,
-            stamp: timestamp.clone(),
+            timeout,
+            may_reuse_connection: run.request.may_repeat,
+            timestamp: timestamp.clone(),
         });
         let call = Call {
             part,
@@ -199,7 +199,7 @@
         let may_retry = (may_repeat || did_not_run)
             && step.attempts < MAX_ATTEMPTS
             && step.deadline - now > expected_latency;
-        if may_retry && gate.try_retry(now) {
+        if may_retry && gate.try_withdraw_retry(now) {
             gate.counters.retries += 1;
             self.issue_call(now, call.part, CallKind::Regular);
         } else {
@@ -242,7 +242,7 @@
         self.observe(now, gate_id, kind, signal);
         self.actions.push(Action::Abandon {
             call: id,
-            listen: late_response_wait,
+            late_response_wait,
         });
         if late_response_wait > ZERO_DURATION {
             return;
--- a/crates/dependency/src/aggregator/fallback.rs
+++ b/crates/dependency/src/aggregator/fallback.rs
@@ -2,7 +2,7 @@
 use super::Aggregator;
 use crate::messages::{PartId, PartSource};
 use crate::plan::Fallback;
-use crate::stale_cache::{CacheKey, CachedAnswer};
+use crate::stale_cache::{CacheKey, CachedResponse};
 use cottondyke_types::Time;
 
 impl Aggregator {
@@ -47,7 +47,7 @@
         Some(fallback.cloned().unwrap_or(Fallback::Omit))
     }
 
-    fn cached_response(&self, now: Time, part: PartId, max_age: Time) -> Option<CachedAnswer> {
+    fn cached_response(&self, now: Time, part: PartId, max_age: Time) -> Option<CachedResponse> {
         let run = self.runs.get(&part.request)?;
         let dependency = run.part(part.index).dependency;
         let key = CacheKey {
--- a/crates/dependency/src/aggregator/mod.rs
+++ b/crates/dependency/src/aggregator/mod.rs
@@ -1,7 +1,7 @@
 //! Composes responses: one run per request, with one current step per part.
 //!
-//! Every call ends exactly once: by [`Aggregator::handle_call_result`], or by an [`Action::Abandon`] whose `listen` is
-//! zero. Every run ends exactly once, by [`Action::Completed`].
+//! Every call ends exactly once: by [`Aggregator::handle_call_result`], or by an [`Action::Abandon`] whose
+//! `late_response_wait` is zero. Every run ends exactly once, by [`Action::Completed`].
 //!
 //! This module holds the state and installs plans. Runs and their steps are in `run`, calls in `call`, the queues of
 //! the gates in `queue`, timers in `timers`, fallbacks in `fallback`, the usage of leased quotas in `usage`, and the
@@ -80,7 +80,7 @@
 ///
 /// let response = CallResult::Success((*b"[3]").into());
 /// let actions = aggregator.handle_call_result(Time(100), call, response);
-/// let [Action::Completed { answer: AggregationResult::Parts(parts), .. }] = &actions[..] else {
+/// let [Action::Completed { result: AggregationResult::Parts(parts), .. }] = &actions[..] else {
 ///     panic!("the run completes with its only part");
 /// };
 /// assert_eq!(parts[0].body.as_deref(), Some(&b"[3]"[..]));
@@ -215,9 +215,9 @@
 }
 
 fn circuit_change_action(gate: &DependencyGate, state: CircuitState) -> Action {
-    Action::GateChanged {
+    Action::CircuitStateChanged {
         dependency: gate.spec.name.clone(),
         state,
-        limit: gate.limit.calls(),
+        limit: gate.limiter.limit(),
     }
 }
--- a/crates/dependency/src/aggregator/run.rs
+++ b/crates/dependency/src/aggregator/run.rs
@@ -3,7 +3,7 @@
 use super::Aggregator;
 use crate::gate::Permit;
 use crate::messages::{Action, AggregationRequest, AggregationResult, PartId, PartSource};
-use crate::plan::{Fallback, PartSpec, RESERVE};
+use crate::plan::{Fallback, PartSpec, RESPONSE_TIME_RESERVE};
 use cottondyke_types::{RequestId, Time};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,8 +15,8 @@
         let installed_plan = self.installed_plan.clone();
         let Some(aggregation) = installed_plan.plan.aggregations.get(request.aggregation) else {
             return vec![Action::Completed {
-                run: id,
-                answer: AggregationResult::Failed,
+                request: id,
+                result: AggregationResult::Failed,
             }];
         };
         let first_step = |part: &PartSpec| Step {
@@ -82,11 +82,11 @@
         dependency: usize,
     ) -> Time {
         let plan = &run.installed_plan.plan;
-        let latest = run.request.deadline.min(self.drain_deadline) - RESERVE;
+        let latest = run.request.deadline.min(self.drain_deadline) - RESPONSE_TIME_RESERVE;
         if !plan.safeguards.time_budget {
             return latest;
         }
-        let target = run.request.target - RESERVE;
+        let target = run.request.target - RESPONSE_TIME_RESERVE;
         let end = if target > now {
             target.min(latest)
         } else {
@@ -201,10 +201,7 @@
             return;
         };
         let is_cancelled = result == AggregationResult::Cancelled;
-        self.actions.push(Action::Completed {
-            run: request,
-            answer: result,
-        });
+        self.actions.push(Action::Completed { request, result });
         for (index, step) in run.steps.iter().enumerate() {
             self.remove_from_wait_queue(step.gate, PartId { request, index });
             for call in &step.calls {
--- a/crates/dependency/src/aggregator/timers.rs
+++ b/crates/dependency/src/aggregator/timers.rs
@@ -78,7 +78,7 @@
         let mut signal = CallSignal::Ignored;
         if let Some(gate) = self.gates.get_mut(&call.gate) {
             gate.counters.timeouts += 1;
-            if gate.is_fair_timeout(timeout) {
+            if gate.timeout_indicates_overload(timeout) {
                 signal = CallSignal::Overload;
             }
         }
--- a/crates/dependency/src/aggregator/usage.rs
+++ b/crates/dependency/src/aggregator/usage.rs
@@ -10,7 +10,7 @@
     DependencyUsage {
         dependency: gate.spec.name.clone(),
         quota: QuotaKind::Rate,
-        in_flight: sent,
+        in_use: sent,
         needed: sent + gate.wait_queue.len(),
     }
 }
@@ -19,7 +19,7 @@
     DependencyUsage {
         dependency: gate.spec.name.clone(),
         quota: QuotaKind::Calls,
-        in_flight: gate.in_flight(now),
+        in_use: gate.in_flight(now),
         needed: gate.needed_calls(now),
     }
 }
@@ -27,7 +27,7 @@
 impl Aggregator {
     /// Applies changes of the leased quotas and issues waiting calls while there is capacity. Also returns the usage of
     /// each leased quota afterwards.
-    pub fn poll_usage(&mut self, now: Time) -> (Vec<Action>, Vec<DependencyUsage>) {
+    pub fn apply_leases(&mut self, now: Time) -> (Vec<Action>, Vec<DependencyUsage>) {
         let leased: Vec<GateId> = self
             .gates
             .iter()
--- a/crates/dependency/src/concurrency_limiter.rs
+++ b/crates/dependency/src/concurrency_limiter.rs
@@ -95,7 +95,7 @@
     }
 
     /// The number of calls that may be in flight.
-    pub fn calls(&self) -> usize {
+    pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
--- a/crates/dependency/src/error.rs
+++ b/crates/dependency/src/error.rs
@@ -1,5 +1,5 @@
-//! The invariant violations that [`Aggregator::audit`](crate::Aggregator::audit) can detect. Each of them indicates a
-//! bug in this package.
+//! The invariant violations that [`Aggregator::check_invariants`](crate::Aggregator::check_invariants) can detect. Each
+//! of them indicates a bug in this package.
 use crate::messages::PartId;
 use cottondyke_types::{RequestId, Time};
 use std::rc::Rc;
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -104,7 +104,7 @@
     /// The dependency's configuration.
     pub spec: Rc<Dependency>,
     /// The adaptive limit on calls in flight.
-    pub limit: ConcurrencyLimiter,
+    pub limiter: ConcurrencyLimiter,
     /// Counters for the log; its writer takes and thereby resets them.
     pub counters: GateCounters,
     pub(crate) latency: LatencyTracker,
@@ -129,7 +129,7 @@
     /// running are counted as in flight.
     pub fn new(now: Time, spec: Rc<Dependency>, safeguards: Safeguards, startup: Startup) -> Self {
         // For a leased quota, the lease manager withholds the units that the previous incarnation may still use.
-        let counts_orphans = startup == Startup::Restarted && safeguards.restart;
+        let counts_orphans = startup == Startup::Restarted && safeguards.count_orphaned_calls;
         let assumes_in_flight = counts_orphans && safeguards.limit && spec.leased_calls.is_none();
         let assumes_recent_sends = counts_orphans && spec.leased_rate.is_none();
         let in_flight = if assumes_in_flight {
@@ -139,7 +139,7 @@
         };
         let assumed_sends = spec.max_rate.filter(|_| assumes_recent_sends).unwrap_or(0);
         DependencyGate {
-            limit: ConcurrencyLimiter::new(limit_range(&spec, safeguards)),
+            limiter: ConcurrencyLimiter::new(limit_range(&spec, safeguards)),
             breaker: CircuitBreaker::new(now, safeguards.breaker),
             latency: LatencyTracker::new(now),
             retry_budget: RetryBudget::new(spec.retry_ratio),
@@ -161,7 +161,7 @@
         if let Some(rate) = spec.max_rate.filter(|_| self.spec.max_rate.is_none()) {
             self.sends = SendWindow::assume_sent(now, &spec, rate);
         }
-        self.limit.set_range(limit_range(&spec, safeguards));
+        self.limiter.set_range(limit_range(&spec, safeguards));
         self.breaker.set_enabled(safeguards.breaker);
         self.retry_budget.set_ratio(spec.retry_ratio);
         self.limit_enabled = safeguards.limit;
@@ -177,7 +177,7 @@
     /// Sets the limit's maximum to the leased number of calls, if the dependency has such a lease.
     pub fn apply_lease(&mut self, now: Time) {
         if let Some(lease) = &self.spec.leased_calls {
-            self.limit.set_max(lease.units(now));
+            self.limiter.set_max(lease.units(now));
         }
     }
 
@@ -199,10 +199,10 @@
     /// limit unless that is at its maximum.
     pub fn needed_calls(&self, now: Time) -> usize {
         let wanted = self.in_flight(now) + self.wait_queue.len() + self.hedge_queue.len();
-        if self.limit.is_at_max() {
+        if self.limiter.is_at_max() {
             wanted
         } else {
-            wanted.min(self.limit.calls() + 1)
+            wanted.min(self.limiter.limit() + 1)
         }
     }
 
@@ -211,7 +211,7 @@
         self.spec.max_waiting.max(self.waiting_at_reconfiguration)
     }
 
-    /// Calls that this instance still listens to.
+    /// Calls whose responses this instance still waits for.
     pub fn active_calls(&self) -> usize {
         self.in_flight.active()
     }
@@ -238,7 +238,7 @@
             .map_or(usize::MAX, |lease| lease.units(now));
         let exceeds_rate = self.recently_sent(now) + 1 > self.max_rate(now);
         let exceeds_lease = in_flight + 1 > leased;
-        let exceeds_limit = self.limit_enabled && in_flight + 1 > self.limit.calls();
+        let exceeds_limit = self.limit_enabled && in_flight + 1 > self.limiter.limit();
         if exceeds_rate || exceeds_lease || exceeds_limit {
             Permit::LimitReached
         } else {
@@ -248,7 +248,7 @@
 
     /// Whether a call may be retried: no part waits, the breaker is closed, and there is capacity and retry budget. If
     /// so, the retry is withdrawn from the budget.
-    pub fn try_retry(&mut self, now: Time) -> bool {
+    pub fn try_withdraw_retry(&mut self, now: Time) -> bool {
         self.wait_queue.is_empty()
             && self.request_permit(now) == Permit::Granted(CallKind::Regular)
             && self.retry_budget.try_withdraw()
@@ -274,7 +274,7 @@
 
     /// The previous and the current limit, if the limit changed since this was last called.
     pub fn take_limit_change(&mut self) -> Option<(usize, usize)> {
-        let before = std::mem::replace(&mut self.last_reported_limit, self.limit.calls());
+        let before = std::mem::replace(&mut self.last_reported_limit, self.limiter.limit());
         let now = self.last_reported_limit;
         (before != now).then_some((before, now))
     }
@@ -284,7 +284,8 @@
         self.in_flight.finish(now, CallEnd::Stopped);
     }
 
-    /// Records that this instance no longer listens to a call, which may go on running for the grace period.
+    /// Records that this instance no longer waits for the response of a call, which may go on running for the grace
+    /// period.
     pub fn abandon_call(&mut self, now: Time) {
         let until = now + self.spec.post_cancel_grace;
         self.in_flight.finish(now, CallEnd::MayRunUntil(until));
@@ -306,7 +307,7 @@
                         .breaker
                         .reaches_failure_threshold(OVERLOAD_THRESHOLD, now);
                 if is_overload {
-                    self.limit.record_overload(now, self.round_trip());
+                    self.limiter.record_overload(now, self.round_trip());
                 }
             }
             CallSignal::Ignored => self.breaker.record_ignored(kind),
@@ -322,10 +323,10 @@
             round_trip: self.round_trip(),
         };
         self.counters.successes += 1;
-        self.limit.record_success(now, &sample);
+        self.limiter.record_success(now, &sample);
         self.breaker.record(now, kind, CallOutcome::Success, draw);
         if !was_closed && self.circuit_state() == CircuitState::Closed {
-            self.limit.restart();
+            self.limiter.restart();
         }
     }
 
@@ -341,7 +342,7 @@
     }
 
     /// Whether a call that timed out after `time` was given long enough for the timeout to be a sign of overload.
-    pub fn is_fair_timeout(&mut self, time: Time) -> bool {
+    pub fn timeout_indicates_overload(&mut self, time: Time) -> bool {
         let quantile = self.latency.quantile(OVERLOAD_TIMEOUT_QUANTILE);
         let budget = self.spec.time_budget;
         time >= quantile.unwrap_or(budget).min(budget)
--- a/crates/dependency/src/in_flight.rs
+++ b/crates/dependency/src/in_flight.rs
@@ -2,7 +2,7 @@
 //! which the previous incarnation of this instance may have left running.
 use cottondyke_types::Time;
 
-/// What is known about a call at the dependency once this instance no longer listens to it.
+/// What is known about a call at the dependency once this instance no longer waits for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// It is no longer running.
@@ -14,7 +14,7 @@
 /// Counts the calls in flight at one dependency.
 #[derive(Clone, Debug)]
 pub struct InFlightCalls {
-    /// Calls that this instance still listens to.
+    /// Calls whose responses this instance still waits for.
     active: usize,
     /// When each abandoned call has ended at the latest.
     abandoned_until: Vec<Time>,
@@ -39,7 +39,7 @@
         self.active += 1;
     }
 
-    /// Records that this instance no longer listens to a call.
+    /// Records that this instance no longer waits for the response of a call.
     pub fn finish(&mut self, now: Time, end: CallEnd) {
         self.active -= 1;
         self.abandoned_until.retain(|until| *until > now);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Calls that this instance still listens to.
+    /// Calls whose responses this instance still waits for.
     pub fn active(&self) -> usize {
         self.active
     }
--- a/crates/dependency/src/lib.rs
+++ b/crates/dependency/src/lib.rs
@@ -29,4 +29,6 @@
     Action, AggregationRequest, AggregationResult, CallId, CallResult, DependencyUsage, PartId,
     PartResult, PartSource, QuotaKind, Startup,
 };
-pub use plan::{Aggregation, Dependency, Fallback, PartSpec, Plan, Safeguards, RESERVE};
+pub use plan::{
+    Aggregation, Dependency, Fallback, PartSpec, Plan, Safeguards, RESPONSE_TIME_RESERVE,
+};
--- a/crates/dependency/src/messages.rs
+++ b/crates/dependency/src/messages.rs
@@ -115,17 +115,17 @@
         /// The id under which its result is reported.
         call: CallId,
         /// The request for which it is made.
-        run: RequestId,
+        request: RequestId,
         /// The dependency to call.
-        to: Rc<Dependency>,
+        dependency: Rc<Dependency>,
         /// The body to send.
         body: Rc<[u8]>,
         /// How long the caller will wait for the response.
-        within: Time,
+        timeout: Time,
         /// Whether a pooled connection may be used; otherwise the call gets a connection of its own.
-        reuse: bool,
+        may_reuse_connection: bool,
         /// Where the driver records the time at which the first byte of the call is sent.
-        stamp: Rc<SendTimestamp>,
+        timestamp: Rc<SendTimestamp>,
     },
     /// Stop waiting for a call.
     Abandon {
@@ -133,17 +133,17 @@
         call: CallId,
         /// How long to keep waiting for its response: its result is reported when it ends, or as
         /// [`CallResult::TimedOut`] after this time. If zero, its connection is closed and no result is reported.
-        listen: Time,
+        late_response_wait: Time,
     },
     /// An aggregation has ended.
     Completed {
         /// The request that it answers.
-        run: RequestId,
+        request: RequestId,
         /// How it ended.
-        answer: AggregationResult,
+        result: AggregationResult,
     },
     /// The circuit breaker of a dependency changed its state.
-    GateChanged {
+    CircuitStateChanged {
         /// The dependency's name.
         dependency: Rc<str>,
         /// The new state.
@@ -170,7 +170,7 @@
     /// Which of the dependency's quotas this describes.
     pub quota: QuotaKind,
     /// Units in use.
-    pub in_flight: usize,
+    pub in_use: usize,
     /// Units that could be used at once, including those in use.
     pub needed: usize,
 }
--- a/crates/dependency/src/plan.rs
+++ b/crates/dependency/src/plan.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// Time reserved before a run's deadline or response target for composing the response and sending it.
-pub const RESERVE: Time = Time(100);
+pub const RESPONSE_TIME_RESERVE: Time = Time(100);
 
 /// A service that answers parts of aggregations.
 #[derive(Clone, Debug, PartialEq)]
@@ -121,7 +121,7 @@
     pub fallback: bool,
     /// Counting the calls that a previous incarnation may have left running as in flight; without it a restarted
     /// instance makes calls at once.
-    pub restart: bool,
+    pub count_orphaned_calls: bool,
 }
 
 impl Default for Safeguards {
@@ -134,7 +134,7 @@
             hedge: true,
             stale_cache: true,
             fallback: true,
-            restart: true,
+            count_orphaned_calls: true,
         }
     }
 }
@@ -164,7 +164,7 @@
 
     /// The longest time that a part may take without any queueing: the sum of the time budgets of its dependency and of
     /// the dependencies that it falls back to.
-    pub fn worst_case(&self, part: &PartSpec) -> Time {
+    pub fn worst_case_part_time(&self, part: &PartSpec) -> Time {
         let secondaries = part.fallbacks.iter().filter_map(|fallback| match fallback {
             Fallback::Secondary(dependency) => Some(*dependency),
             _ => None,
--- a/crates/dependency/src/stale_cache.rs
+++ b/crates/dependency/src/stale_cache.rs
@@ -1,15 +1,15 @@
-//! A cache of complete answers, to be served stale when their dependency does not answer. Its size in bytes is bounded;
-//! the oldest answers are evicted first.
+//! A cache of complete responses, to be served stale when their dependency does not answer. Its size in bytes is
+//! bounded; the oldest responses are evicted first.
 use cottondyke_types::{TenantId, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Bytes counted for an entry in addition to its request body and answer.
+/// Bytes counted for an entry in addition to its request body and response.
 const ENTRY_OVERHEAD: usize = 160;
 /// The eviction order is compacted once its superseded items exceed the number of entries by more than this.
 const MAX_EXTRA_SUPERSEDED: usize = 16;
 
-/// Identifies a cached answer. Tenants never see each other's answers.
+/// Identifies a cached response. Tenants never see each other's responses.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheKey {
     /// The dependency's name.
@@ -20,12 +20,12 @@
     pub request_body: Rc<[u8]>,
 }
 
-/// An answer found in the cache.
+/// A response found in the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CachedAnswer {
+pub struct CachedResponse {
     /// How long ago it was cached.
     pub age: Time,
-    /// The answer.
+    /// The response.
     pub body: Rc<[u8]>,
 }
 
@@ -36,7 +36,7 @@
     body: Rc<[u8]>,
 }
 
-/// A bounded cache of earlier answers.
+/// A bounded cache of earlier responses.
 #[derive(Debug, Default)]
 pub struct StaleCache {
     entries: BTreeMap<CacheKey, Entry>,
@@ -59,7 +59,8 @@
         self.evict();
     }
 
-    /// Caches an answer, replacing an earlier one with the same key. An answer larger than the capacity is not cached.
+    /// Caches a response, replacing an earlier one with the same key. A response larger than the capacity is not
+    /// cached.
     pub fn insert(&mut self, now: Time, key: CacheKey, body: Rc<[u8]>) {
         let bytes = entry_bytes(&key, &body);
         if bytes > self.capacity {
@@ -107,11 +108,11 @@
         }
     }
 
-    /// The answer with this key, if it is no older than `max_age`.
-    pub fn get(&self, now: Time, key: &CacheKey, max_age: Time) -> Option<CachedAnswer> {
+    /// The response with this key, if it is no older than `max_age`.
+    pub fn get(&self, now: Time, key: &CacheKey, max_age: Time) -> Option<CachedResponse> {
         let entry = self.entries.get(key)?;
         let age = now - entry.stored_at;
-        (age <= max_age).then(|| CachedAnswer {
+        (age <= max_age).then(|| CachedResponse {
             age,
             body: entry.body.clone(),
         })
--- a/crates/dependency/tests/random.rs
+++ b/crates/dependency/tests/random.rs
@@ -103,8 +103,8 @@
 /// A call that the driver has open.
 struct OpenCall {
     dependency: Rc<str>,
-    /// When the driver stops listening to it, if the aggregator has abandoned it.
-    listen_until: Option<Time>,
+    /// When the driver stops waiting for its response, if the aggregator has abandoned it.
+    wait_until: Option<Time>,
 }
 
 /// An abandoned call that keeps running unobserved for its whole grace period: the worst case at a dependency.
@@ -176,25 +176,28 @@
             match action {
                 Action::Call {
                     call,
-                    run,
-                    to,
-                    within,
-                    stamp,
+                    request,
+                    dependency,
+                    timeout,
+                    timestamp,
                     ..
                 } => {
                     assert!(
-                        self.runs.contains_key(&run),
+                        self.runs.contains_key(&request),
                         "call issued for a run that has ended"
                     );
                     assert!(
-                        within > Time(0) && self.now + within <= self.runs[&run],
+                        timeout > Time(0) && self.now + timeout <= self.runs[&request],
                         "call timeout is not positive or ends after the deadline of its run"
                     );
-                    self.open_call(call, &to.name, stamp);
+                    self.open_call(call, &dependency.name, timestamp);
                 }
-                Action::Abandon { call, listen } => self.abandon_call(call, listen),
-                Action::Completed { run, answer } => self.complete_run(run, answer),
-                Action::GateChanged { .. } => {}
+                Action::Abandon {
+                    call,
+                    late_response_wait,
+                } => self.abandon_call(call, late_response_wait),
+                Action::Completed { request, result } => self.complete_run(request, result),
+                Action::CircuitStateChanged { .. } => {}
             }
         }
     }
@@ -202,7 +205,7 @@
     fn open_call(&mut self, id: CallId, dependency: &Rc<str>, timestamp: Rc<SendTimestamp>) {
         let call = OpenCall {
             dependency: dependency.clone(),
-            listen_until: None,
+            wait_until: None,
         };
         self.open_calls.insert(id, call);
         self.unsent.insert(id, timestamp);
@@ -211,13 +214,13 @@
         }
     }
 
-    fn abandon_call(&mut self, id: CallId, listen: Time) {
+    fn abandon_call(&mut self, id: CallId, late_response_wait: Time) {
         let mut call = self
             .open_calls
             .remove(&id)
             .expect("a call is abandoned once, while it is open");
-        if listen > Time(0) {
-            call.listen_until = Some(self.now + listen);
+        if late_response_wait > Time(0) {
+            call.wait_until = Some(self.now + late_response_wait);
             self.open_calls.insert(id, call);
         } else {
             self.unsent.remove(&id);
@@ -225,11 +228,11 @@
         }
     }
 
-    fn complete_run(&mut self, request: RequestId, answer: AggregationResult) {
+    fn complete_run(&mut self, request: RequestId, result: AggregationResult) {
         let deadline = self.runs.remove(&request).expect("a run ends once");
         assert!(self.now <= deadline, "a run ended after its deadline");
         self.completed_runs += 1;
-        let AggregationResult::Parts(parts) = answer else {
+        let AggregationResult::Parts(parts) = result else {
             return;
         };
         for part in parts {
@@ -305,7 +308,7 @@
     fn step(&mut self) {
         self.now += Time(self.random.i64(0..60));
         self.run_due_timers();
-        self.stop_due_listening();
+        self.stop_due_waits();
         if let Some(call) = self.choose(self.unsent.keys().copied().collect()) {
             self.send_first_byte(call);
         }
@@ -315,7 +318,7 @@
             44 if self.random.u8(0..4) == 0 => self.install_plan(),
             _ => self.end_random_call(),
         }
-        if let Err(violation) = self.aggregator.audit(self.now) {
+        if let Err(violation) = self.aggregator.check_invariants(self.now) {
             panic!("{violation}");
         }
         assert_eq!(self.aggregator.open_runs(), self.runs.len());
@@ -336,9 +339,9 @@
         }
     }
 
-    /// Times out the abandoned calls that the driver has listened to for long enough.
-    fn stop_due_listening(&mut self) {
-        let is_due = |call: &OpenCall| call.listen_until.is_some_and(|until| until <= self.now);
+    /// Times out the abandoned calls whose responses the driver has awaited for long enough.
+    fn stop_due_waits(&mut self) {
+        let is_due = |call: &OpenCall| call.wait_until.is_some_and(|until| until <= self.now);
         let due: Vec<CallId> = self
             .open_calls
             .iter()
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -18,8 +18,8 @@
     MemberUp(Member),
     /// A member was removed from the list.
     MemberDown(Member),
-    /// Others declared this member dead, and it rejoined under the next version.
-    SuspicionRefuted,
+    /// Others had declared this member dead, and it rejoined under the next version.
+    Rejoined,
     /// Another process has the same name as this member, and a later incarnation.
     DuplicateName(Member),
 }
@@ -61,7 +61,7 @@
             Notification::Idle | Notification::Defunct => self.active = Some(false),
             Notification::Rejoin(_) => {
                 self.active = Some(false);
-                self.effects.push(Effect::SuspicionRefuted);
+                self.effects.push(Effect::Rejoined);
             }
             Notification::Rename(_, member) if member.name == self.own_name => {
                 self.effects.push(Effect::DuplicateName(member.clone()));
--- a/crates/membership/tests/member_lists.rs
+++ b/crates/membership/tests/member_lists.rs
@@ -91,7 +91,7 @@
                     }
                 }
                 Effect::MemberDown(_) => self.down_events += 1,
-                Effect::MemberUp(_) | Effect::SuspicionRefuted | Effect::DuplicateName(_) => {}
+                Effect::MemberUp(_) | Effect::Rejoined | Effect::DuplicateName(_) => {}
             }
         }
     }
--- a/crates/operator-config/src/model.rs
+++ b/crates/operator-config/src/model.rs
@@ -251,7 +251,7 @@
     pub stale_cache_mb: f64,
     /// The location of `fleet(...)`; line 0 if it is not declared.
     #[serde(rename = "fleet")]
-    pub fleet_at: SourceLocation,
+    pub fleet_location: SourceLocation,
     /// The handlers in the order of their declaration.
     pub handlers: Vec<Handler>,
     /// The tenants in the order of their declaration.
--- a/crates/operator-config/src/parse/mod.rs
+++ b/crates/operator-config/src/parse/mod.rs
@@ -79,7 +79,7 @@
         }
         self.has_fleet = true;
         let fleet = fleet::parse_fleet(arguments)?;
-        self.config.fleet_at = fleet.at;
+        self.config.fleet_location = fleet.at;
         self.config.instances = fleet.instances;
         self.config.stale_cache_mb = fleet.stale_cache_mb;
         Ok(())
--- a/crates/operator-config/src/queries.rs
+++ b/crates/operator-config/src/queries.rs
@@ -28,7 +28,7 @@
             hedge: self.has_safeguard("hedge"),
             stale_cache: self.has_safeguard("kept"),
             fallback: self.has_safeguard("fallback"),
-            restart: self.has_safeguard("restart"),
+            count_orphaned_calls: self.has_safeguard("restart"),
         }
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// The value of a request of a handler; 1 if the platform's configuration declares the handler.
-    pub fn value(&self, handler: &str) -> f64 {
+    pub fn request_value(&self, handler: &str) -> f64 {
         self.handlers
             .iter()
             .find(|declared| declared.name == handler)
--- a/crates/operator-config/src/summary.rs
+++ b/crates/operator-config/src/summary.rs
@@ -2,7 +2,7 @@
 use crate::format::format_duration;
 use crate::plan::HandlerSpec;
 use crate::{Aggregation, Dependency, Fallback, OperatorConfig, Part, Peers};
-use cottondyke_dependency::{self as dependency, Plan, RESERVE};
+use cottondyke_dependency::{self as dependency, Plan, RESPONSE_TIME_RESERVE};
 use cottondyke_types::Time;
 
 impl OperatorConfig {
@@ -96,13 +96,13 @@
     let slowest_part = planned
         .parts
         .iter()
-        .map(|part| plan.worst_case(part))
+        .map(|part| plan.worst_case_part_time(part))
         .max()
         .unwrap_or_default();
     format!(
         "page {}: answered within {} of its response target of {}",
         aggregation.handler,
-        format_duration(slowest_part + RESERVE),
+        format_duration(slowest_part + RESPONSE_TIME_RESERVE),
         format_duration(target)
     )
 }
--- a/crates/operator-config/src/validate/aggregations.rs
+++ b/crates/operator-config/src/validate/aggregations.rs
@@ -5,7 +5,7 @@
 use crate::plan::HandlerSpec;
 use crate::suggestion::suggest_nearest;
 use crate::{Aggregation, ConfigError, Dependency, Fallback, OperatorConfig, Part, SourceLocation};
-use cottondyke_dependency::RESERVE;
+use cottondyke_dependency::RESPONSE_TIME_RESERVE;
 use cottondyke_types::Time;
 
 impl OperatorConfig {
@@ -107,14 +107,14 @@
 impl CallSequence<'_> {
     /// Checks that the calls and the reserve for composing the page fit the handler's response target.
     fn check_fit(&self, part: &Part, handler: &HandlerSpec) -> Result<(), ConfigError> {
-        if self.time + RESERVE <= handler.response_target {
+        if self.time + RESPONSE_TIME_RESERVE <= handler.response_target {
             return Ok(());
         }
         let error = ValidationError::BudgetsExceedTarget {
             part: part.name.clone(),
             dependencies: self.dependencies.join(", "),
             needed: format_duration(self.time),
-            reserve: format_duration(RESERVE),
+            reserve: format_duration(RESPONSE_TIME_RESERVE),
             handler: handler.name.clone(),
             target: format_duration(handler.response_target),
         };
--- a/crates/operator-config/src/validate/mod.rs
+++ b/crates/operator-config/src/validate/mod.rs
@@ -48,7 +48,7 @@
                 instances,
                 peers_line,
             };
-            return Err(error.at(&self.fleet_at));
+            return Err(error.at(&self.fleet_location));
         }
         if let Some(tenant) = self.tenants.first() {
             let name = tenant.name.clone();
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -185,7 +185,7 @@
     }
 
     /// When the last of this member's leases expires.
-    pub fn lease_end(&self) -> Time {
+    pub fn latest_lease_expiry(&self) -> Time {
         self.quotas
             .keys()
             .map(|budget| self.valid_until(budget))
@@ -201,7 +201,7 @@
     }
 
     /// Makes the next request due early, because the last one went to a replica that could not answer it.
-    pub fn renew_soon(&mut self) {
+    pub fn renew_early(&mut self) {
         self.early_renewal = true;
     }
 
--- a/crates/server/src/cluster/demand.rs
+++ b/crates/server/src/cluster/demand.rs
@@ -44,7 +44,7 @@
         let demand = self.0.entry(budget.clone()).or_default();
         demand.needed = (demand.needed * DEMAND_DECAY).max(usage.needed as f64);
         let usage = Usage {
-            in_use: usage.in_flight as u32,
+            in_use: usage.in_use as u32,
             needed: demand.needed.round() as u32,
             weight: demand.weight.max(f64::MIN_POSITIVE),
         };
--- a/crates/server/src/cluster/event_log.rs
+++ b/crates/server/src/cluster/event_log.rs
@@ -32,7 +32,7 @@
             let name = &member.name;
             tracing::warn!(name, incarnation = member.incarnation, "member down")
         }
-        ClusterEvent::SuspicionRefuted => {
+        ClusterEvent::Rejoined => {
             tracing::warn!("refuted a suspicion that this instance is dead")
         }
         ClusterEvent::DuplicateName(member) => {
--- a/crates/server/src/config/capacity.rs
+++ b/crates/server/src/config/capacity.rs
@@ -40,9 +40,9 @@
     operator: &OperatorConfig,
 ) -> Result<usize, ConfigError> {
     let max_mb = memory_bytes as f64 / BYTES_PER_MB * MAX_CACHE_FRACTION;
-    if operator.fleet_at.line > 0 && operator.stale_cache_mb > max_mb {
+    if operator.fleet_location.line > 0 && operator.stale_cache_mb > max_mb {
         return Err(ConfigError::CacheTooLarge {
-            at: operator.fleet_at.clone(),
+            at: operator.fleet_location.clone(),
             cache_mb: operator.stale_cache_mb,
             max_mb,
         });
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -277,7 +277,10 @@
     let handlers = &config.names.handlers;
     let aggregation = config.operator.as_ref().map(|operator| {
         let (plan, by_handler) = operator.plan(&config.handler_specs());
-        let weights = handlers.iter().map(|name| operator.value(name)).collect();
+        let weights = handlers
+            .iter()
+            .map(|name| operator.request_value(name))
+            .collect();
         let aggregation_config = AggregationExecutorConfig {
             plan: AggregationPlan { plan, by_handler },
             weights,
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -205,7 +205,7 @@
             return Vec::new();
         };
         self.next_usage_report = now + USAGE_INTERVAL;
-        let (actions, usages) = self.aggregator.poll_usage(now);
+        let (actions, usages) = self.aggregator.apply_leases(now);
         let events = self.perform_all(now, actions);
         cluster.record_usage(now, &usages);
         events
@@ -244,34 +244,37 @@
         match action {
             Action::Call {
                 call,
-                run,
-                to,
+                request,
+                dependency,
                 body,
-                within,
-                reuse,
-                stamp,
+                timeout,
+                may_reuse_connection,
+                timestamp,
             } => {
-                let request = self.wire_ids.get(&run).copied()?;
+                let wire_id = self.wire_ids.get(&request).copied()?;
                 let outgoing = DependencyCall {
-                    dependency: to,
-                    request,
+                    dependency,
+                    request: wire_id,
                     body,
-                    remaining: within,
-                    may_reuse: reuse,
-                    timestamp: stamp,
+                    remaining: timeout,
+                    may_reuse: may_reuse_connection,
+                    timestamp,
                 };
                 self.start_call(call, outgoing);
                 None
             }
-            Action::Abandon { call, listen } => {
-                self.abandon_call(now, call, listen);
+            Action::Abandon {
+                call,
+                late_response_wait,
+            } => {
+                self.abandon_call(now, call, late_response_wait);
                 None
             }
-            Action::Completed { run, answer } => {
-                self.wire_ids.remove(&run);
-                Some(run_ended_event(run, answer))
+            Action::Completed { request, result } => {
+                self.wire_ids.remove(&request);
+                Some(run_ended_event(request, result))
             }
-            Action::GateChanged {
+            Action::CircuitStateChanged {
                 dependency,
                 state,
                 limit,
@@ -343,7 +346,7 @@
         timeouts,
         limit_reached,
         circuit_open,
-        limit = gate.limit.calls(),
+        limit = gate.limiter.limit(),
         in_flight,
         is_open,
         "dependency calls in the last second"
