--- a/crates/server/src/cluster/event_log.rs
+++ b/crates/server/src/cluster/event_log.rs
@@ -33,7 +33,7 @@
             tracing::warn!(name, incarnation = member.incarnation, "member down")
         }
         ClusterEvent::Rejoined => {
-            tracing::warn!("refuted a suspicion that this instance is dead")
+            tracing::warn!("other members had declared this instance dead; rejoined")
         }
         ClusterEvent::DuplicateName(member) => {
             let (name, addr) = (&member.name, member.addr);
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -20,10 +20,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The weight of a handler for which the operator file sets none.
+/// The weight of a handler for which the operator's file sets none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The aggregations from the operator file, by handler.
+/// The aggregations from the operator's file, by handler.
 pub struct AggregationPlan {
     /// The aggregations and the dependencies that they call.
     pub plan: Plan,
@@ -62,7 +62,7 @@
 }
 
 impl AggregationExecutor {
-    /// Creates an executor for the aggregations in the operator file.
+    /// Creates an executor for the aggregations in the operator's file.
     pub fn new(
         clock: Clock,
         config: AggregationExecutorConfig,
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -64,7 +64,7 @@
 pub struct Executors {
     /// `None` if the server runs without an engine.
     pub engine: Option<EngineExecutor>,
-    /// `None` if there is no operator file.
+    /// `None` if there is no operator's file.
     pub aggregation: Option<AggregationExecutor>,
     handlers: HandlerTable,
 }
--- a/crates/server/src/outbound/dependency_call.rs
+++ b/crates/server/src/outbound/dependency_call.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a response body has the format that the operator file declares.
+/// Whether a response body has the format that the operator's file declares.
 fn is_valid(dependency: &Dependency, body: &[u8]) -> bool {
     if dependency.json {
         serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
