--- a/crates/chaos/src/experiments/budgets/checks.rs
+++ b/crates/chaos/src/experiments/budgets/checks.rs
@@ -1,4 +1,4 @@
-//! The report: budgets were kept, and leases were worth more than fixed quotas.
+//! The report: checks that budgets were not exceeded, and that leases yielded more value than fixed quotas.
 use super::counting::Counts;
 use super::driver::{Driver, FIXED, LEASED};
 use super::operator_file::{CEILING, METERED_RATE};
@@ -6,8 +6,8 @@
 use crate::report::{Report, StolenTimeMonitor};
 
 const MIN_VALUE_RATIO: f64 = 1.3;
-const MIN_USE_FRACTION: f64 = 0.9;
-const MIN_SENT: f64 = 1_000.0;
+const MIN_UTILIZATION: f64 = 0.9;
+const MIN_SENT_REQUESTS: f64 = 1_000.0;
 
 pub(super) fn report(
     driver: &Driver,
@@ -16,19 +16,19 @@
     monitor: &StolenTimeMonitor,
 ) -> Report {
     let mut report = Report::default();
-    let shown_unanswered = std::mem::take(&mut counts.shown_unanswered);
-    report.figure("without an answer in time", shown_unanswered);
+    let unanswered_examples = std::mem::take(&mut counts.unanswered_examples);
+    report.figure("without an answer in time", unanswered_examples);
     check_budgets(&mut report, driver, &counts);
     report.require_cpu_time(monitor);
     check_metered_rate(&mut report, driver);
     check_values(&mut report, &counts);
-    check_use(&mut report, driver);
+    check_utilization(&mut report, driver);
     check_answers(&mut report, &counts);
     add_figures(&mut report, driver, windows, &counts);
     report
 }
 
-/// What holds however slow the machine is.
+/// Checks that do not depend on timing.
 fn check_budgets(report: &mut Report, driver: &Driver, counts: &Counts) {
     let shared = driver.fleets[LEASED].shared.counts();
     report.check_at_most(
@@ -37,7 +37,7 @@
         CEILING as f64,
     );
     report.check_at_most("reqs answered twice", counts.answered_twice as f64, 0.0);
-    // Whatever came late: with one window's calls no more than the next one's can come in a second.
+    // Even if calls arrive late, one second holds at most the calls of two rate windows.
     report.check_at_most(
         "calls of any second at the metered dependency, late ones among them",
         max_metered_calls(driver),
@@ -53,7 +53,7 @@
     );
 }
 
-/// Most calls that arrived in any second.
+/// Returns the maximum number of calls that arrived within one second.
 fn max_metered_calls(driver: &Driver) -> f64 {
     driver.fleets[LEASED].metered.counts().max_per_second as f64
 }
@@ -78,11 +78,11 @@
     );
 }
 
-fn check_use(report: &mut Report, driver: &Driver) {
+fn check_utilization(report: &mut Report, driver: &Driver) {
     report.check_at_least(
         "part of the whole in use after the faults",
         driver.mean_in_flight.last_phase / CEILING as f64,
-        MIN_USE_FRACTION,
+        MIN_UTILIZATION,
     );
     let zone = driver.partitioned_zone;
     let majority_nodes = (0..NODES).filter(|node| node % ZONES != zone).count();
@@ -90,7 +90,7 @@
     report.check_at_least(
         "fair part of the side with the registry, in use while a zone is cut off",
         driver.mean_in_flight.majority / fair_share,
-        MIN_USE_FRACTION,
+        MIN_UTILIZATION,
     );
 }
 
@@ -102,7 +102,7 @@
     );
     let in_time = counts.unshared_in_time as f64 / f64::max(counts.unshared as f64, 1.0);
     report.check_at_least("reqs that use no budget, whole and in time", in_time, 0.99);
-    report.check_at_least("reqs sent", counts.sent as f64, MIN_SENT);
+    report.check_at_least("reqs sent", counts.sent as f64, MIN_SENT_REQUESTS);
 }
 
 fn add_figures(report: &mut Report, driver: &Driver, windows: &[FaultWindow], counts: &Counts) {
--- a/crates/chaos/src/experiments/budgets/counting.rs
+++ b/crates/chaos/src/experiments/budgets/counting.rs
@@ -1,20 +1,20 @@
-//! Counts what became of the requests to both fleets.
+//! Counts the outcomes of the requests to both fleets.
 use super::driver::{FIXED, LEASED};
 use super::fleet::Fleet;
 use super::load::Batch;
 use super::operator_file::{
     CLIENT_TIMEOUT, METERED_HANDLER, RESPONSE_TARGET, SHARED_HANDLER, UNSHARED_HANDLER,
 };
-use super::schedule::{CROWDED_START, FAULTS_START, NODE_NAMES};
+use super::schedule::{CONTENTION_START, FAULTS_START, NODE_NAMES};
 use crate::load::SentRequest;
 use std::time::Instant;
 
-/// The value of an answer after the response target, beside one in time.
+/// Value of an answer that arrives after the response target; one in time has the value 1.
 const LATE_ANSWER_VALUE: f64 = 0.2;
-/// Requests without an answer in time that are shown one by one.
-const MAX_SHOWN: usize = 8;
+/// Maximum number of requests without an answer in time that the report describes.
+const MAX_UNANSWERED_EXAMPLES: usize = 8;
 
-/// The value of one fleet's answers before others crowd out the late node.
+/// The value of one fleet's answers to requests due before [`CONTENTION_START`].
 #[derive(Clone, Copy, Default)]
 pub(super) struct FleetValue {
     pub(super) shared: f64,
@@ -22,23 +22,24 @@
     pub(super) metered: f64,
 }
 
-/// What became of the requests; all but the values are of the fleet with leases.
+/// The outcomes of the requests. Everything except the values counts the fleet with leases only.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) leased: FleetValue,
     pub(super) fixed: FleetValue,
     pub(super) sent: usize,
     pub(super) answered_twice: usize,
-    /// Without an answer in time, though their node was there.
+    /// Requests without an answer in time although their node was available.
     pub(super) unanswered: usize,
-    /// The first of those, in words.
-    pub(super) shown_unanswered: Vec<String>,
-    /// For the page that uses no shared budget, while their node was there.
+    /// Descriptions of the first of those requests.
+    pub(super) unanswered_examples: Vec<String>,
+    /// Requests for the page that uses no shared budget, while their node was available.
     pub(super) unshared: usize,
+    /// Those of them that were answered in time.
     pub(super) unshared_in_time: usize,
 }
 
-/// Waits for all answers and counts them.
+/// Waits for all answers and counts the outcomes.
 pub(super) fn count_requests(batches: Vec<Batch>, fleets: &[Fleet; 2], start: Instant) -> Counts {
     let mut counts = Counts::default();
     for batch in batches {
@@ -51,7 +52,7 @@
             }
             counts.sent += 1;
             counts.answered_twice += usize::from(request.answers.len() > 1);
-            if fleets[LEASED].was_present(node, request.due) {
+            if fleets[LEASED].was_available(node, request.due) {
                 counts.add_expected(node, handler, due, &request);
             }
         }
@@ -61,7 +62,7 @@
 
 impl Counts {
     fn add_value(&mut self, fleet: usize, handler: &str, due: f64, value: f64) {
-        if due >= CROWDED_START {
+        if due >= CONTENTION_START {
             return;
         }
         let total = match fleet {
@@ -84,10 +85,11 @@
             .is_some_and(|(_, latency)| latency <= CLIENT_TIMEOUT);
         if !is_in_time {
             self.unanswered += 1;
-            if self.shown_unanswered.len() < MAX_SHOWN {
+            if self.unanswered_examples.len() < MAX_UNANSWERED_EXAMPLES {
                 let answer = request.answers.first();
-                let answer = answer.map(|answer| (answer.at - request.due, answer.frame.code));
-                self.shown_unanswered.push(format!(
+                let answer =
+                    answer.map(|answer| (answer.received_at - request.due, answer.frame.code));
+                self.unanswered_examples.push(format!(
                     "{handler} at {} due {due:.2} s, heard {answer:?}",
                     NODE_NAMES[node]
                 ));
@@ -100,7 +102,7 @@
     }
 }
 
-/// The value of a request by its first answer, from 0 to 1.
+/// Returns the value of a request by its first answer, between 0 and 1.
 fn value(request: &SentRequest) -> f64 {
     match request.first_answer() {
         Some((answer, latency)) if answer.is_done() => {
--- a/crates/chaos/src/experiments/budgets/driver.rs
+++ b/crates/chaos/src/experiments/budgets/driver.rs
@@ -1,9 +1,9 @@
-//! Plays the schedule against both fleets: faults, load, one late delivery, and the partition of a zone.
+//! Runs the schedule against both fleets: faults, load, one late delivery, and the partition of a zone.
 use super::fleet::Fleet;
 use super::load::{Batch, Segment, SEGMENT_DURATION};
 use super::schedule::{
     fault_events, FaultEvent, FaultWindow, END, LAST_PHASE_START, LATE_DELIVERY_START, NODES,
-    PARTITION_SETTLE_SECONDS, QUIET_START, ZONES, ZONE_PARTITION_START,
+    PARTITION_SETTLE_SECONDS, RECOVERY_START, ZONES, ZONE_PARTITION_START,
 };
 use crate::error::Error;
 use crate::load::TimeWindow;
@@ -11,50 +11,51 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// How often the driver looks what is due.
-const TICK: Duration = Duration::from_millis(20);
-/// How many times slower the shared dependency is while a zone is partitioned, and after it.
+/// How often the driver checks which events are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Factors by which the shared dependency is slower while a zone is partitioned, and afterwards.
 const PARTITION_SLOWDOWN: u32 = 4;
-const QUIET_SLOWDOWN: u32 = 2;
+const RECOVERY_SLOWDOWN: u32 = 2;
 
-/// The fleet whose ceiling is leased, and the one with fixed quotas.
+/// Indices of the fleet whose quotas are leased, and of the one with fixed quotas.
 pub(super) const LEASED: usize = 0;
 pub(super) const FIXED: usize = 1;
 
-/// How far the partition of a zone has come.
+/// The progress of the partition of a zone.
 enum ZonePartition {
     Pending,
     Settling,
-    /// With the majority's seconds in flight when the measurement began.
-    Measured {
-        in_flight_seconds: f64,
+    /// The majority's calls in flight are being measured.
+    Measuring {
+        /// In-flight seconds of the majority when the measurement began.
+        initial_in_flight_seconds: f64,
     },
     Healed,
 }
 
-/// Calls in flight at the shared dependency, on average.
+/// Mean number of calls in flight at the shared dependency.
 #[derive(Clone, Copy, Default)]
 pub(super) struct MeanInFlight {
-    /// Of the zones with the majority of replicas, while the other was partitioned.
+    /// Calls from the zones with the majority of replicas, while the other zone was partitioned.
     pub(super) majority: f64,
-    /// Of all, in the last phase.
+    /// Calls from all nodes, in the last phase.
     pub(super) last_phase: f64,
 }
 
 pub(super) struct Driver {
     pub(super) fleets: [Fleet; 2],
-    /// When the load began.
+    /// Start of the load.
     pub(super) start: Instant,
     pub(super) batches: Vec<Batch>,
     pub(super) mean_in_flight: MeanInFlight,
-    /// The zone that is or will be partitioned.
+    /// The zone to partition.
     pub(super) partitioned_zone: usize,
     random: fastrand::Rng,
     events: VecDeque<FaultEvent>,
     next_segment: Instant,
     has_delivered_late: bool,
     zone_partition: ZonePartition,
-    /// Seconds in flight when the last phase began.
+    /// In-flight seconds of all nodes when the last phase began.
     last_phase_in_flight_seconds: Option<f64>,
 }
 
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Plays the schedule to its end.
+    /// Runs the schedule to its end.
     pub(super) fn run(&mut self) -> Result<(), Error> {
         while !self.is_due(END, Instant::now()) {
             let now = Instant::now();
@@ -92,7 +93,7 @@
                 let seconds = self.fleets[LEASED].in_flight_seconds(|_| true);
                 self.last_phase_in_flight_seconds = Some(seconds);
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         if let Some(before) = self.last_phase_in_flight_seconds {
             let seconds = self.fleets[LEASED].in_flight_seconds(|_| true) - before;
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Partitions a zone with one replica while all nodes use what they may, and measures the use of the others.
+    /// Partitions a zone with one replica while all nodes use their full quotas, and measures the utilization of the
+    /// other zones.
     fn advance_zone_partition(&mut self, now: Instant) {
         match self.zone_partition {
             ZonePartition::Pending if self.is_due(ZONE_PARTITION_START, now) => {
@@ -155,14 +157,18 @@
             ZonePartition::Settling
                 if self.is_due(ZONE_PARTITION_START + PARTITION_SETTLE_SECONDS, now) =>
             {
-                let in_flight_seconds = self.majority_in_flight_seconds();
-                self.zone_partition = ZonePartition::Measured { in_flight_seconds };
+                let initial_in_flight_seconds = self.majority_in_flight_seconds();
+                self.zone_partition = ZonePartition::Measuring {
+                    initial_in_flight_seconds,
+                };
             }
-            ZonePartition::Measured { in_flight_seconds } if self.is_due(QUIET_START, now) => {
-                self.set_shared_fault(Fault::Slow(QUIET_SLOWDOWN));
-                let seconds = self.majority_in_flight_seconds() - in_flight_seconds;
+            ZonePartition::Measuring {
+                initial_in_flight_seconds,
+            } if self.is_due(RECOVERY_START, now) => {
+                self.set_shared_fault(Fault::Slow(RECOVERY_SLOWDOWN));
+                let seconds = self.majority_in_flight_seconds() - initial_in_flight_seconds;
                 self.mean_in_flight.majority =
-                    seconds / (QUIET_START - ZONE_PARTITION_START - PARTITION_SETTLE_SECONDS);
+                    seconds / (RECOVERY_START - ZONE_PARTITION_START - PARTITION_SETTLE_SECONDS);
                 self.fleets[LEASED].heal_links();
                 self.zone_partition = ZonePartition::Healed;
             }
@@ -171,7 +177,8 @@
     }
 
     fn partition_zone(&mut self) {
-        // Not the leader's zone: a new leader counts all leases anew, and would show nothing of the old ones' ends.
+        // Not the leader's zone: a new leader waits a whole lease before it reclaims quotas, so the run would not show
+        // how the leases from before the partition end.
         if self.fleets[LEASED].is_leader(ZONES - 1) {
             self.partitioned_zone = 0;
         }
--- a/crates/chaos/src/experiments/budgets/fleet.rs
+++ b/crates/chaos/src/experiments/budgets/fleet.rs
@@ -1,9 +1,9 @@
-//! One fleet of processes: with a shared budget, links between its members and faults of them, or with fixed quotas.
+//! A fleet of server processes: either with a shared budget and faulty links between its members, or with fixed quotas.
 use super::operator_file::{operator_text, DependencyAddresses, POST_CANCEL_GRACE};
 use super::operator_file::{CEILING, CLIENT_TIMEOUT};
 use super::schedule::{
-    Edge, Fault, FaultEvent, MessageDirection, LATE_DELIVERY_DELAY, LATE_NODE, NODES, NODE_NAMES,
-    REPLICAS, ZONES,
+    Fault, FaultEvent, MessageDirection, WindowBoundary, LATE_DELIVERY_DELAY, LATE_NODE, NODES,
+    NODE_NAMES, REPLICAS, ZONES,
 };
 use crate::error::Error;
 use crate::load::{LoadConfig, LoadGenerator};
@@ -16,56 +16,56 @@
 use std::time::{Duration, Instant};
 
 const DEPENDENCY_LATENCY: Duration = Duration::from_millis(60);
-/// More than a dependency without a ceiling of its own ever has in flight.
+/// Higher than the number of calls ever in flight at a dependency without a shared ceiling, so it never slows down.
 const NO_CONCURRENCY_LIMIT: u64 = 1_000;
-/// The end of an absence that has not ended.
+/// Assumed duration of an outage that has not ended yet.
 const FAR_FUTURE: Duration = Duration::from_secs(3_600);
-/// How long a node that is back may need before it answers in time.
-const RETURN_MARGIN: Duration = Duration::from_millis(50);
+/// How long a node may need after an outage before it answers in time.
+const RECOVERY_MARGIN: Duration = Duration::from_millis(50);
 
-/// How a fleet divides the ceiling of a dependency among its instances.
+/// How a fleet allocates the ceiling of a dependency to its instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Division {
-    /// Leased from the registry, by need.
+pub(super) enum QuotaAllocation {
+    /// Leased from the registry, by demand.
     Leased,
-    /// The same for each instance.
+    /// A fixed quota, the same for each instance.
     Fixed,
 }
 
-/// A link from one node to a replica, by their indices.
+/// A link from a node to a replica, by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LinkId {
     from: usize,
     to: usize,
 }
 
-/// A time in which a node was down or paused.
-struct Absence {
+/// An interval in which a node was down or paused.
+struct Outage {
     node: usize,
     start: Instant,
     end: Instant,
 }
 
 pub(super) struct Fleet {
-    division: Division,
+    allocation: QuotaAllocation,
     disabled: Vec<String>,
     nodes: Vec<Option<NodeProcess>>,
     links: BTreeMap<LinkId, FaultyLink>,
     data_dirs: Vec<PathBuf>,
-    /// The dependency whose concurrency ceiling the instances share.
+    /// Dependency whose concurrency ceiling the instances share.
     pub(super) shared: FakeDependency,
-    /// One that each instance has a ceiling of its own for.
+    /// Dependency for which each instance has its own ceiling.
     unshared: FakeDependency,
-    /// One whose rate of calls the instances share.
+    /// Dependency whose rate limit the instances share.
     pub(super) metered: FakeDependency,
-    absences: Vec<Absence>,
+    outages: Vec<Outage>,
     verbose: bool,
 }
 
 impl Fleet {
     /// Starts all nodes.
     pub(super) fn start(
-        division: Division,
+        allocation: QuotaAllocation,
         disabled: &[&str],
         options: &Options,
     ) -> Result<Self, Error> {
@@ -73,7 +73,7 @@
             FakeDependency::start(FakeDependencyConfig {
                 mean_latency: DEPENDENCY_LATENCY,
                 concurrency_limit,
-                // Less than what the operator's file says: the fake's own threads may have to wait for a core.
+                // Shorter than in the operator file, because the fake's own threads may have to wait for a core.
                 post_cancel_duration: POST_CANCEL_GRACE.mul_f64(0.5),
                 seed: options.seed.wrapping_mul(31).wrapping_add(number),
             })
@@ -81,7 +81,7 @@
         let base_name = format!("cottondyke-lab-{}-budgets", std::process::id());
         let base_dir = std::env::temp_dir().join(base_name);
         let mut fleet = Fleet {
-            division,
+            allocation,
             disabled: disabled.iter().map(ToString::to_string).collect(),
             nodes: Vec::new(),
             links: BTreeMap::new(),
@@ -89,10 +89,10 @@
             shared: start_dependency(0, CEILING)?,
             unshared: start_dependency(1, NO_CONCURRENCY_LIMIT)?,
             metered: start_dependency(2, NO_CONCURRENCY_LIMIT)?,
-            absences: Vec::new(),
+            outages: Vec::new(),
             verbose: options.verbose,
         };
-        if division == Division::Leased {
+        if allocation == QuotaAllocation::Leased {
             fleet.start_links()?;
         }
         for index in 0..NODES {
@@ -112,7 +112,7 @@
     }
 
     fn start_node(&mut self, index: usize) -> Result<(), Error> {
-        let is_leased = self.division == Division::Leased;
+        let is_leased = self.allocation == QuotaAllocation::Leased;
         let replica_addrs = (0..REPLICAS)
             .filter_map(|to| self.links.get(&LinkId { from: index, to }))
             .map(|link| link.addr);
@@ -145,14 +145,14 @@
             .map(|(_, link)| link)
     }
 
-    /// The links of a node to others and of others to it.
-    fn links_around(&self, node: usize) -> impl Iterator<Item = (&LinkId, &FaultyLink)> {
+    /// Returns the links from a node to others and from others to it.
+    fn links_of_node(&self, node: usize) -> impl Iterator<Item = (&LinkId, &FaultyLink)> {
         self.links
             .iter()
             .filter(move |(id, _)| (id.from == node) != (id.to == node))
     }
 
-    /// Whether a node says that it is the leader; asked for the schedule alone, no check rests on it.
+    /// Returns whether a node reports itself as the leader. Only the schedule uses this, no check does.
     pub(super) fn is_leader(&self, index: usize) -> bool {
         self.nodes[index]
             .as_ref()
@@ -161,39 +161,39 @@
 
     /// Starts or ends a fault.
     pub(super) fn apply(&mut self, event: &FaultEvent) -> Result<(), Error> {
-        match event.edge {
-            Edge::Start => {
+        match event.boundary {
+            WindowBoundary::Start => {
                 self.start_fault(event.window.node, event.window.fault);
                 Ok(())
             }
-            Edge::End => self.end_fault(event.window.node, event.window.fault),
+            WindowBoundary::End => self.end_fault(event.window.node, event.window.fault),
         }
     }
 
     fn start_fault(&mut self, node: usize, fault: Fault) {
         let now = Instant::now();
         match fault {
-            Fault::Partition => self.set_links_around(node, LinkState::Partitioned),
+            Fault::Partition => self.set_links_of_node(node, LinkState::Partitioned),
             Fault::OneWayPartition(direction) => self.partition_one_way(node, direction),
-            Fault::Stall => self.set_links_around(node, LinkState::Stalled),
+            Fault::Stall => self.set_links_of_node(node, LinkState::Stalled),
             Fault::Pause => {
                 self.nodes[node].iter().for_each(NodeProcess::pause);
-                self.record_absence(node, now);
+                self.record_outage_start(node, now);
             }
             Fault::Kill => {
                 self.nodes[node] = None;
-                self.record_absence(node, now);
+                self.record_outage_start(node, now);
             }
             Fault::DiskLoss => {
                 self.nodes[node] = None;
-                self.record_absence(node, now);
-                if self.division == Division::Leased {
+                self.record_outage_start(node, now);
+                if self.allocation == QuotaAllocation::Leased {
                     let _ = std::fs::remove_dir_all(&self.data_dirs[node]);
                 }
             }
             Fault::Drain => {
                 self.nodes[node].iter().for_each(NodeProcess::terminate);
-                self.record_absence(node, now);
+                self.record_outage_start(node, now);
             }
         }
     }
@@ -201,30 +201,30 @@
     fn end_fault(&mut self, node: usize, fault: Fault) -> Result<(), Error> {
         match fault {
             Fault::Partition | Fault::OneWayPartition(_) | Fault::Stall => {
-                self.set_links_around(node, LinkState::Open);
+                self.set_links_of_node(node, LinkState::Open);
             }
             Fault::Pause => {
                 let now = Instant::now();
                 self.nodes[node].iter().for_each(NodeProcess::resume);
-                self.record_return(node, now);
+                self.record_outage_end(node, now);
             }
             Fault::Kill | Fault::DiskLoss | Fault::Drain => {
                 self.start_node(node)?;
-                self.record_return(node, Instant::now());
+                self.record_outage_end(node, Instant::now());
             }
         }
         Ok(())
     }
 
-    fn set_links_around(&self, node: usize, state: LinkState) {
-        for (_, link) in self.links_around(node) {
+    fn set_links_of_node(&self, node: usize, state: LinkState) {
+        for (_, link) in self.links_of_node(node) {
             link.set_directions(state, state);
         }
     }
 
     fn partition_one_way(&self, node: usize, direction: MessageDirection) {
         let drops_from_node = direction == MessageDirection::FromNode;
-        for (id, link) in self.links_around(node) {
+        for (id, link) in self.links_of_node(node) {
             let is_client = id.from == node;
             if is_client == drops_from_node {
                 link.set_directions(LinkState::Partitioned, LinkState::Open);
@@ -234,30 +234,30 @@
         }
     }
 
-    fn record_absence(&mut self, node: usize, start: Instant) {
-        self.absences.push(Absence {
+    fn record_outage_start(&mut self, node: usize, start: Instant) {
+        self.outages.push(Outage {
             node,
             start,
             end: start + FAR_FUTURE,
         });
     }
 
-    fn record_return(&mut self, node: usize, end: Instant) {
-        let mut absences = self.absences.iter_mut().rev();
-        if let Some(last) = absences.find(|absence| absence.node == node) {
+    fn record_outage_end(&mut self, node: usize, end: Instant) {
+        let mut outages = self.outages.iter_mut().rev();
+        if let Some(last) = outages.find(|outage| outage.node == node) {
             last.end = end;
         }
     }
 
-    /// Whether a node was there from before a request was due until it had to be answered.
-    pub(super) fn was_present(&self, node: usize, due: Instant) -> bool {
+    /// Returns whether a node was available from before a request was due until the client timeout.
+    pub(super) fn was_available(&self, node: usize, due: Instant) -> bool {
         let deadline = due + CLIENT_TIMEOUT;
-        !self.absences.iter().any(|absence| {
-            absence.node == node && due < absence.end + RETURN_MARGIN && deadline > absence.start
+        !self.outages.iter().any(|outage| {
+            outage.node == node && due < outage.end + RECOVERY_MARGIN && deadline > outage.start
         })
     }
 
-    /// Partitions a zone from the others.
+    /// Partitions a zone from the other zones.
     pub(super) fn partition_zone(&self, zone: usize) {
         for (id, link) in &self.links {
             if (id.from % ZONES == zone) != (id.to % ZONES == zone) {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Delivers late what the late node has sent.
+    /// Delays the messages that the late node has sent, so that they arrive after later ones.
     pub(super) fn deliver_late(&self) {
         for (id, link) in &self.links {
             if id.from == LATE_NODE {
@@ -282,13 +282,14 @@
         }
     }
 
-    /// Starts load at a node; none while it is down.
+    /// Starts load on a node; `None` while the node is down.
     pub(super) fn start_load(&self, index: usize, load: &LoadConfig) -> Option<LoadGenerator> {
         let node = self.nodes[index].as_ref()?;
         Some(LoadGenerator::start(node.addr, load))
     }
 
-    /// Seconds that calls of some nodes were in flight at the shared dependency, summed since it started.
+    /// Returns for how many seconds calls of the given nodes were in flight at the shared dependency, summed over all
+    /// calls since it started.
     pub(super) fn in_flight_seconds(&self, is_counted: impl Fn(usize) -> bool) -> f64 {
         let node_of = |tag: &str| usize::from_str_radix(tag, 16).unwrap_or(usize::MAX);
         self.shared
@@ -304,7 +305,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.nodes.clear();
-        if self.division == Division::Leased {
+        if self.allocation == QuotaAllocation::Leased {
             for data_dir in &self.data_dirs {
                 let _ = std::fs::remove_dir_all(data_dir);
             }
--- a/crates/chaos/src/experiments/budgets/load.rs
+++ b/crates/chaos/src/experiments/budgets/load.rs
@@ -1,46 +1,46 @@
-//! The load on both fleets, in segments between which the busy nodes move.
+//! The load on both fleets, in segments; the busy nodes change from one segment to the next.
 use super::fleet::Fleet;
 use super::operator_file::{CLIENT_TIMEOUT, METERED_HANDLER, SHARED_HANDLER, UNSHARED_HANDLER};
-use super::schedule::{CROWDED_START, LATE_NODE, NODES, ZONE_PARTITION_START};
+use super::schedule::{CONTENTION_START, LATE_NODE, NODES, ZONE_PARTITION_START};
 use crate::load::{LoadConfig, LoadGenerator, TimeWindow};
 use std::time::{Duration, Instant};
 
 pub(super) const SEGMENT_DURATION: Duration = Duration::from_millis(1_500);
-/// Requests a second of each fleet, of which two busy nodes get this fraction each.
+/// Requests per second to each fleet, and the fraction of them that each of two busy nodes receives.
 const FLEET_RATE: f64 = 300.0;
 const BUSY_FRACTION: f64 = 0.4;
-/// Requests a second of each node for the page that uses no shared budget.
+/// Requests per second to each node for the page that uses no shared budget.
 const UNSHARED_RATE: f64 = 4.0;
-/// Requests a second of each node where all are to use what they may.
+/// Requests per second to each node when all nodes must use their full quotas.
 const FULL_RATE: f64 = 70.0;
-/// Requests a second of the late node while others crowd it out.
+/// Requests per second to the late node while the others use up the shared budget.
 const LATE_NODE_RATE: f64 = 1.0;
-/// Requests for the metered dependency, as a fraction of those for the shared one, and at most so many a second.
+/// Requests for the metered dependency, as a fraction of those for the shared one, and their maximum per second.
 const METERED_FRACTION: f64 = 0.4;
 const MAX_METERED_RATE: f64 = 50.0;
 const MAX_METERED_RATE_AT_FULL_USE: f64 = 10.0;
-/// All nodes use what they may from this long before the zone is partitioned.
+/// Full use starts this long before the partition of the zone.
 const FULL_USE_LEAD_SECONDS: f64 = 0.1;
-/// Past this many requests a second a node gets several connections.
+/// Above this many requests per second a node gets several connections.
 const SINGLE_CONNECTION_RATE: f64 = 20.0;
 const CONNECTIONS: u64 = 2;
 const DISTINCT_BODIES: u64 = 200;
 
-/// What was sent to one node of one fleet in one segment.
+/// The load for one handler on one node of one fleet in one segment.
 pub(super) struct Batch {
-    /// The fleet's index.
+    /// Index of the fleet.
     pub(super) fleet: usize,
     pub(super) node: usize,
     pub(super) handler: &'static str,
     pub(super) generator: LoadGenerator,
 }
 
-/// One segment of the load: its draws are the same for all fleets.
+/// One segment of the load. Its random draws are the same for all fleets.
 pub(super) struct Segment {
     window: TimeWindow,
-    /// Seconds from the start of the load.
+    /// Start of the segment, in seconds from the start of the load.
     start_seconds: f64,
-    /// Two nodes, or one twice.
+    /// Indices of two nodes, which may be the same.
     busy_nodes: [usize; 2],
     seed: u64,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Starts the load of all nodes of a fleet that are up.
+    /// Starts the load on all nodes of a fleet that are up.
     pub(super) fn start(&self, fleet_index: usize, fleet: &Fleet) -> Vec<Batch> {
         let mut batches = Vec::new();
         for node in 0..NODES {
@@ -106,14 +106,14 @@
         self.start_seconds >= ZONE_PARTITION_START - FULL_USE_LEAD_SECONDS
     }
 
-    /// Requests a second of a node for the shared dependency's page.
+    /// Returns the requests per second to a node for the page of the shared dependency.
     fn shared_rate(&self, node: usize) -> f64 {
-        let is_crowded = self.start_seconds >= CROWDED_START;
+        let is_contended = self.start_seconds >= CONTENTION_START;
         if self.is_full_use() {
             FULL_RATE
-        } else if is_crowded && node == LATE_NODE {
+        } else if is_contended && node == LATE_NODE {
             LATE_NODE_RATE
-        } else if is_crowded {
+        } else if is_contended {
             FULL_RATE * 2.0
         } else {
             let base_rate = FLEET_RATE * (1.0 - 2.0 * BUSY_FRACTION) / NODES as f64;
--- a/crates/chaos/src/experiments/budgets/mod.rs
+++ b/crates/chaos/src/experiments/budgets/mod.rs
@@ -1,6 +1,6 @@
-//! Eight instances in three zones that share one dependency's ceiling, while links are partitioned and stalled and
-//! processes are paused, killed and lose their disks; beside them the same fleet with fixed quotas. Calls are counted
-//! at the dependency.
+//! Eight instances in three zones share the concurrency ceiling of a dependency, while links are partitioned and
+//! stalled and processes are paused, killed, drained and lose their disks. A second fleet with fixed quotas runs the
+//! same schedule for comparison. Calls are counted at the dependency.
 
 mod checks;
 mod counting;
@@ -15,12 +15,12 @@
 use crate::report::{Report, StolenTimeMonitor};
 use counting::count_requests;
 use driver::Driver;
-use fleet::{Division, Fleet};
+use fleet::{Fleet, QuotaAllocation};
 use operator_file::{LEASE_DURATION, POST_CANCEL_GRACE};
 use schedule::draw_schedule;
 use std::time::{Duration, Instant};
 
-/// Beside a lease and the longest call, for which a new registry grants nothing.
+/// Added to the lease duration and the post-cancel grace period, during which a new registry grants nothing.
 const BOOTSTRAP_DURATION: Duration = Duration::from_millis(3_000);
 
 pub(super) fn run(options: &Options) -> Result<Report, Error> {
@@ -28,8 +28,8 @@
     let mut random = fastrand::Rng::with_seed(options.seed);
     let windows = draw_schedule(&mut random);
     let fleets = [
-        Fleet::start(Division::Leased, &disabled, options)?,
-        Fleet::start(Division::Fixed, &disabled, options)?,
+        Fleet::start(QuotaAllocation::Leased, &disabled, options)?,
+        Fleet::start(QuotaAllocation::Fixed, &disabled, options)?,
     ];
     std::thread::sleep(LEASE_DURATION + POST_CANCEL_GRACE + BOOTSTRAP_DURATION);
     let monitor = StolenTimeMonitor::start();
--- a/crates/chaos/src/experiments/budgets/operator_file.rs
+++ b/crates/chaos/src/experiments/budgets/operator_file.rs
@@ -1,36 +1,37 @@
-//! The operator's file of each instance.
+//! The operator file of each instance.
 use super::schedule::{NODES, NODE_NAMES, ZONES};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// Calls in flight at the shared dependency, of all instances together.
+/// Ceiling of calls in flight at the shared dependency, over all instances.
 pub(super) const CEILING: u64 = 24;
-/// Calls a second of the metered dependency, of all instances together.
+/// Rate limit of the metered dependency in calls per second, over all instances.
 pub(super) const METERED_RATE: usize = 60;
 pub(super) const RESPONSE_TARGET: Duration = Duration::from_millis(900);
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long calls may go on once they were cancelled.
+/// How long calls may continue at a dependency after they were cancelled.
 pub(super) const POST_CANCEL_GRACE: Duration = Duration::from_millis(400);
 pub(super) const LEASE_DURATION: Duration = Duration::from_secs(2);
 
-/// Handlers of the three pages, a dependency each.
+/// Handlers of the three pages, each of which uses one dependency.
 pub(super) const SHARED_HANDLER: &str = "browse";
 pub(super) const UNSHARED_HANDLER: &str = "plain";
 pub(super) const METERED_HANDLER: &str = "metered";
 
-/// What adapts to a dependency's state would blur what the budgets do.
+/// Safeguards that adapt to the state of a dependency are off, because they would hide the effect of the budgets.
 const ALWAYS_DISABLED: [&str; 3] = ["adapt", "breaker", "hedge"];
 
-/// Where the dependencies of a fleet listen.
+/// Listen addresses of a fleet's dependencies.
 pub(super) struct DependencyAddresses {
     pub(super) shared: SocketAddr,
     pub(super) unshared: SocketAddr,
     pub(super) metered: SocketAddr,
 }
 
-/// The file of the instance at an index. Without links to replicas the ceiling is divided in fixed quotas.
+/// Returns the text of the operator file of the instance with the given index. Without addresses of replicas, each
+/// instance gets a fixed quota of the ceiling.
 pub(super) fn operator_text(
     index: usize,
     replica_addrs: &[SocketAddr],
@@ -67,7 +68,7 @@
     text
 }
 
-/// The pages and their dependencies.
+/// Returns the definitions of the pages and their dependencies.
 fn pages_text(dependencies: &DependencyAddresses) -> String {
     let (target, timeout) = (RESPONSE_TARGET.as_millis(), CLIENT_TIMEOUT.as_millis());
     format!(
--- a/crates/chaos/src/experiments/budgets/schedule.rs
+++ b/crates/chaos/src/experiments/budgets/schedule.rs
@@ -1,71 +1,71 @@
-//! The phases of the experiment, and the faults of single nodes, which are drawn from a seed.
+//! The phases of the experiment, and the schedule of faults of single nodes, which is drawn from a seed.
 use std::fmt;
 use std::time::Duration;
 
-/// Instances of each fleet.
+/// Number of instances in each fleet.
 pub(super) const NODES: usize = 8;
-/// The first so many of them are replicas of the registry.
+/// Number of replicas of the registry; they are the first instances.
 pub(super) const REPLICAS: usize = 3;
 pub(super) const ZONES: usize = 3;
-/// Names by index; the ninth has links and a data directory, but no process.
+/// Node names by index. The ninth node has links and a data directory, but no process.
 pub(super) const NODE_NAMES: [&str; 9] = ["n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"];
 
-/// The phases, in seconds from when the load begins: calm, faults of single nodes, a zone partitioned, quiet, and full
-/// use at the end.
+/// Starts of the phases, in seconds from the start of the load. A phase without faults is followed by faults of single
+/// nodes, the partition of a zone, recovery without faults, and a last phase in which full utilization is measured.
 pub(super) const FAULTS_START: f64 = 6.0;
 pub(super) const ZONE_PARTITION_START: f64 = 19.5;
-pub(super) const QUIET_START: f64 = 25.5;
+pub(super) const RECOVERY_START: f64 = 25.5;
 pub(super) const LAST_PHASE_START: f64 = 31.0;
 pub(super) const END: f64 = 33.0;
-/// How long after the partition of a zone its use is measured from.
+/// Time between the start of the zone partition and the measurement of utilization.
 pub(super) const PARTITION_SETTLE_SECONDS: f64 = 1.5;
 
-/// The node whose messages arrive late once, when it needs little, when, and how late.
+/// The node whose messages are once delivered late, while its demand is low; the time of that, and the delay.
 pub(super) const LATE_NODE: usize = NODES - 1;
 pub(super) const LATE_DELIVERY_START: f64 = 18.2;
 pub(super) const LATE_DELIVERY_DELAY: Duration = Duration::from_millis(4_400);
-/// From then on all others use what they may, so that the late node has next to nothing.
-pub(super) const CROWDED_START: f64 = LATE_DELIVERY_START - 3.0;
+/// From this time on the demand of the other nodes uses up the shared budget, which leaves the late node almost none.
+pub(super) const CONTENTION_START: f64 = LATE_DELIVERY_START - 3.0;
 
-/// Nodes with a fault, beside one replica.
+/// Number of nodes with a fault, in addition to one replica.
 const FAULTY_NODES: usize = 4;
-/// Seconds between the starts of two faults, before what is drawn.
+/// Seconds between the starts of two faults, before the random offset.
 const FAULT_INTERVAL: f64 = 1.7;
-/// A fault's shortest duration, and what is drawn beside it, in seconds.
+/// Minimum duration of a fault, and the maximum of the random addition to it, in seconds.
 const MIN_FAULT_SECONDS: f64 = 2.5;
 const MAX_EXTRA_FAULT_SECONDS: f64 = 3.5;
-/// Faults end this long before the zone is partitioned.
+/// All faults end by this time, one second before the partition of the zone.
 const LAST_FAULT_END: f64 = ZONE_PARTITION_START - 1.0;
 
-/// What happens to one node.
+/// A fault of one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// Its links drop bytes in both directions.
+    /// The links of the node drop bytes in both directions.
     Partition,
-    /// Its links drop bytes in one direction.
+    /// The links of the node drop bytes in one direction.
     OneWayPartition(MessageDirection),
-    /// Its links hold bytes.
+    /// The links of the node hold bytes back until the fault ends.
     Stall,
     /// The process is paused.
     Pause,
     /// The process is killed, and restarted later.
     Kill,
-    /// As a kill, and the registry on its disk is deleted.
+    /// The process is killed, its data directory is deleted, and it is restarted later.
     DiskLoss,
-    /// It drains and ends, and joins again later.
+    /// The process drains and exits, and is restarted later.
     Drain,
 }
 
-/// Which messages of a node a partition drops.
+/// Which messages of a node a one-way partition drops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageDirection {
-    /// Those that it sends.
+    /// Messages that the node sends.
     FromNode,
-    /// Those that are sent to it.
+    /// Messages that are sent to the node.
     ToNode,
 }
 
-/// The text that reports show, which outlives the names of the variants.
+/// Formats the fault for reports; the text stays the same when a variant is renamed.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A time in which a node has a fault, in seconds from the start of the load.
+/// An interval in which a node has a fault, in seconds from the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FaultWindow {
     pub(super) node: usize,
@@ -90,7 +90,7 @@
     pub(super) end: f64,
 }
 
-/// Draws five windows, two and more at a time; one replica has a fault.
+/// Draws five overlapping fault windows, one of them for a replica.
 pub(super) fn draw_schedule(random: &mut fastrand::Rng) -> Vec<FaultWindow> {
     let mut nodes: Vec<usize> = (REPLICAS..LATE_NODE).collect();
     random.shuffle(&mut nodes);
@@ -126,9 +126,9 @@
     }
 }
 
-/// Whether a window starts or ends.
+/// Whether an event is the start or the end of a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Edge {
+pub(super) enum WindowBoundary {
     Start,
     End,
 }
@@ -136,18 +136,22 @@
 /// The start or the end of a window.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FaultEvent {
-    /// Seconds from the start of the load.
+    /// Time of the event, in seconds from the start of the load.
     pub(super) at: f64,
-    pub(super) edge: Edge,
+    pub(super) boundary: WindowBoundary,
     pub(super) window: FaultWindow,
 }
 
-/// The starts and ends of all windows in the order of time.
+/// Returns the starts and ends of all windows, ordered by time.
 pub(super) fn fault_events(windows: &[FaultWindow]) -> Vec<FaultEvent> {
     let events = windows.iter().flat_map(|window| {
-        [(window.start, Edge::Start), (window.end, Edge::End)].map(|(at, edge)| FaultEvent {
+        [
+            (window.start, WindowBoundary::Start),
+            (window.end, WindowBoundary::End),
+        ]
+        .map(|(at, boundary)| FaultEvent {
             at,
-            edge,
+            boundary,
             window: *window,
         })
     });
--- a/crates/chaos/src/experiments/calm.rs
+++ b/crates/chaos/src/experiments/calm.rs
@@ -1,4 +1,5 @@
-//! No faults: what a page costs, beside one that calls the same dependencies with no limits, breakers or budgets.
+//! CPU cost of a page without faults, compared with a baseline node that calls the same dependencies with all
+//! safeguards (limits, breakers, budgets and others) switched off.
 use super::score::score;
 use super::shop::{self, CLIENT_TIMEOUT};
 use crate::error::Error;
@@ -9,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: u64 = 4;
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 100.0;
-/// Measurements of each node; they alternate, so that both see the machine's other load.
+/// Measurements of each node. They alternate between the nodes, so that other load on the machine affects both alike.
 const ROUNDS: usize = 4;
 const DEFAULT_SECONDS: u64 = 24;
-/// How long clients have to start before a measurement.
+/// Time for the clients to start before a measurement.
 const START_DELAY: Duration = Duration::from_millis(50);
-/// Beside the grace, for which a new node makes no calls.
+/// Added to the post-cancel grace period, during which a new node makes no calls.
 const WARM_UP: Duration = Duration::from_millis(500);
 const ALL_SAFEGUARDS: [&str; 7] = [
     "budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback",
@@ -59,30 +60,34 @@
         NodeProcess::start(&operator_text, options.verbose)
     };
     let node = start_node(&[])?;
-    let bare_node = start_node(&ALL_SAFEGUARDS)?;
+    let baseline_node = start_node(&ALL_SAFEGUARDS)?;
     std::thread::sleep(shop::POST_CANCEL_GRACE + WARM_UP);
-    let (mut costs, mut bare_costs) = (Vec::new(), Vec::new());
+    let (mut costs, mut baseline_costs) = (Vec::new(), Vec::new());
     let (mut incomplete, mut pages) = (0, 0);
     for round in 0..ROUNDS as u64 {
         let measured = measure(&node, options.seed ^ round, seconds)?;
         costs.push(measured.cpu_milliseconds_per_page);
         incomplete += measured.incomplete;
         pages += measured.pages;
-        let bare = measure(&bare_node, options.seed ^ round, seconds)?;
-        bare_costs.push(bare.cpu_milliseconds_per_page);
+        let baseline = measure(&baseline_node, options.seed ^ round, seconds)?;
+        baseline_costs.push(baseline.cpu_milliseconds_per_page);
     }
-    let (cost, bare_cost) = (median(costs), median(bare_costs));
+    let (cost, baseline_cost) = (median(costs), median(baseline_costs));
     let mut report = Report::default();
     report.check_at_least("pages", pages as f64, 100.0);
     report.check_at_most("answers not whole", incomplete as f64, 0.0);
-    report.check_at_most("core time a page beside bare calls", cost / bare_cost, 1.1);
+    report.check_at_most(
+        "core time a page beside bare calls",
+        cost / baseline_cost,
+        1.1,
+    );
     report.figure("core ms a page", cost);
-    report.figure("core ms a page of bare calls", bare_cost);
+    report.figure("core ms a page of bare calls", baseline_cost);
     report.figure("resident kB", node.resident_kilobytes()?);
     Ok(report)
 }
 
-/// The median of an even number of values.
+/// Returns the median of [`ROUNDS`] values, an even number.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     (values[ROUNDS / 2 - 1] + values[ROUNDS / 2]) / 2.0
--- a/crates/chaos/src/experiments/dependencies/checks.rs
+++ b/crates/chaos/src/experiments/dependencies/checks.rs
@@ -1,19 +1,19 @@
-//! The report of the fleet under test, beside those without fallbacks and with fixed limits.
+//! The report on the fleet under test, compared with the fleets without fallbacks and with fixed limits.
 use super::super::shop::{CEILING, DEPENDENCY_NAMES, RETRY_BUDGET};
-use super::schedule::{FaultWindow, CALM_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
+use super::schedule::{FaultWindow, BASELINE_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
 use super::timeline::Timeline;
 use crate::report::Report;
 use cottondyke_test_support::fake_dependency::FakeDependency;
 
-/// Seconds of load that must have been sent at the least.
+/// Minimum number of requests sent, in seconds of the full request rate.
 const MIN_LOAD_SECONDS: f64 = 10.0;
-/// Seconds of a window in which the fleet may adapt.
+/// Seconds at the start of a fault window in which the fleet may adapt.
 const ADAPT_SECONDS: f64 = 0.5;
-/// Seconds after a window whose value is shown.
-const AFTERMATH_SECONDS: f64 = 1.5;
+/// Length of the interval after a window for which the mean value is reported, in seconds.
+const POST_FAULT_SECONDS: f64 = 1.5;
 const MAX_RECOVERY_SECONDS: f64 = 5.0;
 
-/// What was run.
+/// Results of a run, on which the checks are based.
 struct Results<'a> {
     windows: &'a [FaultWindow],
     dependencies: &'a [FakeDependency],
@@ -23,7 +23,7 @@
     with_fixed_limits: &'a Timeline,
 }
 
-/// Checks the fleet under test, the first of the timelines, with its dependencies.
+/// Reports on the fleet under test, which has the first timeline and the given dependencies.
 pub(super) fn report(
     windows: &[FaultWindow],
     dependencies: &[FakeDependency],
@@ -60,7 +60,7 @@
         );
         report.check_at_most(
             "reqs answered after their due time",
-            timeline.count(|score| score.is_lost),
+            timeline.count(|score| score.is_timed_out),
             0.0,
         );
         report.check_at_most(
@@ -148,10 +148,10 @@
                 0.98,
             );
         }
-        let calm_end = CALM_SECONDS - ADAPT_SECONDS;
+        let baseline_end = BASELINE_SECONDS - ADAPT_SECONDS;
         report.check_at_least(
             "part whole before anything is wrong",
-            self.timeline.complete_fraction(0.0, calm_end),
+            self.timeline.complete_fraction(0.0, baseline_end),
             1.0,
         );
     }
@@ -180,7 +180,7 @@
         report.figure("spells", windows);
     }
 
-    /// A window's faults, and the value of answers in it and after it.
+    /// Describes a window: its faults, and the mean value of answers during and after it.
     fn describe(&self, window: &FaultWindow) -> String {
         let faults: Vec<String> = window
             .faults
@@ -196,7 +196,7 @@
             "{}: value {}, after it {}",
             faults.join(", "),
             values(window.start, window.end),
-            values(window.end, window.end + AFTERMATH_SECONDS)
+            values(window.end, window.end + POST_FAULT_SECONDS)
         )
     }
 }
--- a/crates/chaos/src/experiments/dependencies/mod.rs
+++ b/crates/chaos/src/experiments/dependencies/mod.rs
@@ -1,5 +1,5 @@
-//! Three nodes and four dependencies that fail singly and together, near capacity. Beside the fleet under test two
-//! others run on the same schedule: one without fallbacks, one with fixed limits and no breaker.
+//! Three nodes near capacity, and four dependencies that fail one at a time and together. Two more fleets run with the
+//! same schedule for comparison: one without fallbacks, and one with fixed limits and no breaker.
 
 mod checks;
 mod schedule;
@@ -12,13 +12,14 @@
 use crate::process::NodeProcess;
 use crate::report::Report;
 use cottondyke_test_support::fake_dependency::{FakeDependency, Fault};
-use schedule::{draw_schedule, FaultWindow, CALM_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
+use schedule::{draw_schedule, FaultWindow, BASELINE_SECONDS, LAST_RECOVERY_SECONDS, NODES, RATE};
 use std::time::{Duration, Instant};
 use timeline::Timeline;
 
 const CONNECTIONS: u64 = 4;
 const DEFAULT_SECONDS: u64 = 36;
-/// Beside the grace: a node makes no call until what its previous incarnation may have left there has ended.
+/// Added to the post-cancel grace period, during which a new node makes no calls because calls of a previous
+/// incarnation may still be running.
 const WARM_UP: Duration = Duration::from_millis(500);
 const SAFEGUARDS: [&str; 7] = [
     "budget", "limit", "adapt", "breaker", "hedge", "kept", "fallback",
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Starts the load of all its nodes.
+    /// Starts the load on all nodes.
     fn start_load(&self, seed: u64, window: TimeWindow) -> Vec<LoadGenerator> {
         let start = |(node, number): (&NodeProcess, u64)| {
             let load = LoadConfig {
@@ -66,14 +67,14 @@
         Fleet::start(options.seed, &["adapt", "breaker"], false)?,
     ];
     let start = Instant::now() + shop::POST_CANCEL_GRACE + WARM_UP;
-    let last_fault = windows.last().map_or(CALM_SECONDS, |window| window.end);
+    let last_fault = windows.last().map_or(BASELINE_SECONDS, |window| window.end);
     let end = start + Duration::from_secs_f64(last_fault + LAST_RECOVERY_SECONDS);
     let load_window = TimeWindow { start, end };
     let generators = fleets
         .each_ref()
         .map(|fleet| fleet.start_load(options.seed, load_window));
     for window in &windows {
-        play_window(window, &fleets, start);
+        run_fault_window(window, &fleets, start);
     }
     let timelines = generators.map(|generators| {
         let sent: Vec<_> = generators
@@ -89,8 +90,8 @@
     ))
 }
 
-/// Waits for a window, and sets its faults at all fleets until it ends.
-fn play_window(window: &FaultWindow, fleets: &[Fleet], start: Instant) {
+/// Waits for the start of a window, and injects its faults into all fleets until its end.
+fn run_fault_window(window: &FaultWindow, fleets: &[Fleet], start: Instant) {
     let sleep_until = |seconds: f64| {
         let at = start + Duration::from_secs_f64(seconds);
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
--- a/crates/chaos/src/experiments/dependencies/schedule.rs
+++ b/crates/chaos/src/experiments/dependencies/schedule.rs
@@ -1,40 +1,41 @@
-//! The load, and which dependencies fail when and how: drawn from a seed.
+//! The load, and the schedule of dependency faults, which is drawn from a seed.
 use super::super::shop::{CEILING, PAGE_PARTS};
 use cottondyke_test_support::fake_dependency::Fault;
 use std::time::Duration;
 
 pub(super) const NODES: usize = 3;
-/// Requests a second at each node: the dependencies can answer some 125 a second of each node's.
+/// Requests per second at each node. The dependencies can answer about 125 per second for each node.
 pub(super) const RATE: f64 = 90.0;
-/// Times of the schedule, in seconds: before the first fault, of a fault, after it, and after the last.
-pub(super) const CALM_SECONDS: f64 = 2.5;
+/// Durations of the schedule's phases, in seconds: before the first fault, during a fault, after a fault, and after the
+/// last fault.
+pub(super) const BASELINE_SECONDS: f64 = 2.5;
 const FAULT_SECONDS: f64 = 2.75;
 const RECOVERY_SECONDS: f64 = 2.25;
 pub(super) const LAST_RECOVERY_SECONDS: f64 = 3.0;
-/// Calls in flight that a dependency survives in the window before the last.
+/// Calls in flight that the dependency overloaded in the second-to-last window can handle.
 const OVERLOAD_LIMIT: u64 = CEILING / 3;
-/// Every call in so many is an outlier in the last window.
+/// In the last window one of this many calls is a latency outlier.
 const OUTLIER_INTERVAL: u32 = 60;
-/// Longer than the dependencies' budget.
+/// Longer than the time budget of a call to a dependency.
 const FIXED_LATENCY: Duration = Duration::from_millis(270);
 const SLOWDOWN: u32 = 6;
 
 /// A fault of one dependency.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DependencyFault {
-    /// The dependency's index.
+    /// Index of the dependency.
     pub(super) dependency: usize,
     pub(super) fault: Fault,
 }
 
-/// A time in which some dependencies fail, in seconds from the start of the load.
+/// An interval in which some dependencies fail, in seconds from the start of the load.
 pub(super) struct FaultWindow {
     pub(super) start: f64,
     pub(super) end: f64,
     pub(super) faults: Vec<DependencyFault>,
 }
 
-/// Draws the windows of a schedule of so many seconds; the last two are always an overload and latency outliers.
+/// Draws the fault windows of a schedule of the given length. The last two are always an overload and latency outliers.
 pub(super) fn draw_schedule(random: &mut fastrand::Rng, seconds: f64) -> Vec<FaultWindow> {
     let mut kinds = vec![
         Fault::Hang,
@@ -48,9 +49,9 @@
     let mut kinds = kinds.into_iter().cycle();
     let mut schedule = Schedule {
         windows: Vec::new(),
-        next_start: CALM_SECONDS,
+        next_start: BASELINE_SECONDS,
     };
-    // One, two and all three together, each at least once.
+    // Number of dependencies that fail at the same time; one, two and all three occur at least once.
     let mut fault_counts = vec![1, 3, 2, 2];
     random.shuffle(&mut fault_counts);
     for count in fault_counts {
@@ -77,7 +78,7 @@
 
 struct Schedule {
     windows: Vec<FaultWindow>,
-    /// When the next window starts, in seconds.
+    /// Start of the next window, in seconds.
     next_start: f64,
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// One dependency survives a third of what it should: the more is in flight, the less it does.
+/// One dependency handles only a third of its ceiling; its throughput falls as more calls are in flight.
 fn overload(random: &mut fastrand::Rng) -> DependencyFault {
     DependencyFault {
         dependency: random.usize(0..PAGE_PARTS),
@@ -98,7 +99,7 @@
     }
 }
 
-/// The dependency does not fail, but some calls of it take ten times their time.
+/// The dependency does not fail, but some of its calls take ten times their usual latency.
 fn latency_outliers(dependency: usize) -> DependencyFault {
     DependencyFault {
         dependency,
--- a/crates/chaos/src/experiments/dependencies/timeline.rs
+++ b/crates/chaos/src/experiments/dependencies/timeline.rs
@@ -1,22 +1,22 @@
-//! The requests of one fleet, by when they were due.
+//! The scored requests of one fleet, ordered by due time.
 use super::super::score::{score, RequestScore};
 use crate::load::SentRequest;
 use std::time::Instant;
 
-/// Requests are grouped by this many seconds to find when a fleet has recovered.
+/// Length of the slots by which requests are grouped to find when a fleet has recovered.
 const SLOT_SECONDS: f64 = 0.25;
-/// The fraction of a slot's requests that must be complete in a fleet that has recovered.
+/// A fleet has recovered once this fraction of a slot's requests is answered completely.
 const RECOVERED_FRACTION: f64 = 0.95;
 /// Added to the recovery time of a fleet that did not recover, so that it fails its bound.
 const NO_RECOVERY_PENALTY_SECONDS: f64 = 10.0;
 
 struct TimedScore {
-    /// When the request was due, in seconds from the start of the load.
+    /// Due time of the request, in seconds from the start of the load.
     due: f64,
     score: RequestScore,
 }
 
-/// All requests of a fleet, in the order in which they were due.
+/// All requests of a fleet, ordered by due time.
 pub(super) struct Timeline {
     requests: Vec<TimedScore>,
 }
@@ -32,7 +32,7 @@
         Timeline { requests }
     }
 
-    /// The number of requests.
+    /// Returns the number of requests.
     pub(super) fn len(&self) -> f64 {
         self.requests.len() as f64
     }
@@ -42,7 +42,7 @@
         scores.filter(|score| predicate(score)).count() as f64
     }
 
-    /// The value of all answers.
+    /// Returns the total value of all answers.
     pub(super) fn value(&self) -> f64 {
         self.requests
             .iter()
@@ -50,7 +50,7 @@
             .sum()
     }
 
-    /// The mean value of answers to requests due in a window; 0 where there are none.
+    /// Returns the mean value of the answers to requests due in a window; 0 if there are none.
     pub(super) fn mean_value(&self, start: f64, end: f64) -> f64 {
         let scores: Vec<_> = self.due_within(start, end).collect();
         scores.iter().map(|score| score.value).sum::<f64>() / scores.len().max(1) as f64
@@ -63,7 +63,8 @@
             .map(|request| &request.score)
     }
 
-    /// The fraction answered completely and in time of the requests due in a window; 0 where there are none.
+    /// Returns the fraction of the requests due in a window that were answered completely and in time; 0 if there are
+    /// none.
     pub(super) fn complete_fraction(&self, start: f64, end: f64) -> f64 {
         let (mut all, mut complete) = (0.0, 0.0);
         for score in self.due_within(start, end) {
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Seconds from `start` until nearly all requests of a slot are answered completely, looked for up to `end`.
+    /// Returns the seconds from `start` to the first slot before `end` in which at least [`RECOVERED_FRACTION`] of the
+    /// requests are answered completely.
     pub(super) fn recovery_seconds(&self, start: f64, end: f64) -> f64 {
         let slots = ((end - start) / SLOT_SECONDS) as usize;
         let is_recovered = |slot: &usize| {
--- a/crates/chaos/src/experiments/mod.rs
+++ b/crates/chaos/src/experiments/mod.rs
@@ -13,25 +13,25 @@
 use crate::options::Options;
 use crate::report::Report;
 
-/// What can be run by name.
+/// An experiment that can be run by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Experiment {
-    /// Processes that share a budget, with faults of links, processes and disks.
+    /// Server processes that share a budget; faults of links, processes and disks.
     Budgets,
-    /// One process without faults.
+    /// One server process without faults.
     Calm,
-    /// Dependencies that fail.
+    /// Server processes whose dependencies fail.
     Dependencies,
-    /// Processes that are killed and restarted.
+    /// Server processes that are killed and restarted.
     Restarts,
-    /// Simulated clusters without faults, by their size.
+    /// Simulated clusters of several sizes, without faults.
     Scale,
     /// Simulated clusters with faults.
     Simulate,
 }
 
 impl Experiment {
-    /// The experiment of this name.
+    /// Returns the experiment with the given name.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "budgets" => Some(Experiment::Budgets),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The value of `trial` in the line that is printed, which tools read: it outlives the names of commands.
+    /// The value of `trial` in the JSON report. Tools parse it, so it stays the same when a command is renamed.
     pub fn trial_name(self) -> &'static str {
         match self {
             Experiment::Budgets => "budgets",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Runs it to its end.
+    /// Runs the experiment to completion.
     pub fn run(self, options: &Options) -> Result<Report, Error> {
         match self {
             Experiment::Budgets => budgets::run(options),
--- a/crates/chaos/src/experiments/restarts.rs
+++ b/crates/chaos/src/experiments/restarts.rs
@@ -1,5 +1,5 @@
-//! Half of the nodes are killed and started again while their calls are in flight: calls in flight at a dependency
-//! stay under its ceiling.
+//! Kills and restarts half of the nodes while their calls are in flight, and checks that the calls in flight at each
+//! dependency stay within its ceiling.
 use super::shop::{self, CEILING};
 use crate::error::Error;
 use crate::load::{LoadGenerator, TimeWindow};
@@ -14,13 +14,13 @@
 const RESTARTS_PER_ROUND: usize = NODES / 2;
 const ROUND_DURATION: Duration = Duration::from_secs(2);
 const CONNECTIONS: u64 = 2;
-/// Requests a second at each node.
+/// Requests per second at each node.
 const RATE: f64 = 80.0;
-/// How many times slower the dependencies are than usual.
+/// Factor by which the dependencies are slower than usual.
 const SLOWDOWN: u32 = 3;
 const MIN_ANSWERED: f64 = 200.0;
 
-struct Rounds<'a> {
+struct RestartRounds<'a> {
     options: &'a Options,
     operator_text: String,
     random: fastrand::Rng,
@@ -29,13 +29,13 @@
     restarted: usize,
 }
 
-impl Rounds<'_> {
+impl RestartRounds<'_> {
     fn start_node(&self) -> Result<NodeProcess, Error> {
         NodeProcess::start(&self.operator_text, self.options.verbose)
     }
 
-    /// Sends load to all nodes, and restarts half of them meanwhile.
-    fn play(&mut self, round: u64) -> Result<(), Error> {
+    /// Sends load to all nodes, and restarts half of them in the meantime.
+    fn run_round(&mut self, round: u64) -> Result<(), Error> {
         let start = Instant::now();
         let end = start + ROUND_DURATION;
         let round_seed = self.options.seed ^ round << 16;
@@ -53,12 +53,12 @@
         std::thread::sleep(Duration::from_millis(self.random.u64(500..1_500)));
         self.random.shuffle(&mut self.nodes);
         for _ in 0..RESTARTS_PER_ROUND {
-            // An old process is gone before the new one starts; its calls may go on.
+            // The old process has exited before the new one starts, but its calls may continue at the dependencies.
             let mut old = self.nodes.remove(0);
             self.restarted += usize::from(old.is_running());
             drop(old);
             let new = self.start_node()?;
-            // Its clients come at once, while calls of its previous incarnation may still be in flight.
+            // Send load at once, while calls of the previous incarnation may still be in flight.
             let number = (NODES + generators.len()) as u64;
             generators.push(start_load(&new, number, Instant::now()));
             self.nodes.push(new);
@@ -72,7 +72,7 @@
 pub(super) fn run(options: &Options) -> Result<Report, Error> {
     let disabled = options.disabled_safeguards(&["restart"])?;
     let dependencies = shop::start_dependencies(options.seed)?;
-    let mut rounds = Rounds {
+    let mut rounds = RestartRounds {
         options,
         operator_text: shop::operator_text(&dependencies, NODES, &disabled),
         random: fastrand::Rng::with_seed(options.seed),
@@ -85,17 +85,17 @@
         rounds.nodes.push(node);
     }
     std::thread::sleep(shop::POST_CANCEL_GRACE);
-    // Slow, so that limits are reached and calls go on when their node is gone.
+    // Slow dependencies make nodes reach their limits, and leave calls running after their node was killed.
     for dependency in &dependencies {
         dependency.set_fault(Fault::Slow(SLOWDOWN));
     }
     for round in 0..ROUNDS as u64 {
-        rounds.play(round)?;
+        rounds.run_round(round)?;
     }
     Ok(report(&rounds, &dependencies))
 }
 
-fn report(rounds: &Rounds, dependencies: &[FakeDependency]) -> Report {
+fn report(rounds: &RestartRounds, dependencies: &[FakeDependency]) -> Report {
     let max_in_flight = |dependency: &FakeDependency| dependency.counts().max_in_flight;
     let max = dependencies.iter().map(max_in_flight).max();
     let expected_restarts = (ROUNDS * RESTARTS_PER_ROUND) as f64;
--- a/crates/chaos/src/experiments/scale.rs
+++ b/crates/chaos/src/experiments/scale.rs
@@ -1,13 +1,13 @@
-//! Simulated clusters without faults, by their size.
+//! Measures simulated clusters of several sizes, without faults.
 use crate::error::Error;
 use crate::options::Options;
 use crate::report::Report;
 use crate::simulation::{measure_scale, MAX_DETECTION_SECONDS, MAX_REALLOCATION_SECONDS};
 
-/// Sizes of the table, in members.
+/// Cluster sizes to measure, in members.
 const CLUSTER_SIZES: [usize; 3] = [10, 100, 1_000];
 
-/// Measures clusters of each size up to the options' member count.
+/// Measures a cluster of each size up to `options.members`.
 pub(super) fn run(options: &Options) -> Result<Report, Error> {
     options.disabled_safeguards(&[])?;
     let mut report = Report::default();
--- a/crates/chaos/src/experiments/score.rs
+++ b/crates/chaos/src/experiments/score.rs
@@ -1,13 +1,13 @@
-//! What an answer of the shop is worth, and whether it is what it claims to be.
+//! Scores answers to requests for the shop's page by completeness and latency, and checks them for consistency.
 use super::shop::{CLIENT_TIMEOUT, PAGE_PARTS, RESPONSE_TARGET};
 use crate::load::SentRequest;
 use cottondyke_test_support::fakes::ReceivedFrame;
 use serde_json::Value;
 
-/// The value of an answer after the response target, beside one in time.
+/// Factor for the value of an answer that arrives after the response target.
 const LATE_ANSWER_VALUE: f64 = 0.2;
 
-/// The value of a part by its state; an answer has the mean of its parts.
+/// Returns the value of a part by its state. The value of an answer is the mean over its parts.
 fn part_value(state: &str) -> f64 {
     match state {
         "whole" => 1.0,
@@ -18,24 +18,25 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct RequestScore {
+    /// Number of final answers.
     pub(super) answers: usize,
     pub(super) is_done: bool,
     pub(super) is_partial: bool,
-    /// Answered after the client's timeout, or never.
-    pub(super) is_lost: bool,
-    /// Done after the response target.
+    /// Answered after the client timeout, or not at all.
+    pub(super) is_timed_out: bool,
+    /// Answered after the response target.
     pub(super) is_late: bool,
-    /// The head says another thing than the body, or the body another than what the dependency sent.
+    /// The head contradicts the body, or the body is not what the dependency sent.
     pub(super) is_inconsistent: bool,
-    /// From 0 to 1.
+    /// Between 0 and 1.
     pub(super) value: f64,
 }
 
 impl RequestScore {
-    /// Done with every part as its dependency sent it, in time.
+    /// Returns whether the request was answered in time, with every part from its own dependency.
     pub(super) fn is_complete(&self) -> bool {
         self.is_done && !self.is_partial && !self.is_late
     }
@@ -48,19 +49,19 @@
         ..RequestScore::default()
     };
     let Some((answer, latency)) = request.first_answer() else {
-        score.is_lost = true;
+        score.is_timed_out = true;
         return score;
     };
-    score.is_lost = latency > CLIENT_TIMEOUT;
+    score.is_timed_out = latency > CLIENT_TIMEOUT;
     score.is_done = answer.is_done();
     if !score.is_done {
         score.is_inconsistent = answer.frame.field("partial").is_some();
         return score;
     }
     score.is_late = latency > RESPONSE_TARGET;
-    let missing_parts = missing_parts(&answer.frame);
-    score.is_partial = !missing_parts.is_empty();
-    let body = score_body(&answer.frame.body, &missing_parts, request.body_bytes);
+    let degraded_parts = degraded_parts(&answer.frame);
+    score.is_partial = !degraded_parts.is_empty();
+    let body = score_body(&answer.frame.body, &degraded_parts, request.body_bytes);
     let body = body.unwrap_or(UNREADABLE_BODY);
     score.is_inconsistent = body.is_inconsistent;
     score.value = body.value
@@ -72,8 +73,8 @@
     score
 }
 
-/// The parts that the head lists as not from their own dependency.
-fn missing_parts(frame: &ReceivedFrame) -> Vec<&str> {
+/// Returns the parts that the head lists as not from their own dependency.
+fn degraded_parts(frame: &ReceivedFrame) -> Vec<&str> {
     let names = frame.field("partial");
     names
         .map(|names| names.split(',').collect())
@@ -90,8 +91,8 @@
     value: 0.0,
 };
 
-/// Scores an answer's body; none where it cannot be read.
-fn score_body(body: &[u8], missing_parts: &[&str], request_bytes: usize) -> Option<BodyScore> {
+/// Scores the body of an answer; `None` if it cannot be parsed.
+fn score_body(body: &[u8], degraded_parts: &[&str], request_bytes: usize) -> Option<BodyScore> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let parts = body.get("parts")?.as_object()?;
     let mut score = BodyScore {
@@ -105,13 +106,13 @@
             .get("body")
             .and_then(|body| body.get("of"))
             .and_then(Value::as_u64);
-        let is_listed = missing_parts.contains(&name.as_str());
-        // What came from a dependency is what it sent for this request's body.
+        let is_listed_degraded = degraded_parts.contains(&name.as_str());
+        // A part that came from a dependency must echo the length of this request's body.
         let is_from_dependency = matches!(state, "whole" | "kept" | "other");
-        let is_known = is_from_dependency || matches!(state, "fixed" | "missing");
-        score.is_inconsistent |= (state == "whole") == is_listed
+        let is_known_state = is_from_dependency || matches!(state, "fixed" | "missing");
+        score.is_inconsistent |= (state == "whole") == is_listed_degraded
             || is_from_dependency && echoed_bytes != Some(request_bytes as u64)
-            || !is_known;
+            || !is_known_state;
     }
     Some(score)
 }
--- a/crates/chaos/src/experiments/shop.rs
+++ b/crates/chaos/src/experiments/shop.rs
@@ -1,4 +1,4 @@
-//! The shop of the experiments with dependencies: its operator's file and its fake dependencies.
+//! The web shop that the experiments with dependencies run: its operator file and its fake dependencies.
 use crate::load::{LoadConfig, TimeWindow};
 use cottondyke_test_support::fake_dependency::{FakeDependency, FakeDependencyConfig};
 use std::fmt::Write;
@@ -7,23 +7,23 @@
 
 pub(super) const RESPONSE_TARGET: Duration = Duration::from_millis(420);
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Concurrency ceiling of each dependency, of all instances together.
+/// Concurrency ceiling of each dependency, over all instances.
 pub(super) const CEILING: u64 = 24;
-/// Retries and hedges, as a fraction of first calls.
+/// Limit of retries and hedges, as a fraction of first calls.
 pub(super) const RETRY_BUDGET: f64 = 0.1;
-/// How long calls may go on once they were cancelled.
+/// How long calls may continue at a dependency after they were cancelled.
 pub(super) const POST_CANCEL_GRACE: Duration = Duration::from_millis(300);
-/// The only page.
+/// Handler of the only page.
 const HANDLER: &str = "browse";
 const DISTINCT_BODIES: u64 = 200;
 
-/// The dependencies of one fleet: three of the page's, and the backup of prices.
+/// Dependencies of one fleet: one for each of the page's three parts, and the backup for prices.
 pub(super) const DEPENDENCY_NAMES: [&str; 4] = ["catalogue", "prices", "stock", "backup"];
 const BACKUP: &str = "backup";
-/// Dependencies of the page's own, from the first.
+/// Number of parts of the page. Their dependencies come first in [`DEPENDENCY_NAMES`].
 pub(super) const PAGE_PARTS: usize = 3;
 
-/// Starts the dependencies of one fleet, in the order of their names.
+/// Starts the dependencies of one fleet, in the order of [`DEPENDENCY_NAMES`].
 pub(super) fn start_dependencies(seed: u64) -> io::Result<Vec<FakeDependency>> {
     let config = |name: &str, index: u64| FakeDependencyConfig {
         mean_latency: Duration::from_millis(if name == BACKUP { 30 } else { 60 }),
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// The operator's file of each instance, with some safeguards off.
+/// Returns the text of the operator file of each instance, with the given safeguards switched off.
 pub(super) fn operator_text(
     dependencies: &[FakeDependency],
     instances: usize,
@@ -70,7 +70,7 @@
     text
 }
 
-/// Requests for the page, with a client's timeout for answers.
+/// Returns a load of requests for the page that waits one client timeout for answers.
 pub(super) fn load(rate: f64, connections: u64, seed: u64, window: TimeWindow) -> LoadConfig {
     LoadConfig {
         handler: HANDLER,
--- a/crates/chaos/src/experiments/simulate.rs
+++ b/crates/chaos/src/experiments/simulate.rs
@@ -1,4 +1,4 @@
-//! Many simulated clusters with faults, one a seed, on all cores.
+//! Runs many simulated clusters with faults, one for each seed, on all cores.
 use crate::error::Error;
 use crate::options::{Options, SHARED_BUDGET_SAFEGUARDS};
 use crate::report::Report;
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// Runs as many simulations as the options say, from their seed on.
+/// Runs `options.count` simulations with consecutive seeds that start at `options.seed`.
 pub(super) fn run(options: &Options) -> Result<Report, Error> {
     let disabled = options.disabled_safeguards(&SHARED_BUDGET_SAFEGUARDS)?;
     let is_enabled = |name: &str| !disabled.contains(&name);
--- a/crates/chaos/src/lib.rs
+++ b/crates/chaos/src/lib.rs
@@ -1,8 +1,8 @@
-//! Chaos experiments of cottondyke: faults drawn from a seed, with checks on what was promised under them.
+//! Chaos experiments for cottondyke: faults drawn from a seed, and checks of the guarantees that must hold under them.
 //!
-//! [`experiments`] run the real program as processes among fake peers on loopback; [`simulation`] plays the cores of
-//! many cluster members in simulated time. Both come to a [`report::Report`], which the program `cottondyke-chaos`
-//! prints as one line of JSON.
+//! [`experiments`] starts real server processes with fake clients and dependencies on the loopback interface;
+//! [`simulation`] runs the deterministic cores of many cluster members in simulated time. Both produce a
+//! [`report::Report`], which the binary `cottondyke-chaos` prints as one line of JSON.
 
 pub mod error;
 pub mod experiments;
--- a/crates/chaos/src/load.rs
+++ b/crates/chaos/src/load.rs
@@ -1,4 +1,5 @@
-//! An open-loop load generator: requests go out when they are due, whatever has come back, and each is timed from then.
+//! An open-loop load generator: requests are sent when they are due, regardless of outstanding answers, and latency is
+//! measured from the due time.
 use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, ReceivedFrame};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -6,18 +7,18 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// Frame types of the server's protocol.
 const REQUEST_FRAME: u8 = 1;
 const ANSWER_FRAME: u8 = 2;
-/// The code of an answer to a request that was done.
+/// Code of the answer to a request that completed successfully.
 const DONE_CODE: u8 = 1;
 
-/// An answer and when it arrived.
+/// An answer and its arrival time.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
-    pub(crate) at: Instant,
+    pub(crate) received_at: Instant,
     pub(crate) frame: ReceivedFrame,
 }
 
@@ -27,55 +28,58 @@
     }
 }
 
-/// One request.
+/// A request that was sent, with its answers.
 #[derive(Clone, Debug)]
 pub(crate) struct SentRequest {
-    /// When it was due to be sent.
+    /// When the request was due to be sent.
     pub(crate) due: Instant,
     pub(crate) body_bytes: usize,
-    /// Its final answers: more than one is a fault of the server.
+    /// Final answers to the request; more than one is a server error.
     pub(crate) answers: Vec<Answer>,
 }
 
 impl SentRequest {
-    /// The first answer, and how long after the request was due it arrived.
+    /// Returns the first answer and its latency, measured from the due time of the request.
     pub(crate) fn first_answer(&self) -> Option<(&Answer, Duration)> {
         let answer = self.answers.first()?;
-        Some((answer, answer.at.saturating_duration_since(self.due)))
+        Some((
+            answer,
+            answer.received_at.saturating_duration_since(self.due),
+        ))
     }
 }
 
-/// A time in which requests are sent.
+/// The interval in which requests are sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimeWindow {
     pub(crate) start: Instant,
     pub(crate) end: Instant,
 }
 
-/// What a load generator sends.
+/// Configuration of a [`LoadGenerator`].
 #[derive(Clone, Debug)]
 pub(crate) struct LoadConfig {
     pub(crate) handler: &'static str,
-    /// Requests a second, of all connections together.
+    /// Requests per second, over all connections.
     pub(crate) rate: f64,
     pub(crate) connections: u64,
-    /// Different bodies among the requests: what is cached of one serves others of its kind.
+    /// Number of different request bodies. Requests with the same body share cache entries.
     pub(crate) distinct_bodies: u64,
-    /// The first four digits of the requests' ids, in hexadecimal.
+    /// First four hexadecimal digits of each request id.
     pub(crate) tag: u64,
     pub(crate) seed: u64,
     pub(crate) window: TimeWindow,
-    /// How long answers are awaited once the window has ended.
+    /// How long to wait for answers after the end of the window.
     pub(crate) answer_timeout: Duration,
 }
 
-/// Clients on several connections to one node.
+/// Sends requests to one node over several connections.
 pub(crate) struct LoadGenerator {
     connections: Vec<JoinHandle<Vec<SentRequest>>>,
 }
 
 impl LoadGenerator {
-    /// Starts clients that share the rate; each connects when the window begins.
+    /// Starts one thread per connection; the rate is divided among them. Connections open when the window begins.
     pub(crate) fn start(addr: SocketAddr, config: &LoadConfig) -> Self {
         let start_connection = |connection: u64| {
             let config = LoadConfig {
@@ -90,7 +94,7 @@
         }
     }
 
-    /// All that was sent, once the last answers have had their time.
+    /// Waits until the answer timeout has passed, and returns all requests that were sent.
     pub(crate) fn join(self) -> Vec<SentRequest> {
         self.connections
             .into_iter()
@@ -102,7 +106,7 @@
 
 fn run_connection(addr: SocketAddr, config: &LoadConfig) -> Vec<SentRequest> {
     let window = config.window;
-    // A connection that carries nothing for long is closed: it opens when it is needed.
+    // Connect only when the window begins: the server closes idle connections.
     sleep_until(window.start);
     let connected = FakeSidecar::connect(addr).and_then(|sidecar| {
         let remaining = window.end.saturating_duration_since(Instant::now());
@@ -116,7 +120,7 @@
     };
     let answers = std::thread::spawn(move || receive_answers(reader));
     let mut sent = send_requests(&mut writer, config);
-    // The last answers come within a client timeout.
+    // The last answers arrive within a client timeout of the end of the window.
     sleep_until(window.end + config.answer_timeout);
     let _ = writer.shutdown(Shutdown::Both);
     for answer in answers.join().unwrap_or_default() {
@@ -127,19 +131,19 @@
     sent
 }
 
-/// Receives answers until the connection ends.
+/// Receives answers until the connection closes.
 fn receive_answers(mut reader: FakeSidecar) -> Vec<Answer> {
     let mut answers = Vec::new();
     while let Ok(frame) = reader.receive() {
         if frame.kind == ANSWER_FRAME && frame.stream > 0 {
-            let at = Instant::now();
-            answers.push(Answer { at, frame });
+            let received_at = Instant::now();
+            answers.push(Answer { received_at, frame });
         }
     }
     answers
 }
 
-/// Sends requests with exponentially distributed gaps, the first on stream 1.
+/// Sends requests with exponentially distributed intervals; stream numbers start at 1.
 fn send_requests(writer: &mut TcpStream, config: &LoadConfig) -> Vec<SentRequest> {
     let mut random = fastrand::Rng::with_seed(config.seed);
     let mut sent = Vec::new();
@@ -151,13 +155,13 @@
         }
         sleep_until(due);
         let body = format!("{:08}", random.u64(0..config.distinct_bodies));
-        let number = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
         let id = format!("{:04x}{number:012x}", config.tag);
-        let at = unix_ms().to_string();
+        let sent_at = unix_ms().to_string();
         let fields = [
             ("class", config.handler),
             ("id", &id),
-            ("at", &at),
+            ("at", &sent_at),
             ("from", "1"),
             ("kb", "4.0"),
         ];
--- a/crates/chaos/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -1,4 +1,4 @@
-//! `cottondyke-chaos`: runs one experiment and prints its report.
+//! Command-line entry point of `cottondyke-chaos`: runs one experiment and prints its report.
 use cottondyke_chaos::experiments::Experiment;
 use cottondyke_chaos::options::{parse_arguments, Command, HELP};
 use std::process::ExitCode;
@@ -22,7 +22,7 @@
         }
     };
     let Some(experiment) = Experiment::from_name(&name) else {
-        eprintln!("cottondyke-chaos: unknown trial {name:?}; see cottondyke-chaos --help");
+        eprintln!("cottondyke-chaos: unknown experiment {name:?}; see cottondyke-chaos --help");
         return ExitCode::from(EXIT_BAD_USAGE);
     };
     match experiment.run(&options) {
@@ -36,7 +36,7 @@
         }
         Err(error) => {
             eprintln!("cottondyke-chaos: {name}: {error}");
-            ExitCode::from(if error.is_usage() {
+            ExitCode::from(if error.is_usage_error() {
                 EXIT_BAD_USAGE
             } else {
                 EXIT_CHECK_FAILED
--- a/crates/chaos/src/options.rs
+++ b/crates/chaos/src/options.rs
@@ -1,40 +1,41 @@
-//! The command line of `cottondyke-chaos`.
+//! Command-line parsing of `cottondyke-chaos`.
 use crate::error::Error;
 use lexopt::prelude::*;
 use std::ffi::OsString;
 
-/// What `--help` prints.
+/// The text that `--help` prints.
 pub const HELP: &str = "\
-cottondyke-chaos - experiments with cottondyke among fakes that fail by a seeded schedule
+cottondyke-chaos - fault-injection experiments with cottondyke; all faults are drawn from a seed
 
-usage: cottondyke-chaos run NAME [--seed N] [--without DEFENCE] [--seconds S] [--verbose]
+usage: cottondyke-chaos run NAME [--seed N] [--without SAFEGUARD] [--seconds S] [--verbose]
        cottondyke-chaos scale [--seed N] [--members M]
-       cottondyke-chaos simulate [--seed N] [--count K] [--members M] [--without DEFENCE] [--verbose]
+       cottondyke-chaos simulate [--seed N] [--count K] [--members M] [--without SAFEGUARD] [--verbose]
 
 experiments:
-  dependencies   3 nodes and 4 dependencies that hang, slow down, reset, respond late and corrupt their responses;
-                 --without budget, limit, adapt, breaker, hedge, kept or fallback
-  calm           one node and no faults: what a page costs beside one without limits and breakers
-  restarts       nodes that are killed and started again, and the concurrency ceiling of a dependency;
-                 --without restart
-  budgets        8 instances that share a ceiling, links partitioned and stalled, processes paused, killed and without
-                 their disk; --without lease, fence, linger or need
+  dependencies   3 nodes and 4 dependencies that hang, slow down, reset connections, respond late, return errors and
+                 return corrupt responses; --without budget, limit, adapt, breaker, hedge, kept or fallback
+  calm           one node without faults: CPU time per page, compared with a node that has all safeguards off
+  restarts       nodes are killed and restarted while calls are in flight; checks the concurrency ceiling of
+                 each dependency; --without restart
+  budgets        8 instances share one concurrency ceiling; links are partitioned and stalled, processes are paused,
+                 killed, drained and lose their disks; --without lease, fence, linger or need
 
-scale: quiet simulated clusters of 10, 100 and 1,000 members (M at most): their traffic, and how quickly they react
+scale: simulated clusters of 10, 100 and 1,000 members (at most M) without faults: traffic, and time to detect a dead
+  member and to move quota
 
-simulate: K simulated clusters (default 100) of 5 to M members (default 100) from seed N on, the sum of units in
-  use checked against the budget's total after every step; --without lease, fence, linger or need
+simulate: K simulated clusters (default 100) of 5 to M members (default 100), with seeds from N; checks the sum of units
+  in use against the budget's total after every step; --without lease, fence, linger or need
 
 options:
-  --seed N           draws the schedule (default 1)
-  --without DEFENCE  runs with one safeguard off
-  --seconds S        how long the schedule is (each experiment has its own default)
-  --verbose          what the nodes log goes to standard error
+  --seed N             seed of the schedule (default 1)
+  --without SAFEGUARD  switches one safeguard off
+  --seconds S          length of the schedule (the default depends on the experiment)
+  --verbose            copies the logs of the nodes to standard error
 
 The last line on standard output is one JSON object with checks and figures.
-exit codes: 0 every check holds, 1 one does not, 2 bad usage";
+exit codes: 0 all checks hold, 1 a check or the experiment failed, 2 usage error";
 
-/// Safeguards of a budget that instances share, as `--without` names them.
+/// Safeguards of budgets that instances share, by their names in `--without`.
 pub const SHARED_BUDGET_SAFEGUARDS: [&str; 4] = ["lease", "fence", "linger", "need"];
 
 const DEFAULT_SEED: u64 = 1;
@@ -43,20 +44,20 @@
 const MIN_MEMBERS: usize = 5;
 const MAX_MEMBERS: usize = 1_000;
 
-/// How an experiment is run.
+/// Options of an experiment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Draws the schedule, or the first of several runs.
+    /// Seed of the schedule; with several runs, the seed of the first one.
     pub seed: u64,
-    /// The one safeguard that is switched off.
+    /// The safeguard to switch off.
     pub without: Option<String>,
-    /// How long the schedule is, where that is not the experiment's default.
+    /// Length of the schedule; the experiment's default if not given.
     pub seconds: Option<u64>,
-    /// Whether processes' logs go to standard error.
+    /// Whether to copy the logs of server processes to standard error.
     pub verbose: bool,
-    /// Simulations to run.
+    /// Number of simulations to run.
     pub count: u64,
-    /// Most members of a simulated cluster.
+    /// Maximum number of members of a simulated cluster.
     pub members: usize,
 }
 
@@ -74,7 +75,7 @@
 }
 
 impl Options {
-    /// The safeguards that are switched off; an error where the experiment does not know one.
+    /// Returns the safeguards to switch off, or an error if the experiment does not know the given one.
     pub fn disabled_safeguards(&self, known: &[&'static str]) -> Result<Vec<&str>, Error> {
         match self.without.as_deref() {
             Some(without) if !known.contains(&without) => Err(Error::UnknownSafeguard {
@@ -86,35 +87,35 @@
     }
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// The help text.
+    /// Prints the help text.
     Help,
-    /// An experiment.
+    /// Runs an experiment.
     Run {
-        /// Its name, as given.
+        /// Name of the experiment, as given.
         experiment: String,
-        /// How it is run.
+        /// Options of the experiment.
         options: Options,
     },
 }
 
-/// A command line that cannot be understood.
+/// An invalid command line.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// An option is unknown, or its value cannot be read.
+    /// An option is unknown, or its value is invalid.
     #[error(transparent)]
     Option(#[from] lexopt::Error),
-    /// `run` without a name.
-    #[error("run: which experiment?")]
+    /// `run` was given without the name of an experiment.
+    #[error("run: missing the name of an experiment")]
     MissingExperiment,
-    /// The first word is no command.
+    /// The command does not exist or does not take the given arguments.
     #[error("unknown command {0:?}")]
     UnknownCommand(String),
 }
 
-/// Reads the arguments that follow the program's name.
+/// Parses the arguments after the program name.
 pub fn parse_arguments(
     arguments: impl IntoIterator<Item = OsString>,
 ) -> Result<Command, UsageError> {
--- a/crates/chaos/src/process.rs
+++ b/crates/chaos/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the real program, each with an operator's file of its own.
+//! Server processes, each with its own operator file.
 use crate::error::Error;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
@@ -9,43 +9,43 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
-/// How long a process may take until it serves.
+static NEXT_PROCESS_NUMBER: AtomicU64 = AtomicU64::new(1);
+/// How long a process may take to start listening.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A running process; it is killed when it is dropped.
+/// A server process; killed on drop.
 pub(crate) struct NodeProcess {
     child: Child,
     operator_file: PathBuf,
-    /// Where it serves sidecars.
+    /// The address for sidecars.
     pub(crate) addr: SocketAddr,
-    /// Where other instances reach it, if it is one of a cluster.
+    /// The address for other instances, if the process is a cluster member.
     pub(crate) peer_addr: Option<SocketAddr>,
 }
 
-/// Where a process listens.
+/// The listen addresses of a process.
 struct ListenAddresses {
     sidecars: SocketAddr,
     peers: Option<SocketAddr>,
 }
 
-/// The program, which lies beside this one.
-fn program_path() -> Result<PathBuf, Error> {
+/// Returns the path of the server binary, which is in the directory of this binary.
+fn server_binary_path() -> Result<PathBuf, Error> {
     let path = std::env::current_exe()?.with_file_name("cottondyke");
     if !path.exists() {
-        return Err(Error::ProgramMissing { path });
+        return Err(Error::ServerBinaryNotFound { path });
     }
     Ok(path)
 }
 
 impl NodeProcess {
-    /// Starts a process on an operator's file, and waits until it serves.
+    /// Starts a process with the given operator file, and waits until it listens.
     pub(crate) fn start(operator_text: &str, verbose: bool) -> Result<Self, Error> {
-        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_PROCESS_NUMBER.fetch_add(1, Ordering::Relaxed);
         let file_name = format!("cottondyke-lab-{}-{number}.star", std::process::id());
         let operator_file = std::env::temp_dir().join(file_name);
         std::fs::write(&operator_file, operator_text)?;
-        let mut child = Command::new(program_path()?)
+        let mut child = Command::new(server_binary_path()?)
             .args(["serve", "--operator"])
             .arg(&operator_file)
             .env_remove("GW_CONFIG")
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether it says that it is the leader, by what `cottondyke peers` prints of it.
+    /// Returns whether the process reports itself as the leader in the output of `cottondyke peers`.
     pub(crate) fn is_leader(&self) -> bool {
         let status = self.cluster_status();
         status.is_some_and(|status| status["leads"] == true)
@@ -77,56 +77,56 @@
 
     fn cluster_status(&self) -> Option<serde_json::Value> {
         let peers = self.peer_addr?.to_string();
-        let output = Command::new(program_path().ok()?)
+        let output = Command::new(server_binary_path().ok()?)
             .args(["peers", &peers, "--json"])
             .output()
             .ok()?;
         serde_json::from_slice(&output.stdout).ok()
     }
 
-    /// Stops the process where it is.
+    /// Pauses the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process with SIGCONT.
     pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to drain and end.
+    /// Sends SIGTERM, on which the process drains and exits.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            // A process that has ended needs no signal.
+            // Ignored: the process may have exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// CPU time used so far, in seconds.
+    /// Returns the CPU time used so far, in seconds.
     pub(crate) fn cpu_seconds(&self) -> Result<f64, Error> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
         let nanoseconds: f64 = text
             .split_whitespace()
             .next()
             .and_then(|field| field.parse().ok())
-            .ok_or(Error::NoCpuTime)?;
+            .ok_or(Error::CpuTimeUnavailable)?;
         Ok(nanoseconds / 1e9)
     }
 
-    /// Resident memory, in kilobytes.
+    /// Returns the resident memory, in kilobytes.
     pub(crate) fn resident_kilobytes(&self) -> Result<u64, Error> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         text.lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
             .and_then(|value| value.trim().trim_end_matches(" kB").parse().ok())
-            .ok_or(Error::NoMemoryUsage)
+            .ok_or(Error::MemoryUsageUnavailable)
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process is still running.
     pub(crate) fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Reads the log to its end on a thread, so that the process never waits for its reader.
+/// Reads the log on a thread until it ends, so that the process never blocks on a full pipe.
 fn read_log(stderr: Option<ChildStderr>, number: u64, verbose: bool) -> Receiver<String> {
     let (lines, log) = channel();
     std::thread::spawn(move || {
@@ -149,14 +149,14 @@
             if verbose {
                 eprintln!("node {number}: {line}");
             }
-            // The channel holds what one start logs: after that nobody receives.
+            // Fails after startup, when the receiver has been dropped; the log must still be drained.
             let _ = lines.send(line);
         }
     });
     log
 }
 
-/// Reads the log up to the lines that say where the process listens.
+/// Reads the log until the process has logged its listen addresses.
 fn wait_until_serving(
     log: &Receiver<String>,
     is_clustered: bool,
--- a/crates/chaos/src/report.rs
+++ b/crates/chaos/src/report.rs
@@ -1,16 +1,16 @@
-//! What an experiment found: checks with their bounds, and figures.
+//! The report of an experiment: checks with their bounds, and figures.
 use crate::options::Options;
 use serde_json::{json, Map, Value};
 
-/// Measures how much of the machine's CPU time went to others, from when it was started.
+/// Measures the steal time of the machine's CPUs (time that the hypervisor gave to other guests).
 ///
-/// On a machine that is shared a core may be away for most of a second, and what waits for it, packets too, is late by
-/// as much. Nothing that rests on time can be shown then.
+/// On a shared machine a core may be unavailable for most of a second, which delays everything that waits for it by as
+/// much, including packets. Checks that depend on timing are meaningless then.
 pub struct StolenTimeMonitor {
     start: CpuTime,
 }
 
-/// CPU time in the kernel's ticks, of all cores together.
+/// CPU time in kernel ticks, summed over all cores.
 #[derive(Clone, Copy)]
 struct CpuTime {
     total: f64,
@@ -18,7 +18,7 @@
     is_known: bool,
 }
 
-/// Fields of the first line of `/proc/stat` that are summed: user, nice, system, idle, iowait, irq, softirq, steal.
+/// Number of fields of the first line of `/proc/stat` to sum: user, nice, system, idle, iowait, irq, softirq, steal.
 const CPU_TIME_FIELDS: usize = 8;
 const STEAL_FIELD: usize = 7;
 
@@ -41,14 +41,14 @@
 }
 
 impl StolenTimeMonitor {
-    /// Starts to measure.
+    /// Starts a measurement.
     pub fn start() -> Self {
         StolenTimeMonitor {
             start: CpuTime::now(),
         }
     }
 
-    /// The fraction of all cores' time since the start that was given to others; 0 where the kernel does not tell.
+    /// Returns the fraction of all cores' time since the start that was stolen; 0 if the kernel does not report it.
     pub fn stolen_fraction(&self) -> f64 {
         let now = CpuTime::now();
         if !now.is_known || !self.start.is_known {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The fraction of stolen time up to which checks that rest on time are judged.
+/// Checks that depend on timing are enforced only up to this fraction of stolen time.
 const MAX_STOLEN_FRACTION: f64 = 0.05;
 
 struct Check {
@@ -69,34 +69,35 @@
     is_judged: bool,
 }
 
-/// Checks and figures of one experiment, in their order.
+/// Checks and figures of one experiment, in the order in which they were added.
 #[derive(Default)]
 pub struct Report {
     checks: Vec<Check>,
     figures: Map<String, Value>,
-    /// Whether too much time was stolen for checks that rest on time.
+    /// Whether too much CPU time was stolen to enforce checks that depend on timing.
     lacked_cpu_time: bool,
 }
 
 impl Report {
-    /// Checks from here on rest on time, and are judged only where the machine's cores were there.
+    /// Marks all checks added from here on as dependent on timing: they are enforced only if the fraction of stolen CPU
+    /// time since the start of `monitor` was small.
     pub fn require_cpu_time(&mut self, monitor: &StolenTimeMonitor) {
         let stolen = monitor.stolen_fraction();
         self.lacked_cpu_time = stolen > MAX_STOLEN_FRACTION;
         self.figure("part of the cores' time that was away", rounded(stolen));
     }
 
-    /// Checks that a value is `max` or less.
+    /// Adds a check that a value is at most `max`.
     pub fn check_at_most(&mut self, name: &'static str, value: f64, max: f64) {
         self.check(name, value, format!("at most {max}"), value <= max);
     }
 
-    /// Checks that a value is `min` or more.
+    /// Adds a check that a value is at least `min`.
     pub fn check_at_least(&mut self, name: &'static str, value: f64, min: f64) {
         self.check(name, value, format!("at least {min}"), value >= min);
     }
 
-    /// Checks that a value is more than `bound`.
+    /// Adds a check that a value is above `bound`.
     pub fn check_above(&mut self, name: &'static str, value: f64, bound: f64) {
         self.check(name, value, format!("over {bound}"), value > bound);
     }
@@ -111,19 +112,19 @@
         });
     }
 
-    /// Adds a figure that no check rests on.
+    /// Adds a figure, which does not affect whether the report passes.
     pub fn figure(&mut self, name: &str, value: impl Into<Value>) {
         self.figures.insert(name.to_string(), value.into());
     }
 
-    /// Whether every check that is judged holds.
+    /// Returns whether every enforced check holds.
     pub fn passes(&self) -> bool {
         self.checks
             .iter()
             .all(|check| check.holds || !check.is_judged)
     }
 
-    /// The report as one line of JSON, which tools read.
+    /// Formats the report as one line of JSON for tools to parse.
     pub fn to_json(&self, trial: &str, options: &Options) -> String {
         let checks: Vec<Value> = self.checks.iter().map(check_to_json).collect();
         json!({
@@ -148,7 +149,7 @@
     })
 }
 
-/// To four places.
+/// Rounds to four decimal places.
 fn rounded(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
