--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -89,8 +89,8 @@
     Ok(HandlerId(category))
 }
 
-/// Rounded up, while the client's time left is rounded down: either makes the deadline that is computed from it
-/// earlier, never later.
+/// The queueing delay of a request. It is rounded up and the client's time left is rounded down, so that rounding can
+/// only make a deadline that is computed from them earlier.
 fn queueing_delay(event: &Value) -> Result<Time, AdapterError> {
     let milliseconds = optional_number(event, "lay_ms")?.unwrap_or(0.0);
     let tenths = (milliseconds * TENTHS_PER_MS).ceil();
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes the controller's actions as commands of the wire format, in the documented order of the actions.
+//! Encodes the controller's actions as commands of the wire format, in the order of the fields of [`Actions`].
 
 use cottondyke_admission::{Actions, RequestId, Time};
 use serde_json::{json, Value};
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -2,7 +2,7 @@
 
 use cottondyke_settings::SettingsError;
 
-/// Why a batch could not be processed. The program exits on the first one.
+/// Why a batch could not be processed. The program exits at the first error.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
     /// A missing or invalid value of an event or of the settings.
--- a/crates/admission/src/actions.rs
+++ b/crates/admission/src/actions.rs
@@ -13,12 +13,13 @@
     pub do_not_retry: bool,
 }
 
-/// A rule of the policy. The variants are in the order in which the rules are evaluated.
+/// A rule of the policy. Each variant says what happens to the request for which the rule fires, and why. The variants
+/// are in the order in which the rules are evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Rejected: its deadline was reached before it was started.
+    /// Rejected: its deadline was reached before it was started, and it is not a duplicate.
     UnstartedAtDeadline,
-    /// Failed: its deadline was reached while it ran.
+    /// Failed: its deadline was reached after it was started, or it is a duplicate, whose original may have run.
     AtDeadline,
     /// Coalesced with the request that it repeats.
     Duplicate,
@@ -102,7 +103,7 @@
     pub advice: Option<f64>,
     /// The new idle timeout of connections, if it changes.
     pub idle_timeout: Option<Time>,
-    /// Call `tick` after this time. Ticks that were asked for earlier remain due.
+    /// Call `tick` when this duration has passed. Ticks that were asked for earlier remain due.
     pub next_tick: Option<Time>,
     /// The rules that fired, in the order in which they fired.
     pub firings: Vec<RuleFiring>,
--- a/crates/admission/src/arrival.rs
+++ b/crates/admission/src/arrival.rs
@@ -51,9 +51,12 @@
     NotExecuted,
     /// With an error or an unusable reply; it may have had its effect.
     Failed,
-    /// With an unknown result: it may have had its effect, and may still be running.
+    /// With an unknown result, for example because it timed out or its connection broke while the request was being
+    /// sent: it may have had its effect, and may still be running.
     Indeterminate,
-    /// With a broken connection, so that its result is unknown: it may have had its effect, and may still be running.
+    /// With a connection that broke after the request was sent, so that its result is unknown: it may have had its
+    /// effect, and may still be running. Unlike an indeterminate call, it may be repeated even if the dependency has no
+    /// spare capacity.
     Interrupted,
 }
 
--- a/crates/admission/src/caller_table.rs
+++ b/crates/admission/src/caller_table.rs
@@ -32,8 +32,8 @@
         self.last_seen.len()
     }
 
-    /// The number of callers seen within the advice lifetime as of the last call of `remove_expired`, and of those
-    /// seen since.
+    /// The number of callers seen within the advice lifetime. Callers that were last seen longer ago are subtracted
+    /// only by the next call of `remove_expired`.
     pub(crate) fn recent(&self) -> usize {
         self.recent
     }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -20,11 +20,11 @@
 pub enum AdviceFormat {
     /// They ignore it.
     Unused,
-    /// The probability that a caller does not skip this server, from 0 to 1.
+    /// The probability with which a caller sends a request to this server, from 0 to 1.
     Share,
     /// The maximum number of requests that a caller keeps in flight here.
     Credit,
-    /// The lowest rank of requests that callers still send, from 0 to 1.
+    /// Requests have ranks from 0 to 1; callers do not send those whose rank is below the advice.
     Rank,
 }
 
@@ -48,20 +48,22 @@
 pub struct ConcurrencyConfig {
     /// The number of cores.
     pub cores: usize,
-    /// The number of concurrent requests per core that a warm server survives.
+    /// The number of concurrent requests per core that a warm server survives: with more it counts as overloaded.
     pub overload_factor: f64,
-    /// The fraction of its full speed at which the server starts; 1 for a warm server.
+    /// The server's speed when it starts, as a fraction of its full speed; 1 for a warm server.
     pub start_capacity: f64,
     /// The longest time that a cold server takes to become warm after its start.
     pub warm_within: Time,
-    /// The window over which overload is measured; zero if the settings name none.
+    /// The window over which overload is measured. It is the window of the slow-start budget; zero if the settings name
+    /// none, and then there is no budget.
     pub overload_window: Time,
 }
 
 /// Calls to a dependency.
 #[derive(Clone, Copy, Debug)]
 pub struct CallConfig {
-    /// This server's share, if it has one: the mean number of calls in flight over `window`.
+    /// This server's share of the calls to a dependency that all servers call: the highest mean number of calls in
+    /// flight over `window` that it may have; `None` if there is no such limit.
     pub share: Option<f64>,
     /// The window over which the share is averaged.
     pub window: Time,
@@ -74,20 +76,21 @@
 pub struct CallerConfig {
     /// The number of callers according to the settings.
     pub expected: f64,
-    /// How long they keep an idle connection open.
+    /// How long callers keep an idle connection open.
     pub max_idle: Time,
-    /// How they interpret the load advice.
+    /// How callers interpret the load advice.
     pub advice_format: AdviceFormat,
-    /// How long they follow it.
+    /// How long callers follow load advice after they received it.
     pub advice_lifetime: Time,
-    /// The longest retry delay that they follow; 0 if they follow none.
+    /// The longest retry delay that callers follow; 0 if they follow none.
     pub max_retry_after: Time,
 }
 
 /// The configuration of an [`AdmissionController`](crate::AdmissionController).
 #[derive(Clone, Debug)]
 pub struct AdmissionConfig {
-    /// The shortest time between two inputs.
+    /// The shortest delay after which a tick can be requested. Requests are answered this long before their deadlines,
+    /// because the next tick may come only after them.
     pub resolution: Time,
     /// The handlers, indexed by their ids.
     pub handlers: Vec<Handler>,
@@ -97,7 +100,7 @@
     pub fleet_size: f64,
     /// The weights of the fleet's goal.
     pub goal: GoalWeights,
-    /// The cores, and what the server survives on them.
+    /// The cores, and how many concurrent requests on them the server survives.
     pub concurrency: ConcurrencyConfig,
     /// Whether and how a run can be cancelled.
     pub cancellation: Cancellation,
@@ -107,7 +110,7 @@
     pub memory: MemoryLimits,
     /// Calls to a dependency.
     pub calls: CallConfig,
-    /// How long after the shutdown signal requests that arrive may still run.
+    /// Requests that arrive within this time after the shutdown signal may still run.
     pub drain_grace: Time,
     /// The callers.
     pub callers: CallerConfig,
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -97,7 +97,7 @@
 /// );
 /// assert_eq!(actions.start, [id]);
 ///
-/// // The caller runs the request, answers it, and reports how the run ended.
+/// // The server runs the request, answers it, and reports how the run ended.
 /// let actions = controller.run_ended(Time(1_100), id, RunOutcome::Completed);
 /// assert!(actions.reject.is_empty() && actions.fail.is_empty());
 /// ```
--- a/crates/admission/src/histograms.rs
+++ b/crates/admission/src/histograms.rs
@@ -1,4 +1,4 @@
-//! Histograms over sliding windows: run times of a handler, and gaps between the requests of a caller.
+//! Histograms over sliding windows: run times of a handler, and gaps between consecutive requests of the same caller.
 
 use crate::windows::BUCKETS;
 use cottondyke_types::{SlidingWindow, Time};
@@ -37,7 +37,7 @@
     }
 }
 
-/// Gaps between the requests of one caller, as a histogram over a window.
+/// Gaps between consecutive requests of the same caller, counted over all callers, as a histogram over a window.
 pub(crate) struct GapHistogram {
     longest: Time,
     bins: SlidingWindow<GAP_BINS, BUCKETS>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The longest gap that a bin counts.
+    /// The longest gap that a bin counts; for the last bin, which has no upper bound, `longest`.
     pub(crate) fn upper_bound(&self, bin: usize) -> Time {
         Time(self.longest.0 >> (GAP_BINS - 2).saturating_sub(bin))
     }
--- a/crates/admission/src/inputs.rs
+++ b/crates/admission/src/inputs.rs
@@ -41,7 +41,7 @@
                 self.calls.occupancy.add_abandoned(now);
             }
             let has_ended = matches!(outcome, RunOutcome::Completed | RunOutcome::Failed);
-            if has_ended && request.is_unanswered_in(Phase::Running) {
+            if has_ended && request.is_unanswered_in(Phase::OnCore) {
                 self.costs.learn_ended(now, &request);
                 self.termination.record_run(now, &request);
             }
@@ -58,7 +58,7 @@
     pub fn run_overdue(&mut self, now: Time, id: RequestId) -> Actions {
         self.advance(now);
         if let Some(request) = self.requests.get_mut(id) {
-            if request.phase == Phase::Running && request.answered {
+            if request.phase == Phase::OnCore && request.answered {
                 request.phase = Phase::Overdue;
             }
         }
@@ -117,7 +117,8 @@
         )
     }
 
-    /// Time has passed. The first tick starts the server; `sample` is used when a load sample is due.
+    /// Time has passed. The first tick sets the answer to health checks to healthy. `sample` is used when a load sample
+    /// is due.
     pub fn tick(&mut self, now: Time, sample: LoadSample) -> Actions {
         self.advance(now);
         self.schedule.record_tick(now);
--- a/crates/admission/src/memory.rs
+++ b/crates/admission/src/memory.rs
@@ -3,12 +3,12 @@
 use crate::request::RequestRecord;
 use crate::request_table::RequestTable;
 
-/// The memory that queued and running requests and idempotency keys share, in kilobytes.
+/// The memory that requests, queued or started, and idempotency keys share, in kilobytes.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryLimits {
     /// The limit of the total.
     pub limit: f64,
-    /// The memory of a running request, as a multiple of its memory while queued.
+    /// The memory of a request from its start to its end, as a multiple of its memory while queued.
     pub running_factor: f64,
     /// The memory of one idempotency key.
     pub per_key: f64,
--- a/crates/admission/src/policy/call_limiter.rs
+++ b/crates/admission/src/policy/call_limiter.rs
@@ -4,13 +4,13 @@
 
 const SHARE_FRACTION: f64 = 0.9; // fraction of this server's share of calls that is used
 const SLOW_FACTOR: f64 = 4.0; // multiple of the long-term mean at which a call is slow, or may be abandoned
-const SHARED_TIMEOUT_FACTOR: f64 = 3.0; // further multiple for a shared dependency, unless backed off
+const SHARED_TIMEOUT_FACTOR: f64 = 3.0; // further factor for a shared dependency, unless skipped early
 const SINGLE_SLOW_FACTOR: f64 = 2.0; // multiple of the long-term mean at which a call is slow, one at a time
 const DECREASE_FACTOR: f64 = 0.85; // fraction of the limit that is kept after a call failed or was slow
 const MIN_DECREASE_FACTOR: f64 = 0.5; // the smallest fraction that is kept, for a limit below one
 const MAX_CALLS_PER_CORE: f64 = 4.0;
-const SPARE_FRACTION: f64 = 0.8; // part of the maximum that the limit keeps while nearly all calls succeed
-const MIN_SHARE: f64 = 0.25; // smallest part of the share in use when calls overload the dependency
+const SPARE_FRACTION: f64 = 0.8; // fraction of the maximum limit that shows spare capacity
+const MIN_SHARE: f64 = 0.25; // lower bound of the limit, as a fraction of a share that allows one call
 const SHORT_TERM_WEIGHT: f64 = 0.25; // weight of the newest call in the short-term mean
 
 /// Limits the calls to a dependency.
@@ -40,8 +40,8 @@
         share * SHARE_FRACTION * self.config.window.as_f64().max(1.0)
     }
 
-    /// How long one more call may be in flight without the share being exceeded over the window. A mean that
-    /// was checked only when a call began was exceeded by as much as the call then took.
+    /// How long one more call may be in flight without the share being exceeded over the window. It is not
+    /// enough to check the mean when a call begins: it is then exceeded by as much as the call takes.
     fn free_call_time(&self, now: Time) -> f64 {
         let allowance = self.config.share.map_or(f64::MAX, |share| self.allowance(share));
         allowance - self.occupancy.call_time(now)
@@ -72,8 +72,8 @@
     }
 
     /// How long to wait for a call if another attempt, or a response without the call, is possible.
-    pub(crate) fn early_timeout(&self, is_backed_off: bool) -> Time {
-        let factor = if is_backed_off || self.config.share.is_none() { 1.0 } else { SHARED_TIMEOUT_FACTOR };
+    pub(crate) fn early_timeout(&self, skips_early: bool) -> Time {
+        let factor = if skips_early || self.config.share.is_none() { 1.0 } else { SHARED_TIMEOUT_FACTOR };
         Time((self.times.long_term_mean * SLOW_FACTOR * factor) as i64)
     }
 
@@ -88,10 +88,12 @@
         self.config.share.is_none() || self.limit >= self.max_limit * SPARE_FRACTION
     }
 
-    /// Adapts the limit to the end of a call: down when calls fail or are slow, up as they succeed. A
-    /// dependency that refuses calls is probed with one call at a time; a tier that does not answer, whose
-    /// machines fail one by one, with one call per core. A shared dependency is overloaded by all its callers
-    /// together; many callers do that with one call each, so there the limit falls below one.
+    /// Adapts the limit to the end of a call: down when calls fail or are slow, up as they succeed. If the
+    /// dependency is not shared, calls that are not executed lower the limit to one call, which probes it.
+    /// Calls that fail, are slow or have no known result lower it only to one per core, because the machines
+    /// behind it fail one by one. A shared dependency is overloaded by all its callers together, and many
+    /// callers do that with one call each: the limit falls to one, and below one if the share allows one at a
+    /// time.
     pub(crate) fn call_ended(&mut self, now: Time, time: Time, outcome: CallOutcome) {
         let slow_factor = if self.single_call { SINGLE_SLOW_FACTOR } else { SLOW_FACTOR };
         let is_fast =
@@ -111,7 +113,8 @@
         }
     }
 
-    /// By how much the limit grows; if it is below one, by how much faster the call was than a slow one.
+    /// By how much the limit grows; if the limit is below one, the growth depends on how much faster the call
+    /// was than a slow one.
     fn increase(&self, time: f64, slow_time: f64) -> f64 {
         let margin = 1.0 - time / slow_time.max(1.0);
         if self.limit < 1.0 {
@@ -121,8 +124,8 @@
         }
     }
 
-    /// The fraction of the limit that is kept; if it is below one, by how much slower the call was than a
-    /// slow one.
+    /// The fraction of the limit that is kept; if the limit is below one, it depends on how much slower the
+    /// call was than a slow one.
     fn decrease_factor(&self, time: f64, slow_time: f64) -> f64 {
         let fraction = if self.limit < 1.0 { slow_time / time.max(1.0) } else { DECREASE_FACTOR };
         fraction.clamp(MIN_DECREASE_FACTOR, DECREASE_FACTOR)
--- a/crates/admission/src/policy/caller_tracker.rs
+++ b/crates/admission/src/policy/caller_tracker.rs
@@ -5,7 +5,7 @@
 const MIN_TRACKED: f64 = 4096.0; // smallest value of that bound, for few or no expected callers
 const FEW_CALLERS: f64 = 256.0; // connections that any server can hold: with no more callers, all stay open
 const GAP_BIN_MIDDLE: f64 = 0.75; // middle of a bin, as a fraction of its upper bound
-const CONNECT_COST: f64 = 0.15; // cost of a new connection, as part of the time callers leave one idle
+const CONNECT_COST: f64 = 0.15; // cost of a new connection, as a fraction of `max_idle`
 
 /// Tracks the callers of this server.
 pub(crate) struct CallerTracker {
@@ -19,17 +19,18 @@
         CallerTracker { config, table: CallerTable::new(now, config), idle_timeout: config.max_idle }
     }
 
-    /// Counts a request of a caller. The table is bounded: past its bound a new caller is not tracked, and
-    /// the number of callers stays there. On sockets the settings name no expected callers, which limited the
-    /// table to four: hence `MIN_TRACKED`.
+    /// Counts a request of a caller. Once the table is full, new callers are not tracked or counted. Where
+    /// the settings state no number of callers, as on a server that counts them by connection, one is
+    /// expected. That limited the table to four: hence `MIN_TRACKED`.
     pub(crate) fn count_request(&mut self, now: Time, caller: CallerId) {
         let max_tracked = (self.config.expected * TRACKED_FACTOR).max(MIN_TRACKED);
         self.table.count_request(now, caller, max_tracked);
     }
 
-    /// Departure: credit is divided among the callers that send here, if they identify themselves. Divided
-    /// among all expected callers, the credit at a front tier whose many callers each send rarely
-    /// (manila-main) was a thousandth of a request each, which callers read as: send nothing.
+    /// The number of callers among which credit is divided. Departure: only the callers that send here count,
+    /// if they identify themselves. Divided among all expected callers, the credit at a front tier whose many
+    /// callers each send rarely (manila-main) was a thousandth of a request each, which callers read as: send
+    /// nothing.
     pub(crate) fn senders(&self) -> f64 {
         if self.table.len() == 0 {
             self.config.expected.max(1.0)
@@ -38,11 +39,12 @@
         }
     }
 
-    /// Departure: an idle connection stays open for as long as that is worth its cost, by the observed gaps
-    /// between requests: until its caller returns, or until it has cost as much as a new connection. Covers
-    /// any front tier with many callers that return late: its idle connections filled the connection table,
-    /// which takes core time and gets callers rejected (finder-ro). Harms when gaps grow soon after
-    /// they were learned: each request then needs a new connection until the gaps are learned again.
+    /// The new idle timeout, if it changes. Departure: with more than `FEW_CALLERS` callers, it is the
+    /// timeout that would have cost least over the observed gaps between requests. A connection costs the
+    /// time that it is idle, and `CONNECT_COST` if its caller returns after it was closed. Covers any front
+    /// tier with many callers that return late: its idle connections filled the connection table, which takes
+    /// core time and gets callers rejected (finder-ro). Harms when gaps grow soon after they were learned:
+    /// each request then needs a new connection until the gaps are learned again.
     pub(crate) fn update_idle_timeout(&mut self, now: Time) -> Option<Time> {
         let CallerConfig { expected, max_idle, .. } = self.config;
         self.table.remove_expired(now);
--- a/crates/admission/src/policy/cost_estimator.rs
+++ b/crates/admission/src/policy/cost_estimator.rs
@@ -2,18 +2,20 @@
 use crate::{handler_cost::HandlerCost, request::RequestRecord, request_table::RequestTable};
 use crate::{AdmissionConfig, Handler, Time};
 
-const INITIAL_COST: f64 = 0.125; // cost of a request before any is known, as part of its response target
+const INITIAL_COST: f64 = 0.125; // cost assumed before any is known, as a fraction of the response target
 const MIN_SPEED: f64 = 0.1; // lowest speed assumed of a cold server, as a fraction of full speed
-const MIN_REMAINING: f64 = 0.25; // part of its cost that a run which has had more is still assumed to need
-const STALL_PRIOR: f64 = 4.0; // number of usual runs that the running ones must outweigh to show a stall
+const MIN_REMAINING: f64 = 0.25; // least remaining core time that is assumed, as a fraction of the cost
+/// Number of imaginary runs at their usual cost that `slowdown` includes: a few slow runs are not yet a
+/// stall.
+const STALL_PRIOR: f64 = 4.0;
 pub(crate) const EWMA_WEIGHT: f64 = 0.1; // weight of the newest value in running means
 
-/// The cost of requests on this server: time on a core of its own, learned per handler against the hint.
+/// The cost of requests on this server: core time, learned per handler as a multiple of the hinted cost.
 pub(crate) struct CostEstimator {
-    pub(crate) core_clock: f64, // core time that each request on the cores has had
+    pub(crate) core_clock: f64, // core time of a request that is on the cores all the time
     pub(crate) advanced_at: Time,
     handlers: Vec<HandlerCost>,
-    pub(crate) slowdown: f64, // observed cost of the running requests, as a multiple of their usual cost
+    pub(crate) slowdown: f64, // observed cost of the requests on the cores, as a multiple of their usual cost
 }
 
 /// The hinted cost of a request, or an assumed one if there is no hint.
@@ -36,7 +38,8 @@
         &self.handlers[request.handler_index()]
     }
 
-    /// The expected cost of a request while nothing stalls.
+    /// The expected cost of a request while the cores do not stall. While they stall, the runs on them make
+    /// no progress, although time passes.
     pub(crate) fn usual(&self, request: &RequestRecord) -> f64 {
         self.handler(request).expected(request)
     }
@@ -53,7 +56,7 @@
     }
 
     /// Accounts for the time since the last input, over which the runs shared `busy_cores`. Runs that have
-    /// had more than their cost show a stall.
+    /// used more core time than their usual cost raise `slowdown`: the cores may stall.
     pub(crate) fn advance(&mut self, now: Time, busy_cores: f64, requests: &RequestTable) {
         let on_core = requests.on_core().count() as f64;
         self.core_clock += (now - self.advanced_at).as_f64() * (busy_cores / on_core.max(1.0)).min(1.0);
--- a/crates/admission/src/policy/effects.rs
+++ b/crates/admission/src/policy/effects.rs
@@ -4,7 +4,7 @@
 use crate::{Actions, CallOutcome, Idempotency, Rejection, RequestId, Time};
 
 const MAX_ATTEMPTS: u32 = 3; // attempts of one call, the first included
-const STALL_SLOWDOWN: f64 = 2.0; // multiple of their usual cost at which running requests count as stalled
+const STALL_SLOWDOWN: f64 = 2.0; // `slowdown` from which the cores count as stalled
 
 impl AdmissionController {
     /// Answers a request with a failure, and cancels its run if it can be cancelled.
@@ -13,7 +13,7 @@
         request.answered = true;
         actions.fail.push(id);
         let request = request.clone();
-        if request.phase == Phase::Running && self.is_cancellable(&request) {
+        if request.phase == Phase::OnCore && self.is_cancellable(&request) {
             actions.cancel.push(id);
             self.costs.learn_cancelled(&request);
             self.termination.record_run(now, &request);
@@ -54,7 +54,8 @@
     }
 
     /// The timeout of the next attempt. A call that may be repeated is abandoned early: the next attempt may
-    /// succeed where this one hangs. A call that can be skipped leaves time for the rest of its run.
+    /// succeed where this one hangs. A call that can be skipped leaves time for the rest of its run; while
+    /// the limit is below one call per core, it is also abandoned early.
     fn call_timeout(&self, now: Time, request: &RequestRecord) -> Time {
         let (deadline, handler) = (self.deadline(request), self.priorities.handler(request));
         let may_skip = handler.skip_value > 0.0;
@@ -65,9 +66,9 @@
         let may_repeat = handler.idempotency == Idempotency::Idempotent
             && self.calls.has_spare_capacity()
             && request.attempts + 1 < MAX_ATTEMPTS;
-        let is_backed_off = may_skip && self.calls.limit < self.calls.cores;
-        let abandons_early = (may_repeat || is_backed_off) && self.calls.times.long_term_mean > 0.0;
-        let max_wait = if abandons_early { self.calls.early_timeout(is_backed_off) } else { time_left };
+        let skips_early = may_skip && self.calls.limit < self.calls.cores;
+        let abandons_early = (may_repeat || skips_early) && self.calls.times.long_term_mean > 0.0;
+        let max_wait = if abandons_early { self.calls.early_timeout(skips_early) } else { time_left };
         let timeout = time_left.min(max_wait).min(self.calls.max_call_time(now));
         timeout.max(self.schedule.resolution)
     }
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Runs to cancel again: a cancellation has no effect while the cores are frozen, so it is repeated with
-    /// each load sample.
+    /// Runs to cancel again: a cancellation has no effect while the cores stall, so it is repeated with each
+    /// load sample.
     pub(crate) fn repeated_cancellations(&self) -> Vec<RequestId> {
         let answered = self.requests.on_core().filter(|r| r.answered && self.is_cancellable(r));
         answered.map(RequestRecord::id).collect()
--- a/crates/admission/src/policy/load.rs
+++ b/crates/admission/src/policy/load.rs
@@ -1,29 +1,29 @@
 //! How loaded the server is, and in which order queued requests start.
 use crate::{controller::AdmissionController, request::RequestRecord, Time};
 
-// As fractions of the shortest response target: pending work per core below which there is no pressure, and
-// at which no more requests are wanted.
+// Load as a fraction of the shortest response target: `pressure` is 0 at low load and 1 at full load.
 const LOW_LOAD: f64 = 0.15;
 const FULL_LOAD: f64 = 0.6;
 const READ_DELAY_WEIGHT: f64 = 2.0; // weight of the read delay against pending work, in the advice to callers
-pub(crate) const ANSWER_FRACTION: f64 = 0.95; // part of the time left to shut down, by which all are answered
-const MIN_WANTED_SHARE: f64 = 0.25; // least share of traffic asked for, so that callers still get responses
+pub(crate) const ANSWER_FRACTION: f64 = 0.95; // fraction of the shutdown time by which all are answered
+const MIN_WANTED_SHARE: f64 = 0.25; // lowest `wanted_share` because of load: callers still get responses
 
 impl AdmissionController {
-    /// The work of running and queued requests, as time that all cores need for it.
+    /// The work of started and queued requests, as the time that all cores need for it.
     fn pending_work(&self) -> f64 {
         let remaining = |r| self.costs.remaining(r);
-        let running: f64 = self.requests.started().filter(|r| !r.answered).map(remaining).sum();
+        let started: f64 = self.requests.started().filter(|r| !r.answered).map(remaining).sum();
         let queued: f64 = self.requests.queued().map(|r| self.costs.current(r)).sum();
-        (running + queued) / self.concurrency.cores
+        (started + queued) / self.concurrency.cores
     }
 
-    /// The load that callers can take off this server, as a time.
+    /// The load from which the advice to callers is computed, as a time: pending work and read delay,
+    /// weighted.
     fn reducible_load(&self, now: Time) -> f64 {
         self.pending_work() / READ_DELAY_WEIGHT + self.advisor.read_delay(now) * READ_DELAY_WEIGHT
     }
 
-    /// The load above that at which no more requests are wanted.
+    /// By how much that load exceeds `READ_DELAY_WEIGHT` times full load, as a time.
     pub(crate) fn excess_load(&self, now: Time) -> f64 {
         let shortest_target = self.priorities.shortest_target.as_f64();
         (self.reducible_load(now) - READ_DELAY_WEIGHT * FULL_LOAD * shortest_target).max(0.0)
@@ -41,9 +41,9 @@
         load_share.min(if self.drain.is_some() { 0.0 } else { warm_share })
     }
 
-    /// Departure: while requests wait to be read the limit shrinks, so that the cores read first: an unread
-    /// request gets no answer, not even a rejection. Covers any burst, slow period or cold start in which
-    /// requests arrive faster than they are read.
+    /// Departure: while requests wait to be read the limit shrinks, so that core time is free for reading: an
+    /// unread request gets no answer, not even a rejection. Covers any burst, slow period or cold start in
+    /// which requests arrive faster than they are read.
     pub(crate) fn effective_limit(&self, now: Time) -> f64 {
         let fraction = (1.0 - self.pressure(self.advisor.read_delay(now))).clamp(0.0, 1.0);
         (self.concurrency.limit * fraction).max(1.0)
@@ -54,8 +54,7 @@
         self.requests.awaiting_call().count() as f64 / self.calls.limit
     }
 
-    /// Queued requests in the order of their start: by age or, if not all can be served in time, by value per
-    /// unit of work.
+    /// Queued requests in the order of their start: by age or, above low load, by value per unit of work.
     pub(crate) fn start_order(&self, now: Time) -> Vec<&RequestRecord> {
         let handler_gains = self.priorities.handler_gains(now);
         let tenant_gains = self.priorities.tenant_gains(now, now - self.concurrency.started_at);
--- a/crates/admission/src/policy/load_advisor.rs
+++ b/crates/admission/src/policy/load_advisor.rs
@@ -1,4 +1,4 @@
-//! The advice to callers: how much to send, and when to come back after a rejection.
+//! The advice to callers: how much to send, and when to retry after a rejection.
 use super::caller_tracker::CallerTracker;
 use super::cost_estimator::EWMA_WEIGHT;
 use crate::random::MultiplyWithCarry;
@@ -7,7 +7,8 @@
 
 const MIN_ADVICE_CHANGE: f64 = 0.02; // smallest relative change of the advice that is sent
 const EXPENSIVE_READING: f64 = 0.25; // fraction of the cores from which reading counts as expensive
-const MAX_RETRY_SHARE: f64 = 0.2; // part of that for reading retries above which rejections discourage them
+/// Fraction of expensive reading that retries may cause before rejections ask for no retry.
+const MAX_RETRY_SHARE: f64 = 0.2;
 
 /// Computes the advice to callers.
 pub(crate) struct LoadAdvisor {
@@ -44,15 +45,16 @@
             / (self.load.duration() * EXPENSIVE_READING * cores)
     }
 
-    /// Whether rejections ask for no retry. A further attempt has to be read; where reading is cheap, it
-    /// may still succeed on another server.
+    /// Whether rejections ask for no retry. They do if reading retries takes much core time; if reading is
+    /// cheap, a retry may still succeed on another server.
     pub(crate) fn discourages_retries(&self, now: Time, read_load: f64) -> bool {
         let LoadSums { arrivals, retries, rejections, .. } = self.load.sums(now);
         retries.max(rejections - 1.0) * read_load > MAX_RETRY_SHARE * arrivals
     }
 
-    /// How long after a rejection a caller may come back. If callers read no advice, the time for one request
-    /// of each caller; else a random fraction of the `excess` work, and at least `min_delay`.
+    /// How long after a rejection a caller may retry. If callers read no advice, the time in which this
+    /// server admits one request of each expected caller, shortened while reading is cheap; else a random
+    /// fraction of the `excess` load, plus `min_delay`.
     pub(crate) fn retry_after(&mut self, now: Time, read_load: f64, excess: f64, min_delay: f64) -> Time {
         let LoadSums { arrivals, rejections, .. } = self.load.sums(now);
         let retry_after = if self.config.advice_format == AdviceFormat::Unused {
--- a/crates/admission/src/policy/priority_weights.rs
+++ b/crates/admission/src/policy/priority_weights.rs
@@ -3,14 +3,14 @@
 use crate::{AdmissionConfig, GoalWeights, Handler, Time};
 use cottondyke_types::SECOND;
 
-const SHARE_WINDOW: f64 = 2.0; // window of tenants' shares, as a multiple of the longest client timeout
+const QUOTA_WINDOW: f64 = 2.0; // window of tenants' quotas, as a multiple of the longest client timeout
 
 /// The value of requests, by the goal's weights and the value of recent responses.
 pub(crate) struct PriorityWeights {
     pub(crate) handlers: Vec<Handler>,
     pub(crate) shortest_target: Time, // the shortest response target of any handler
     pub(crate) goal: GoalWeights,
-    quotas: Vec<f64>, // requests to this server within each tenant's share, over the ledger's window
+    quotas: Vec<f64>, // each tenant's quota at this server, in requests over the ledger's window
     ledger: ValueLedger,
 }
 
@@ -18,7 +18,7 @@
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         let (handlers, goal) = (config.handlers.clone(), config.goal);
         let longest_timeout = handlers.iter().map(|h| h.client_timeout).max().unwrap_or(Time(1));
-        let window = longest_timeout.scaled(SHARE_WINDOW);
+        let window = longest_timeout.scaled(QUOTA_WINDOW);
         let local_quota = |q: &f64| q / config.fleet_size.max(1.0) * window.as_f64() / SECOND.as_f64();
         let quotas: Vec<f64> = config.quotas.iter().map(local_quota).collect();
         let shortest_target = handlers.iter().map(|h| h.response_target).min().unwrap_or(Time(1));
@@ -43,8 +43,8 @@
         self.ledger.add_completed(now, request, self.value(request, fraction));
     }
 
-    /// The additional gain from a unit of value of those served worst; zero for the others. A unit of value
-    /// weighs more, the smaller their part of the total.
+    /// For each handler or tenant, the additional gain from a unit of its value: zero unless it is the worst
+    /// served, and larger the smaller its part of the offered value.
     fn worst_served_gains(weight: f64, sums: &[ValueSums]) -> Vec<f64> {
         let total: f64 = sums.iter().map(|s| s.offered).sum();
         let worst = sums.iter().map(ValueSums::served_fraction).fold(1.0, f64::min);
@@ -59,14 +59,14 @@
         extra_gains.iter().map(|extra| self.goal.total + extra).collect()
     }
 
-    /// The gain to the goal from a unit of each tenant's value, on a server of this age. Requests do not say
-    /// whether they are over their tenant's quota, where they have little value: completed requests fill the
-    /// quota first.
+    /// The gain to the goal from a unit of each tenant's value, on a server of this age. Requests are not
+    /// marked as over quota: a tenant is within its quota until its completed requests in the window reach
+    /// the quota. Beyond it, only the fraction `over_quota` of its value counts.
     pub(crate) fn tenant_gains(&self, now: Time, age: Time) -> Vec<f64> {
         let covered = (age.as_f64() / self.ledger.duration).min(1.0);
         let quotas = self.quotas.iter().map(|q| (q * covered).max(1.0));
         let uses: Vec<(ValueSums, f64)> = self.ledger.by_tenant(now).into_iter().zip(quotas).collect();
-        // A smaller fleet or retries raise all counts alike: shares are measured against the median tenant's.
+        // A smaller fleet or retries raise all counts alike: quotas are scaled by the median tenant's use.
         let mut ratios: Vec<f64> = uses.iter().map(|(sums, quota)| sums.offered_count / quota).collect();
         ratios.sort_by(f64::total_cmp);
         let median = ratios.get(ratios.len() / 2).map_or(1.0, |median| median.max(1.0));
--- a/crates/admission/src/policy/rules.rs
+++ b/crates/admission/src/policy/rules.rs
@@ -1,4 +1,5 @@
-//! The rules of the policy: the condition of each finds a request that needs its effect now.
+//! The rules of the policy. Each has a condition, which finds the request to which the rule applies now, if
+//! any, and an effect on that request.
 use crate::controller::AdmissionController;
 use crate::request::{Phase, RequestRecord};
 use crate::{Actions, RequestId, Rule, RuleFiring, Time};
@@ -6,7 +7,7 @@
 const FREE_UTILIZATION: f64 = 0.8; // fraction of the cores in use below which every request is admitted
 const TARGET_MARGIN: f64 = 0.8; // fraction of its target within which an arrival must be predicted to finish
 const MEMORY_FRACTION: f64 = 0.9; // fraction of the memory limit that is used
-const MAX_CALL_WAIT: f64 = 0.04; // wait for a call before it is skipped, as part of the time to the target
+const MAX_CALL_WAIT: f64 = 0.04; // wait before a call is skipped, as a fraction of the time to the target
 
 type Condition = fn(&AdmissionController, Time) -> Option<RequestId>;
 pub(crate) type Effect = fn(&mut AdmissionController, Time, RequestId, &mut Actions);
@@ -41,8 +42,8 @@
         self.deadline(request) - self.schedule.resolution <= now
     }
 
-    /// No request is lost: at its deadline it is answered, whatever else is running. It is rejected if none
-    /// of it ran; that is not known of a duplicate, whose original may have run.
+    /// No request is lost: at its deadline it is answered, whatever else is running. A request that was not
+    /// started is rejected; a duplicate is failed instead (`at_deadline`), because its original may have run.
     fn unstarted_at_deadline(&self, now: Time) -> Option<RequestId> {
         let is_first = |r: &&RequestRecord| r.arrival.duplicate_of.is_none();
         self.requests.queued().filter(is_first).find(|r| self.is_at_deadline(r, now)).map(RequestRecord::id)
@@ -61,21 +62,21 @@
         self.requests.queued().find(may_wait).map(RequestRecord::id)
     }
 
-    /// SERT: an idempotent run past the termination threshold is terminated for good, but not while it can
-    /// still finish within its response target.
+    /// SERT: an idempotent run past the termination threshold is terminated and not run again, but not while
+    /// it can still finish within its response target.
     fn past_threshold(&self, now: Time) -> Option<RequestId> {
         let is_past = |r: &&RequestRecord| {
             let is_late = now > r.target_at;
             is_late && now - r.started_at > self.termination.threshold(now, r, self.deadline(r))
         };
-        let running = self.requests.started().filter(|r| !r.answered && r.phase != Phase::Calling);
-        running.filter(|r| self.is_cancellable(r)).find(is_past).map(RequestRecord::id)
+        let runs = self.requests.started().filter(|r| !r.answered && r.phase != Phase::Calling);
+        runs.filter(|r| self.is_cancellable(r)).find(is_past).map(RequestRecord::id)
     }
 
-    /// The most recently started of the cancellable runs on the cores: the one that has had the least.
+    /// The most recently started of the cancellable runs on the cores: its termination wastes the least work.
     fn youngest_cancellable(&self) -> Option<RequestId> {
-        let running = self.requests.on_core().filter(|r| !r.answered && self.is_cancellable(r));
-        running.max_by_key(|r| (r.started_at, r.id())).map(RequestRecord::id)
+        let runs = self.requests.on_core().filter(|r| !r.answered && self.is_cancellable(r));
+        runs.max_by_key(|r| (r.started_at, r.id())).map(RequestRecord::id)
     }
 
     /// Keeps the runs on the cores within the concurrency ceiling, cold or warm: once more are seen,
@@ -157,8 +158,8 @@
     /// disk may return to the cores at once.
     fn next_to_start(&self, now: Time) -> Option<RequestId> {
         let on_core = self.requests.on_core().count() as f64;
-        let running = self.requests.started().count() as f64;
-        if on_core + 1.0 > self.effective_limit(now) || running + 1.0 > self.concurrency.max_running(now) {
+        let started = self.requests.started().count() as f64;
+        if on_core + 1.0 > self.effective_limit(now) || started + 1.0 > self.concurrency.max_started(now) {
             return None;
         }
         let uncancellable = self.requests.started().filter(|r| !self.is_cancellable(r)).count() as f64;
--- a/crates/admission/src/policy/slow_start.rs
+++ b/crates/admission/src/policy/slow_start.rs
@@ -13,12 +13,12 @@
     work: f64, // time on one core at full speed, in tenths of a millisecond
 }
 
-/// The slow-start budget: over the window in which overload is judged, no more work is started than the
-/// server does in that time at the speed that the settings state. Guards against all callers keeping a server
-/// busy as soon as it is back: the concurrency limit and the ceiling bound only what runs at once, and short
-/// runs pass through them at any rate.
+/// The slow-start budget: over `window`, no more work is started than a cold server can do in that time at
+/// the speed that the settings state. It is needed because all callers may send to a server as soon as it is
+/// back after a restart: the concurrency limit and the ceiling bound only what runs at once, and short runs
+/// pass through them at any rate.
 pub(crate) struct SlowStartBudget {
-    window: Time,                   // zero if the settings name none: no budget
+    window: Time,                   // the `overload_window`; zero if the settings name none: no budget
     started: VecDeque<StartedWork>, // work of the window, oldest first
     total: f64,                     // the sum of their work
     offered: SlidingWindow<1, BUCKETS>,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -10,7 +10,9 @@
     Queued,
     /// Waits for the response of the request it repeats.
     Coalesced,
-    Running,
+    /// Started, and neither waiting for a call nor making one. It counts as on the cores even while it waits for a core
+    /// or for the disk.
+    OnCore,
     /// Started and answered, but long past its deadline without an end: whether it still uses a core is unknown.
     Overdue,
     /// Waits to make a call.
@@ -40,12 +42,14 @@
     pub(crate) phase: Phase,
     pub(crate) answered: bool,
     pub(crate) started_at: Time,
+    /// When the request arrived, was started, or last requested, began or ended a call. Skipping a call does not change
+    /// it.
     pub(crate) phase_since: Time,
-    /// The cost estimator's clock at the start of the current phase.
+    /// The cost estimator's clock when the request was last put on the cores.
     pub(crate) core_clock: f64,
-    /// Core time before the current phase.
+    /// Core time that it used before the current phase.
     pub(crate) core_time: f64,
-    /// Time spent waiting for and making calls before the current phase.
+    /// Time that it spent waiting for and making calls before the current phase, without waits for skipped calls.
     pub(crate) off_core_time: f64,
     /// Attempts of the current call.
     pub(crate) attempts: u32,
@@ -93,7 +97,7 @@
 
     /// The core time that it has used, by the cost estimator's clock.
     pub(crate) fn core_time_at(&self, core_clock: f64) -> f64 {
-        let is_on_core = self.phase == Phase::Running;
+        let is_on_core = self.phase == Phase::OnCore;
         self.core_time
             + if is_on_core {
                 core_clock - self.core_clock
@@ -110,7 +114,7 @@
 
     /// Puts it on the cores.
     pub(crate) fn resume(&mut self, core_clock: f64) {
-        self.phase = Phase::Running;
+        self.phase = Phase::OnCore;
         self.core_clock = core_clock;
     }
 
--- a/crates/admission/src/request_table.rs
+++ b/crates/admission/src/request_table.rs
@@ -53,7 +53,7 @@
 
     /// On the cores, answered or not.
     pub(crate) fn on_core(&self) -> impl Iterator<Item = &RequestRecord> {
-        self.in_phase(Phase::Running)
+        self.in_phase(Phase::OnCore)
     }
 
     /// Started and answered, but long past their deadlines without an end.
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -6,7 +6,7 @@
 /// The state of a controller at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionStatus {
-    /// The fraction of its full speed that the server has reached for certain; below 1 it is in slow start.
+    /// The lowest speed that the server can have by now, as a fraction of its full speed; below 1 it is in slow start.
     pub capacity: f64,
     /// How many requests may be on the cores.
     pub concurrency_limit: f64,
--- a/crates/admission/src/tick_schedule.rs
+++ b/crates/admission/src/tick_schedule.rs
@@ -5,7 +5,7 @@
 /// The next pending tick, and when the load is sampled next.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TickSchedule {
-    /// The shortest time between two inputs.
+    /// The shortest delay after which a tick can be requested.
     pub(crate) resolution: Time,
     /// The first tick from this time on samples the load.
     pub(crate) next_sample_at: Time,
--- a/crates/admission/src/transitions.rs
+++ b/crates/admission/src/transitions.rs
@@ -1,4 +1,4 @@
-//! Effects of rules that decide nothing themselves: they move a request to its next phase.
+//! Effects that make no decision: they only move a request to its next phase.
 
 use crate::actions::Actions;
 use crate::controller::AdmissionController;
--- a/crates/admission/src/windows.rs
+++ b/crates/admission/src/windows.rs
@@ -13,9 +13,13 @@
 /// The sums of a [`ValueWindow`].
 #[derive(Clone, Copy)]
 pub(crate) struct ValueSums {
+    /// Value of the requests that arrived.
     pub(crate) offered: f64,
-    pub(crate) completed: f64,
+    /// Value that completed requests earned.
+    pub(crate) earned: f64,
+    /// Number of requests that arrived.
     pub(crate) offered_count: f64,
+    /// Number of requests that were completed.
     pub(crate) completed_count: f64,
 }
 
@@ -23,7 +27,7 @@
     /// The fraction of the offered value that was earned.
     pub(crate) fn served_fraction(&self) -> f64 {
         if self.offered > 0.0 {
-            self.completed / self.offered
+            self.earned / self.offered
         } else {
             1.0
         }
@@ -45,14 +49,14 @@
 
     /// The length of the window, in tenths of a millisecond.
     pub(crate) fn duration(&self) -> f64 {
-        self.0.span()
+        self.0.duration()
     }
 
     pub(crate) fn sums(&self, now: Time) -> ValueSums {
-        let [offered, completed, offered_count, completed_count] = self.0.sums(now);
+        let [offered, earned, offered_count, completed_count] = self.0.sums(now);
         ValueSums {
             offered,
-            completed,
+            earned,
             offered_count,
             completed_count,
         }
@@ -103,7 +107,7 @@
     pub(crate) arrivals: f64,
     /// Arrivals that are marked as retries.
     pub(crate) retries: f64,
-    /// The time that the arrivals waited to be read, in tenths of a millisecond.
+    /// The total time that the arrivals waited to be read, in tenths of a millisecond.
     pub(crate) observed_delay: f64,
     pub(crate) rejections: f64,
 }
@@ -133,7 +137,7 @@
 
     /// The length of the window, in tenths of a millisecond.
     pub(crate) fn duration(&self) -> f64 {
-        self.counts.span()
+        self.counts.duration()
     }
 
     /// The time that reading a request takes by itself, in tenths of a millisecond; 0 if it is unknown.
--- a/crates/admission/tests/decide/advice.rs
+++ b/crates/admission/tests/decide/advice.rs
@@ -6,7 +6,8 @@
 #[test]
 fn spreads_credit_over_the_callers_seen_when_callers_are_named() {
     // With a thousand callers in its settings, a server advised each to keep a five-hundredth of a request in flight,
-    // which callers read as: send nothing. With one, as on sockets, the table of callers seen held no more than four.
+    // which callers read as: send nothing. With one, as where callers are counted by connection, the table of callers
+    // seen held no more than four.
     for (expected_callers, callers, max, min) in [
         (1000.0, 2, 1.0, 0.5),
         (1000.0, 0, 0.01, 0.0),
--- a/crates/admission/tests/decide/slow_start.rs
+++ b/crates/admission/tests/decide/slow_start.rs
@@ -2,7 +2,7 @@
 use crate::server_model::*;
 use cottondyke_admission::*;
 
-/// The time over which overload is judged.
+/// The window over which overload is measured.
 const WINDOW: Time = Time(30_000);
 const COLD: Setup = Setup {
     is_cold: true,
--- a/crates/settings/src/admission.rs
+++ b/crates/settings/src/admission.rs
@@ -8,7 +8,7 @@
 };
 use serde_json::Value;
 
-/// Builds the controller of a server that started at `now`. `seed` is that of the jitter of retry delays.
+/// Builds the controller of a server that started at `now`. `seed` initializes the random jitter of retry delays.
 ///
 /// # Errors
 /// Returns an error for the first setting that is missing or invalid.
@@ -93,7 +93,7 @@
     list(settings, "classes").iter().map(idempotency).collect()
 }
 
-/// Reads how long the response to a read may be reused for other requests.
+/// Reads how long the response to a request for an idempotent handler may be reused for other requests.
 ///
 /// # Errors
 /// Returns an error if it is not a number.
@@ -208,7 +208,8 @@
     }
 }
 
-/// This server's share of calls, if all servers call the same dependency.
+/// The highest mean number of calls that this server may have in flight; `None` unless all servers call the same
+/// dependency and the settings state it.
 fn call_share(family_info: &Value) -> Result<Option<f64>, SettingsError> {
     match string(family_info, "below")? {
         "common" => optional_number(family_info, "dep_share"),
--- a/crates/types/src/sliding_window.rs
+++ b/crates/types/src/sliding_window.rs
@@ -13,7 +13,7 @@
 }
 
 impl<const K: usize, const BUCKETS: usize> SlidingWindow<K, BUCKETS> {
-    /// Creates an empty window of this duration.
+    /// Creates an empty window of this length.
     pub fn new(window: Time) -> Self {
         SlidingWindow {
             bucket_width: (window.0 / BUCKETS as i64).max(1),
@@ -22,8 +22,8 @@
         }
     }
 
-    /// The duration covered, in tenths of a millisecond.
-    pub fn span(&self) -> f64 {
+    /// The length of the window, in tenths of a millisecond.
+    pub fn duration(&self) -> f64 {
         (self.bucket_width * BUCKETS as i64) as f64
     }
 
