--- a/crates/chaos/src/load.rs
+++ b/crates/chaos/src/load.rs
@@ -1,6 +1,8 @@
 //! An open-loop load generator: requests are sent when they are due, regardless of outstanding answers, and latency is
 //! measured from the due time.
-use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, ReceivedFrame};
+use cottondyke_test_support::fakes::{
+    encode_frame, encode_payload, unix_ms, FakeSidecar, ReceivedFrame,
+};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -170,8 +172,8 @@
             body_bytes: body.len(),
             answers: Vec::new(),
         });
-        let payload = payload(&fields, body.as_bytes());
-        let bytes = frame(REQUEST_FRAME, sent.len() as u32, &payload);
+        let payload = encode_payload(&fields, body.as_bytes());
+        let bytes = encode_frame(REQUEST_FRAME, sent.len() as u32, &payload);
         if writer.write_all(&bytes).is_err() {
             return sent;
         }
--- a/crates/server/tests/connection_close.rs
+++ b/crates/server/tests/connection_close.rs
@@ -8,7 +8,9 @@
 use cottondyke::event::{ConnectionId, Event, Outgoing};
 use cottondyke::protocol::sidecar::NameTable;
 use cottondyke::resource_limits::ResourceLimits;
-use cottondyke_test_support::fakes::{frame, payload, unix_ms, FakeSidecar, IO_TIMEOUT};
+use cottondyke_test_support::fakes::{
+    encode_frame, encode_payload, unix_ms, FakeSidecar, IO_TIMEOUT,
+};
 use futures_lite::{future, AsyncReadExt};
 use rustix::net::sockopt::set_socket_recv_buffer_size;
 use rustix::net::{connect, socket, AddressFamily, SocketType};
@@ -84,7 +86,7 @@
 
     /// Queues the response to a request, as the dispatcher does.
     fn respond(&self, stream: u32, body: &[u8]) {
-        let bytes = frame(2, stream, &[vec![1], payload(&[], body)].concat());
+        let bytes = encode_frame(2, stream, &[vec![1], encode_payload(&[], body)].concat());
         self.outgoing
             .try_send(Outgoing::Response {
                 bytes,
@@ -132,7 +134,7 @@
         ("from", "1"),
         ("kb", "1.0"),
     ];
-    frame(1, stream, &payload(&fields, b""))
+    encode_frame(1, stream, &encode_payload(&fields, b""))
 }
 
 /// Guards against losing requests that are in transit when the server closes an idle connection: a request that was
@@ -229,7 +231,7 @@
         rig.send_request(1);
         assert_eq!(rig.next_request().await, 1);
         let body = vec![7; 16 << 20];
-        let total = frame(2, 1, &[vec![1], payload(&[], &body)].concat()).len();
+        let total = encode_frame(2, 1, &[vec![1], encode_payload(&[], &body)].concat()).len();
         rig.respond(1, &body);
         let (start, mut received, mut chunk) = (Instant::now(), 0, vec![0; 1 << 19]);
         let sidecar = Async::new(rig.sidecar.0.try_clone().unwrap()).unwrap();
--- a/crates/server/tests/protocol.rs
+++ b/crates/server/tests/protocol.rs
@@ -6,7 +6,7 @@
 use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
 use cottondyke::protocol::{RequestError, WireId};
 use cottondyke_admission::RunOutcome;
-use cottondyke_test_support::fakes::{frame, payload};
+use cottondyke_test_support::fakes::{encode_frame, encode_payload};
 use cottondyke_types::{HandlerId, TenantId};
 use quickcheck::{quickcheck, TestResult};
 use std::fmt::Debug;
@@ -120,9 +120,9 @@
 
 #[test]
 fn decodes_the_same_frames_when_split_anywhere() {
-    let mut bytes = frame(1, 1, &payload(&FIELDS, b"\x00\r\n\xff"));
-    bytes.extend(frame(4, 7, &payload(&[("deep", "1")], b"")));
-    bytes.extend(frame(1, 2, &payload(&FIELDS[1..], b"")));
+    let mut bytes = encode_frame(1, 1, &encode_payload(&FIELDS, b"\x00\r\n\xff"));
+    bytes.extend(encode_frame(4, 7, &encode_payload(&[("deep", "1")], b"")));
+    bytes.extend(encode_frame(1, 2, &encode_payload(&FIELDS[1..], b"")));
     let out = decode_with_all_splits::<sidecar::Decoder>(&bytes);
     let Ok(Frame::Request(req)) = &out[0] else {
         panic!("{out:?}")
@@ -212,7 +212,7 @@
     let is_accepted = |numbers: &[u32]| {
         let frames: Vec<_> = numbers
             .iter()
-            .map(|n| frame(1, *n, &payload(&[], b"")))
+            .map(|n| encode_frame(1, *n, &encode_payload(&[], b"")))
             .collect();
         sidecar::Decoder::decode_pieces(&frames.iter().map(Vec::as_slice).collect::<Vec<_>>())
             .last()
@@ -372,7 +372,7 @@
 
     fn decodes_the_same_when_corrupt_frames_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
         is_unchanged_by_split::<sidecar::Decoder>(
-            &corrupted(&frame(1, 1, &payload(&FIELDS, b"body")).repeat(2), &changes), cut)
+            &corrupted(&encode_frame(1, 1, &encode_payload(&FIELDS, b"body")).repeat(2), &changes), cut)
     }
 
     fn decodes_the_same_when_corrupt_engine_messages_are_split(changes: Vec<(usize, u8)>, cut: usize) -> TestResult {
@@ -392,7 +392,7 @@
             .encode(advice.map(f64::from), &mut bytes);
         let fields = advice.map(|advice| ("say", advice.to_string()));
         let fields: Vec<_> = fields.iter().map(|(n, v)| (*n, v.as_str())).collect();
-        bytes == frame(2, stream, &[vec![1], payload(&fields, &body)].concat())
+        bytes == encode_frame(2, stream, &[vec![1], encode_payload(&fields, &body)].concat())
     }
 
 }
--- a/crates/server/tests/serve/aggregations.rs
+++ b/crates/server/tests/serve/aggregations.rs
@@ -9,7 +9,7 @@
 const HEADER: &str = "fleet(instances = 1)\nserve(listen = \"127.0.0.1:0\", stop = \"1s\")\n";
 
 struct Shop {
-    rig: Alone,
+    rig: StandaloneServer,
     catalogue: TcpListener,
     prices: TcpListener,
 }
@@ -35,7 +35,7 @@
     fn start(effect: &str, parts: &str) -> Self {
         let bind = || TcpListener::bind("127.0.0.1:0").unwrap();
         let (catalogue, prices) = (bind(), bind());
-        let rig = Alone::start(&script(&catalogue, &prices, effect, parts));
+        let rig = StandaloneServer::start(&script(&catalogue, &prices, effect, parts));
         Shop {
             rig,
             catalogue,
--- a/crates/server/tests/serve/connections.rs
+++ b/crates/server/tests/serve/connections.rs
@@ -9,20 +9,20 @@
 #[test]
 fn closes_a_connection_after_a_malformed_frame_once_requests_are_answered() {
     let rig = Rig::start();
-    let (mut link, _other) = rig.ready();
+    let (mut link, _other) = rig.connect_engine_and_sidecar();
     let malformed = [
-        frame(1, 0, &payload(&[], b"")),
-        frame(77, 9, b""),
+        encode_frame(1, 0, &encode_payload(&[], b"")),
+        encode_frame(77, 9, b""),
         vec![0, 0, 0, 4, 1, 0, 0, 0],
         vec![0, 4, 0, 1, 1, 0, 0, 0],
-        frame(1, 1, &payload(&[], b"")),
+        encode_frame(1, 1, &encode_payload(&[], b"")),
     ];
     for (n, bytes) in malformed.iter().enumerate() {
-        let mut sidecar = rig.sidecar();
+        let mut sidecar = rig.connect_sidecar();
         let id = id(n as u64 + 50);
         let at = unix_ms().to_string();
         let fields = [
-            ("class", READ),
+            ("class", IDEMPOTENT),
             ("id", &id),
             ("at", &at),
             ("from", "1"),
@@ -45,17 +45,17 @@
 #[test]
 fn serves_others_when_a_connection_is_reset() {
     let rig = Rig::start();
-    let (mut link, mut other) = rig.ready();
-    let mut lost = rig.sidecar();
-    send_request(&mut lost, 1, READ, &[], b"");
+    let (mut link, mut other) = rig.connect_engine_and_sidecar();
+    let mut lost = rig.connect_sidecar();
+    send_request(&mut lost, 1, IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     // An incomplete frame, then the end of the connection.
     lost.0.write_all(&[0, 0]).unwrap();
     drop(lost);
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), &[7; 4_096])
         .unwrap();
-    send_request(&mut other, 2, READ, &[], b"");
-    run_through(&mut link, 2, b"fine");
+    send_request(&mut other, 2, IDEMPOTENT, &[], b"");
+    execute_next_run(&mut link, 2, b"fine");
     assert_eq!(other.receive().unwrap().body, b"fine");
 }
 
@@ -63,18 +63,18 @@
 #[test]
 fn drops_the_connection_of_a_sidecar_that_reads_nothing() {
     let rig = Rig::start();
-    let (mut link, mut other) = rig.ready();
-    let mut stalled = rig.sidecar();
+    let (mut link, mut other) = rig.connect_engine_and_sidecar();
+    let mut stalled = rig.connect_sidecar();
     stalled
         .0
         .set_write_timeout(Some(std::time::Duration::from_secs(1)))
         .unwrap();
     let checks: Vec<u8> = (0..4_096)
-        .flat_map(|_| frame(4, 0, &payload(&[], b"")))
+        .flat_map(|_| encode_frame(4, 0, &encode_payload(&[], b"")))
         .collect();
     while stalled.0.write_all(&checks).is_ok() {}
     rig.wait_for_log("sidecar reads too slowly");
-    expect_served(&mut link, &mut other, 1, READ, &[]);
+    expect_served(&mut link, &mut other, 1, IDEMPOTENT, &[]);
 }
 
 /// Guards memory: none is reserved for a frame's announced length, and the incomplete frames of all connections share
@@ -82,9 +82,9 @@
 #[test]
 fn takes_no_memory_for_frames_that_are_only_announced() {
     let rig = Rig::start();
-    let (_link, mut other) = rig.ready();
+    let (_link, mut other) = rig.connect_engine_and_sidecar();
     let incomplete: Vec<u8> = [0, 4, 0, 0].into_iter().chain([1; 200_000]).collect();
-    let mut many: Vec<_> = (0..200).map(|_| rig.sidecar()).collect();
+    let mut many: Vec<_> = (0..200).map(|_| rig.connect_sidecar()).collect();
     assert!(
         many.iter_mut()
             .filter_map(|sidecar| sidecar.0.write_all(&incomplete).ok())
@@ -100,11 +100,11 @@
 #[test]
 fn evicts_the_longest_idle_connection_when_full() {
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(100));
-    let (mut link, mut idle) = rig.ready();
-    let mut busy = rig.sidecar();
-    send_request(&mut busy, 1, READ, &[], b"");
+    let (mut link, mut idle) = rig.connect_engine_and_sidecar();
+    let mut busy = rig.connect_sidecar();
+    send_request(&mut busy, 1, IDEMPOTENT, &[], b"");
     expect_start(&mut link);
-    let mut others = [rig.sidecar(), rig.sidecar()];
+    let mut others = [rig.connect_sidecar(), rig.connect_sidecar()];
     others
         .iter_mut()
         .for_each(|other| assert_eq!(check_health(other), 1));
@@ -120,10 +120,13 @@
 #[test]
 fn closes_a_connection_without_a_complete_frame_in_time() {
     let rig = Rig::start();
-    let (_link, mut other) = rig.ready();
-    let (mut silent, mut incomplete) = (rig.sidecar(), rig.sidecar());
+    let (_link, mut other) = rig.connect_engine_and_sidecar();
+    let (mut silent, mut incomplete) = (rig.connect_sidecar(), rig.connect_sidecar());
     assert_eq!(check_health(&mut incomplete), 1);
-    incomplete.0.write_all(&frame(4, 0, b"\0")[..7]).unwrap();
+    incomplete
+        .0
+        .write_all(&encode_frame(4, 0, b"\0")[..7])
+        .unwrap();
     for sidecar in [&mut silent, &mut incomplete] {
         let error = sidecar.receive().unwrap();
         assert_eq!((error.kind, error.stream), (2, 0));
@@ -141,8 +144,8 @@
 #[test]
 fn sends_the_error_when_the_peer_keeps_sending_an_oversized_frame() {
     let rig = Rig::start();
-    let (_link, _other) = rig.ready();
-    let mut sidecar = rig.sidecar();
+    let (_link, _other) = rig.connect_engine_and_sidecar();
+    let mut sidecar = rig.connect_sidecar();
     let body = vec![7; 1 << 20];
     sidecar.0.write_all(&[3, 0x93, 0x87, 0]).unwrap();
     (0..60).for_each(|_| sidecar.0.write_all(&body).unwrap());
@@ -155,8 +158,8 @@
 #[test]
 fn cancels_runs_when_their_connection_is_lost() {
     let rig = Rig::start();
-    let (mut link, mut lost) = rig.ready();
-    send_request(&mut lost, 1, READ, &[], b"");
+    let (mut link, mut lost) = rig.connect_engine_and_sidecar();
+    send_request(&mut lost, 1, IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     // Closing with an unread response resets the connection.
     lost.send(4, 0, &[], b"").unwrap();
@@ -170,7 +173,7 @@
 #[test]
 fn goes_on_reporting_whatever_the_control_plane_does() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let report = |reply: &str| {
         let mut service = FakeService::accept(&rig.control).unwrap();
         let request = service.receive_request().unwrap();
@@ -190,5 +193,5 @@
         report(reply);
     }
     drop(report("HTTP/1.1 204 No Content\r\n\r\n"));
-    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 1, IDEMPOTENT, &[]);
 }
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -7,18 +7,18 @@
 #[test]
 fn queues_requests_and_reports_unhealthy_until_the_engine_is_up() {
     let rig = Rig::start();
-    let mut sidecar = rig.sidecar();
+    let mut sidecar = rig.connect_sidecar();
     assert_ne!(check_health(&mut sidecar), 1);
-    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    send_request(&mut sidecar, 1, SHORT_TIMEOUT, &[], b"");
     let response = sidecar.receive().unwrap();
     assert_ne!(
         (response.stream, response.code),
         (1, 1),
         "the request reached its deadline meanwhile"
     );
-    send_request(&mut sidecar, 2, READ, &[], b"");
+    send_request(&mut sidecar, 2, IDEMPOTENT, &[], b"");
     assert_ne!(check_health(&mut sidecar), 1);
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     assert_eq!(
         expect_start(&mut link),
         id(2),
@@ -31,14 +31,14 @@
     // The request that was answered at its deadline left no state behind, so its id can be used again.
     let (id, at) = (id(1), unix_ms().to_string());
     let fields = [
-        ("class", READ),
+        ("class", IDEMPOTENT),
         ("id", &id),
         ("at", &at),
         ("from", "1"),
         ("kb", "1.0"),
     ];
     sidecar.send(1, 3, &fields, b"").unwrap();
-    run_through(&mut link, 2, b"");
+    execute_next_run(&mut link, 2, b"");
     assert_eq!(sidecar.receive().unwrap().code, 1);
 }
 
@@ -46,9 +46,9 @@
 #[test]
 fn resumes_after_the_last_complete_message_when_the_link_breaks() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, READ, &[], b"a");
-    send_request(&mut sidecar, 2, READ, &[], b"b");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, IDEMPOTENT, &[], b"a");
+    send_request(&mut sidecar, 2, IDEMPOTENT, &[], b"b");
     let (first, second) = (expect_start(&mut link), expect_start(&mut link));
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"whole")
         .unwrap();
@@ -56,7 +56,7 @@
     link.0.get_mut().write_all(incomplete.as_bytes()).unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"whole");
     drop(link);
-    let mut link = rig.link(1);
+    let mut link = rig.accept_engine(1);
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"again")
         .unwrap();
     link.send_line_with_body(&format!("DONE 2 {second} fine 1"), b"half done")
@@ -73,20 +73,20 @@
 #[test]
 fn repeats_a_possibly_lost_run_only_when_it_is_idempotent() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    for (n, class) in [(1, READ), (2, BUY), (3, PAY)] {
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    for (n, class) in [(1, IDEMPOTENT), (2, KEYED), (3, NON_IDEMPOTENT)] {
         send_request(&mut sidecar, n, class, &[], b"");
         assert_eq!(expect_start(&mut link), id(n.into()));
     }
     drop(link);
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     assert_eq!(expect_start(&mut link), id(1));
     for n in 1..=3 {
         link.send_line_with_body(&format!("DONE {n} {} fine 1", id(n)), b"")
             .unwrap();
         assert_eq!(sidecar.receive().unwrap().stream, n as u32);
     }
-    send_request(&mut sidecar, 4, READ, &[], b"");
+    send_request(&mut sidecar, 4, IDEMPOTENT, &[], b"");
     assert_eq!(
         expect_start(&mut link),
         id(4),
@@ -99,8 +99,8 @@
 #[test]
 fn repeats_a_call_result_that_may_have_been_lost() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
         .unwrap();
@@ -109,7 +109,7 @@
     service.reply("200 OK", "", b"reply").unwrap();
     assert_eq!(link.receive_command().unwrap().1, b"reply");
     drop(link);
-    let mut link = rig.link(1);
+    let mut link = rig.accept_engine(1);
     let (words, body) = link.receive_command().unwrap();
     assert_eq!(
         (words[..2].join(" "), body.as_slice()),
@@ -120,8 +120,8 @@
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"went on");
     drop(link);
-    let mut link = rig.link(2);
-    send_request(&mut sidecar, 2, READ, &[], b"");
+    let mut link = rig.accept_engine(2);
+    send_request(&mut sidecar, 2, IDEMPOTENT, &[], b"");
     assert_eq!(
         expect_start(&mut link),
         id(2),
@@ -142,14 +142,14 @@
 #[test]
 fn abandons_a_run_whose_command_may_have_been_lost() {
     let rig = Rig::with(|conf| one_core(conf, 2.0));
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
     expect_start(&mut link);
     drop(link);
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     assert_eq!(sidecar.receive().unwrap().code, 9);
     rig.wait_for_log("abandoning a run that never ended");
-    send_request(&mut sidecar, 2, PAY, &[], b"");
+    send_request(&mut sidecar, 2, NON_IDEMPOTENT, &[], b"");
     assert_eq!(expect_start(&mut link), id(2), "its capacity is free");
 }
 
@@ -158,26 +158,26 @@
 #[test]
 fn counts_overdue_runs_against_the_survivable_concurrency() {
     let rig = Rig::with(|conf| one_core(conf, 4.0));
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     // With the safety margin, the survivable concurrency of one core is three runs.
     for number in 1..=3 {
-        send_request(&mut sidecar, number, PAY, &[], b"");
+        send_request(&mut sidecar, number, NON_IDEMPOTENT, &[], b"");
         assert_eq!(expect_start(&mut link), id(number.into()));
         assert_eq!(sidecar.receive().unwrap().code, 9);
         rig.wait_for_log("a run is overdue");
     }
-    send_request(&mut sidecar, 4, PAY, &[], b"");
+    send_request(&mut sidecar, 4, NON_IDEMPOTENT, &[], b"");
     let response = sidecar.receive().unwrap();
     assert_eq!((response.stream, response.code), (4, 0), "it is not run");
     // A link that breaks long after the commands were written does not show that the runs were lost.
     drop(link);
-    let mut link = rig.link(0);
-    send_request(&mut sidecar, 5, PAY, &[], b"");
+    let mut link = rig.accept_engine(0);
+    send_request(&mut sidecar, 5, NON_IDEMPOTENT, &[], b"");
     let response = sidecar.receive().unwrap();
     assert_eq!((response.stream, response.code), (5, 0), "it is not run");
     link.send_line_with_body(&format!("DONE 1 {} fine 1", id(1)), b"")
         .unwrap();
-    send_request(&mut sidecar, 6, PAY, &[], b"");
+    send_request(&mut sidecar, 6, NON_IDEMPOTENT, &[], b"");
     assert_eq!(expect_start(&mut link), id(6), "capacity is free");
 }
 
@@ -185,14 +185,14 @@
 #[test]
 fn fails_the_request_when_its_command_is_refused() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     link.send_line(&format!("NO RUN {run}")).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9);
     link.send_line("SOMETHING new").unwrap();
     link.send_line(&format!("NO HALT {run}")).unwrap();
-    expect_served(&mut link, &mut sidecar, 2, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 2, IDEMPOTENT, &[]);
     rig.wait_for_log("unknown engine message");
 }
 
@@ -200,8 +200,8 @@
 #[test]
 fn keeps_timers_and_checks_going_when_the_engine_is_silent() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, SHORT_TIMEOUT, &[], b"");
     expect_start(&mut link);
     // From here on the engine does not even answer load queries.
     assert_eq!(sidecar.receive().unwrap().code, 9);
@@ -216,11 +216,11 @@
 #[test]
 fn replaces_a_link_that_sends_unreadable_messages() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, BUY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, KEYED, &[], b"");
     let run = expect_start(&mut link);
     link.send_line("DONE 1 nobody fine 1 0\r\n").unwrap();
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     link.send_line_with_body(&format!("DONE 1 {run} fine 1"), b"")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 1);
@@ -232,8 +232,8 @@
 fn ignores_a_cancel_that_crosses_the_end_of_its_run() {
     for refused_first in [false, true] {
         let rig = Rig::start();
-        let (mut link, mut sidecar) = rig.ready();
-        send_request(&mut sidecar, 1, BRIEF, &[], b"");
+        let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+        send_request(&mut sidecar, 1, SHORT_TIMEOUT, &[], b"");
         let run = expect_start(&mut link);
         assert_eq!(sidecar.receive().unwrap().code, 9);
         assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
@@ -243,6 +243,6 @@
         link.send_line_with_body(&format!("DONE 1 {run} fine 600"), b"late")
             .unwrap();
         link.send_line(&format!("NO HALT {run}")).unwrap();
-        expect_served(&mut link, &mut sidecar, 2, READ, &[]);
+        expect_served(&mut link, &mut sidecar, 2, IDEMPOTENT, &[]);
     }
 }
--- a/crates/server/tests/serve/fleet.rs
+++ b/crates/server/tests/serve/fleet.rs
@@ -31,8 +31,8 @@
     cores: 2.0,
     cold_speed: 1.0,
     warm_after: Duration::from_secs(1),
-    told_cold_speed: 1.0,
-    told_warm_within: Duration::from_secs(1),
+    configured_cold_speed: 1.0,
+    configured_warm_within: Duration::from_secs(1),
     overload_factor: 3.0,
     makes_calls: false,
 };
@@ -49,7 +49,7 @@
     /// The `effect` of the handler's requests in the settings: `repeatable`, `by_key` or `once`.
     pub(crate) effect: &'static str,
     /// Whether sidecars follow the advised share of traffic and the retry delay of a rejection.
-    pub(crate) heeds_advice: bool,
+    pub(crate) follows_load_advice: bool,
     /// The time after which a client stops waiting.
     pub(crate) client_timeout: Duration,
 }
@@ -62,13 +62,13 @@
     pub(crate) addr: SocketAddr,
     /// Listeners for the engine, the records service and the control plane. Tests accept connections only on that of
     /// the records service.
-    pub(crate) peers: [std::net::TcpListener; 3],
+    pub(crate) listeners: [std::net::TcpListener; 3],
 }
 
 impl Server {
     fn start(config: &FleetConfig) -> Self {
         let machine = FakeMachine::start(config.machine, StartKind::Warm).unwrap();
-        let (mut conf, peers) = with_peers();
+        let (mut conf, listeners) = config_with_fakes();
         conf["engine"] = json!(machine.addr().to_string());
         conf["limits"]["sockets"] = json!(256);
         apply_settings(&mut conf["settings"], config);
@@ -80,17 +80,17 @@
             process: Some(process),
             conf,
             addr,
-            peers,
+            listeners,
         }
     }
 
-    /// Kills the process with SIGKILL. The runs on its machine end when `start_again` restarts the machine.
+    /// Kills the process with SIGKILL. The runs on its machine end when `restart` starts the machine anew.
     pub(crate) fn kill(&mut self) {
         self.process = None;
     }
 
     /// Restarts the process and its machine cold, at the same address.
-    pub(crate) fn start_again(&mut self) {
+    pub(crate) fn restart(&mut self) {
         self.conf["settings"]["family_info"]["cold"] = json!(true);
         self.machine.restart(StartKind::Cold);
         let process = Process::start("--config", temporary_file(&self.conf.to_string()));
@@ -103,7 +103,7 @@
     let machine = config.machine;
     let ms = |duration: Duration| json!(duration.as_secs_f64() * 1e3);
     settings["classes"] = json!([{
-        "name": READ, "effect": config.effect, "credit": 1.0, "late_value": 0.2, "dedup_window_ms": 2_000.0,
+        "name": IDEMPOTENT, "effect": config.effect, "credit": 1.0, "late_value": 0.2, "dedup_window_ms": 2_000.0,
         "aim_ms": ms(config.client_timeout / 3), "deadline_ms": ms(config.client_timeout),
     }]);
     settings["group_size"] = json!(config.servers);
@@ -116,8 +116,8 @@
     info["upstreams"] = json!(SIDECARS);
     let obligations = &mut settings["obligations"];
     obligations["overload_factor"] = json!(machine.overload_factor);
-    obligations["start_capacity"] = json!(machine.told_cold_speed);
-    obligations["warm_within_ms"] = ms(machine.told_warm_within);
+    obligations["start_capacity"] = json!(machine.configured_cold_speed);
+    obligations["warm_within_ms"] = ms(machine.configured_warm_within);
     obligations["fall_ms"] = ms(OVERLOAD_WINDOW);
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// Sends load for `duration` while `inject_faults` runs; returns the outcomes of the requests.
-    pub(crate) fn under_load(
+    pub(crate) fn run_load(
         &mut self,
         duration: Duration,
         inject_faults: impl FnOnce(&mut Vec<Server>),
@@ -308,7 +308,7 @@
     }
 
     fn may_send(&self, server: usize, random: f64) -> bool {
-        if !self.config.heeds_advice {
+        if !self.config.follows_load_advice {
             return true;
         }
         let state = self.state();
@@ -349,7 +349,7 @@
         let from = self.number.to_string();
         let key = id.clone();
         let mut fields = vec![
-            ("class", READ),
+            ("class", IDEMPOTENT),
             ("id", &id),
             ("at", &at),
             ("from", &from),
--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -11,7 +11,7 @@
 fn send_request_at(sidecar: &mut FakeSidecar, number: u32, key: &str, at: u64) {
     let (id, at) = (id(number.into()), at.to_string());
     let fields = [
-        ("class", BUY),
+        ("class", KEYED),
         ("id", &id),
         ("at", &at),
         ("from", "1"),
@@ -32,9 +32,9 @@
 /// which it has accepted none.
 fn start_with_unproven_client() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
-    let unproven = rig.sidecar();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    expect_served(&mut link, &mut sidecar, 1, IDEMPOTENT, &[]);
+    let unproven = rig.connect_sidecar();
     (rig, link, sidecar, unproven)
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn runs_once_when_two_attempts_are_read_after_the_window() {
     let rig = Rig::with(set_short_dedup_window);
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let now = unix_ms();
     for (number, key, at) in [
         (1, "basket", now - 300),
@@ -74,7 +74,7 @@
 fn does_not_run_an_attempt_within_the_window_that_is_read_after_it() {
     for is_done in [false, true] {
         let rig = Rig::with(set_short_dedup_window);
-        let (mut link, mut sidecar) = rig.ready();
+        let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
         let start = unix_ms();
         send_request_at(&mut sidecar, 1, "basket", start);
         assert_eq!(expect_start(&mut link), id(1));
@@ -100,7 +100,7 @@
             (late.stream, late.code, late.body.as_slice()),
             (2, 1, &b"result 1"[..])
         );
-        expect_served(&mut link, &mut sidecar, 4, BUY, KEY);
+        expect_served(&mut link, &mut sidecar, 4, KEYED, KEY);
     }
 }
 
@@ -111,13 +111,13 @@
         let customer = |name: &str| json!({ "name": name, "quota_per_s": 10.0 });
         conf["settings"]["customers"] = json!([customer("acme"), customer("bolt")]);
     });
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     for (number, customer) in [(1, "acme"), (2, "bolt")] {
         expect_served(
             &mut link,
             &mut sidecar,
             number,
-            BUY,
+            KEYED,
             &[KEY[0], ("tenant", customer)],
         );
     }
@@ -128,27 +128,27 @@
 #[test]
 fn gives_no_result_for_a_copied_key() {
     let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
-    send_request(&mut sidecar, 2, BUY, KEY, b"");
+    send_request(&mut sidecar, 2, KEYED, KEY, b"");
     assert_eq!(expect_start(&mut link), id(2));
-    send_request(&mut unproven, 3, BUY, KEY, b"");
+    send_request(&mut unproven, 3, KEYED, KEY, b"");
     assert_eq!(
         unproven.receive().unwrap().code,
         9,
         "while the first is open"
     );
-    send_request(&mut sidecar, 4, BUY, KEY, b"");
+    send_request(&mut sidecar, 4, KEYED, KEY, b"");
     assert_eq!(check_health(&mut unproven), 1);
     complete_run(&mut link, &mut sidecar, 2);
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    send_request(&mut unproven, 5, BUY, KEY, b"");
+    send_request(&mut unproven, 5, KEYED, KEY, b"");
     assert_eq!(
         unproven.receive().unwrap().code,
         9,
         "when its result is stored"
     );
-    send_request(&mut sidecar, 6, BUY, KEY, b"");
+    send_request(&mut sidecar, 6, KEYED, KEY, b"");
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    expect_served(&mut link, &mut sidecar, 7, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 7, IDEMPOTENT, &[]);
 }
 
 /// Guards against a client that blocks a key by using it first: a request that the engine rejects leaves the key free
@@ -157,16 +157,16 @@
 fn frees_a_key_that_an_unproven_client_used_first() {
     for is_coalesced in [true, false] {
         let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
-        send_request(&mut unproven, 2, BUY, KEY, b"");
+        send_request(&mut unproven, 2, KEYED, KEY, b"");
         assert_eq!(expect_start(&mut link), id(2));
         if is_coalesced {
-            send_request(&mut sidecar, 3, BUY, KEY, b"");
+            send_request(&mut sidecar, 3, KEYED, KEY, b"");
             assert_eq!(check_health(&mut sidecar), 1, "the attempt has been read");
         }
         link.send_line(&format!("NO RUN {}", id(2))).unwrap();
         assert_eq!(unproven.receive().unwrap().code, 9);
         if !is_coalesced {
-            send_request(&mut sidecar, 3, BUY, KEY, b"");
+            send_request(&mut sidecar, 3, KEYED, KEY, b"");
         }
         assert_eq!(expect_start(&mut link), id(3));
         complete_run(&mut link, &mut sidecar, 3);
@@ -184,9 +184,9 @@
         } else {
             (&mut sidecar, &mut unproven)
         };
-        send_request(first, number, PAY, &[], b"same");
+        send_request(first, number, NON_IDEMPOTENT, &[], b"same");
         assert_eq!(expect_start(&mut link), id(number.into()));
-        send_request(second, number, PAY, &[], b"same");
+        send_request(second, number, NON_IDEMPOTENT, &[], b"same");
         assert_eq!(unproven.receive().unwrap().code, 9);
         complete_run(&mut link, &mut sidecar, number);
     }
@@ -197,21 +197,21 @@
 #[test]
 fn keeps_the_connection_when_a_request_is_cancelled() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, READ, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
-    sidecar.0.write_all(&frame(3, 1, b"")).unwrap();
+    sidecar.0.write_all(&encode_frame(3, 1, b"")).unwrap();
     let answer = sidecar.receive().unwrap();
     assert_eq!((answer.stream, answer.code), (1, 9));
     assert_eq!(link.receive_command().unwrap().0, ["HALT", &run]);
     // Cancels a request that is answered already, and one that never existed.
     sidecar
         .0
-        .write_all(&[frame(3, 1, b""), frame(3, 77, b"")].concat())
+        .write_all(&[encode_frame(3, 1, b""), encode_frame(3, 77, b"")].concat())
         .unwrap();
     link.send_line_with_body(&format!("DONE 1 {run} broken_off 1"), b"")
         .unwrap();
-    expect_served(&mut link, &mut sidecar, 2, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 2, IDEMPOTENT, &[]);
 }
 
 /// Guards against answers that come after the caller stopped waiting: how long it waits, if the request states it,
@@ -219,9 +219,9 @@
 #[test]
 fn answers_by_the_deadline_that_the_caller_sends() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, BRIEF, &[], b"");
-    send_request(&mut sidecar, 2, READ, &[("wait", "300")], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, SHORT_TIMEOUT, &[], b"");
+    send_request(&mut sidecar, 2, IDEMPOTENT, &[("wait", "300")], b"");
     let _unfinished_runs = (expect_start(&mut link), expect_start(&mut link));
     let answers = [sidecar.receive().unwrap(), sidecar.receive().unwrap()]
         .map(|answer| (answer.stream, answer.code));
@@ -231,7 +231,7 @@
         "the client timeout of the first is 600 ms"
     );
     for (number, wait) in [(3, "1e9"), (4, "soon")] {
-        send_request(&mut sidecar, number, READ, &[("wait", wait)], b"");
+        send_request(&mut sidecar, number, IDEMPOTENT, &[("wait", wait)], b"");
         assert_eq!(sidecar.receive().unwrap().code, 9, "invalid wait {wait:?}");
     }
 }
@@ -241,7 +241,7 @@
 #[test]
 fn runs_a_repeat_when_the_first_attempt_never_ran() {
     let rig = Rig::start();
-    let mut sidecar = rig.sidecar();
+    let mut sidecar = rig.connect_sidecar();
     let now = unix_ms();
     send_request_at(&mut sidecar, 1, "basket", now - 1_800);
     send_request_at(&mut sidecar, 2, "basket", now);
@@ -251,7 +251,7 @@
         (1, true),
         "the first attempt reached its deadline"
     );
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     assert_eq!(expect_start(&mut link), id(2));
     complete_run(&mut link, &mut sidecar, 2);
 }
@@ -260,7 +260,7 @@
 /// the files are read again.
 #[test]
 fn survives_sighup_while_the_files_are_read() {
-    let (conf, _peers) = with_peers();
+    let (conf, _listeners) = config_with_fakes();
     let path = temporary_file("");
     std::fs::remove_file(&path).unwrap();
     assert!(std::process::Command::new("mkfifo")
@@ -304,13 +304,13 @@
 #[test]
 fn closes_an_idle_connection_without_a_reset() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
-    let (mut link, mut idle) = rig.ready();
-    expect_served(&mut link, &mut idle, 1, PAY, &[]);
+    let (mut link, mut idle) = rig.connect_engine_and_sidecar();
+    expect_served(&mut link, &mut idle, 1, NON_IDEMPOTENT, &[]);
     rig.signal("-TERM");
     assert_eq!(idle.receive().unwrap().kind, 6);
     assert_eq!(idle.receive().unwrap_err().kind(), ErrorKind::UnexpectedEof);
     // The server has closed its half of the connection: it discards the request, and does not reset the connection.
-    send_request(&mut idle, 2, PAY, &[], b"");
+    send_request(&mut idle, 2, NON_IDEMPOTENT, &[], b"");
     assert_eq!(idle.receive().unwrap_err().kind(), ErrorKind::UnexpectedEof);
     drop(idle);
     assert_eq!(rig.wait_for_exit().0.code(), Some(0));
--- a/crates/server/tests/serve/logging.rs
+++ b/crates/server/tests/serve/logging.rs
@@ -34,7 +34,7 @@
         "--config",
         path.to_str().unwrap(),
     ];
-    let mut child = program(&args).spawn().unwrap();
+    let mut child = server_command(&args).spawn().unwrap();
     let stderr = child.stderr.take().unwrap();
     UnreadServer {
         child,
@@ -57,18 +57,18 @@
 /// Guards against a log that is not read: the server blocked at its next log line, and all its connections with it.
 #[test]
 fn answers_while_nobody_reads_its_log() {
-    let (mut conf, [engine, _records, _control]) = with_peers();
+    let (mut conf, [engine, _records, _control]) = config_with_fakes();
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = free.local_addr().unwrap();
     drop(free);
     conf["listen"] = json!(addr.to_string());
     let mut server = start_unread(&conf);
     let mut sidecar = connect(addr);
-    let mut link = Rig::hello(&engine, 0);
+    let mut link = Rig::accept_engine_on(&engine, 0);
     while check_health(&mut sidecar) != 1 {}
     for number in 1..=REQUESTS {
-        send_request(&mut sidecar, number, BUY, &[], b"");
-        run_through(&mut link, number.into(), b"");
+        send_request(&mut sidecar, number, KEYED, &[], b"");
+        execute_next_run(&mut link, number.into(), b"");
         assert_eq!(sidecar.receive().unwrap().code, 1);
     }
     // Once the log is read again, it reports that lines were dropped.
--- a/crates/server/tests/serve/main.rs
+++ b/crates/server/tests/serve/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the server's binary against fake peers on loopback.
+//! Tests of the server's binary against fakes on loopback.
 mod aggregations;
 mod connections;
 mod engine;
--- a/crates/server/tests/serve/overload.rs
+++ b/crates/server/tests/serve/overload.rs
@@ -22,17 +22,17 @@
         mean_work: Duration::from_millis(20),
         rate: 60.0,
         effect: "once",
-        heeds_advice: false,
+        follows_load_advice: false,
         client_timeout: Duration::from_millis(300),
     });
-    let outcomes = fleet.under_load(HANG + AFTER_HANG, |servers| {
+    let outcomes = fleet.run_load(HANG + AFTER_HANG, |servers| {
         servers[0].machine.set_hung(true);
         std::thread::sleep(HANG);
         servers[0].machine.set_hung(false);
     });
-    let crowding = fleet.servers[0].machine.peak_crowding(OVERLOAD_WINDOW);
-    println!("crowding {crowding:.2}, {outcomes:?}");
-    assert!(crowding <= 1.0, "{crowding:.2} of what it survives");
+    let peak_load = fleet.servers[0].machine.peak_load(OVERLOAD_WINDOW);
+    println!("peak load {peak_load:.2}, {outcomes:?}");
+    assert!(peak_load <= 1.0, "{peak_load:.2} of what it survives");
     assert_eq!(outcomes.lost, 0, "{outcomes:?}");
     // Requests complete again once the machine recovers.
     assert!(outcomes.completed > 60, "{outcomes:?}");
@@ -82,14 +82,14 @@
         mean_work: Duration::from_millis(20),
         rate: 60.0,
         effect: "repeatable",
-        heeds_advice: false,
+        follows_load_advice: false,
         client_timeout: CLIENT_TIMEOUT,
     });
     let calls = ReceivedCalls::default();
     for server in &fleet.servers {
-        calls.break_all(server.peers[1].try_clone().unwrap());
+        calls.break_all(server.listeners[1].try_clone().unwrap());
     }
-    let outcomes = fleet.under_load(Duration::from_secs(6), |_| {});
+    let outcomes = fleet.run_load(Duration::from_secs(6), |_| {});
     let concurrency = calls.peak_concurrency(OVERLOAD_WINDOW);
     let survived = CALL_SHARE * servers as f64;
     println!("concurrency {concurrency:.2} of {survived}, {outcomes:?}");
--- a/crates/server/tests/serve/records_calls.rs
+++ b/crates/server/tests/serve/records_calls.rs
@@ -5,7 +5,7 @@
 
 /// Starts a run of this handler that waits for its call.
 fn start_run_with_call(rig: &Rig, class: &str) -> (FakeEngine, FakeSidecar) {
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     send_request(&mut sidecar, 1, class, &[], b"");
     let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
@@ -26,7 +26,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
     ] {
         let rig = Rig::start();
-        let (_link, mut sidecar) = start_run_with_call(&rig, PAY);
+        let (_link, mut sidecar) = start_run_with_call(&rig, NON_IDEMPOTENT);
         let mut service = FakeService::accept(&rig.records).unwrap();
         service.receive_request().unwrap();
         service.0.get_mut().write_all(reply.as_bytes()).unwrap();
@@ -40,7 +40,7 @@
 fn repeats_a_call_that_was_not_executed() {
     for status in ["503 Busy", "409 Conflict"] {
         let rig = Rig::start();
-        let (mut link, _sidecar) = start_run_with_call(&rig, PAY);
+        let (mut link, _sidecar) = start_run_with_call(&rig, NON_IDEMPOTENT);
         let mut service = FakeService::accept(&rig.records).unwrap();
         service.receive_request().unwrap();
         service.reply(status, "Op-Not-Begun: 1\r\n", b"").unwrap();
@@ -66,7 +66,7 @@
 #[test]
 fn closes_the_connection_when_a_call_gets_no_response() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = start_run_with_call(&rig, READ);
+    let (mut link, mut sidecar) = start_run_with_call(&rig, IDEMPOTENT);
     let mut service = FakeService::accept(&rig.records).unwrap();
     service.receive_request().unwrap();
     assert_eq!(
@@ -86,7 +86,7 @@
 #[test]
 fn cancels_a_call_when_its_run_ends() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = start_run_with_call(&rig, PAY);
+    let (mut link, mut sidecar) = start_run_with_call(&rig, NON_IDEMPOTENT);
     let mut service = FakeService::accept(&rig.records).unwrap();
     service.receive_request().unwrap();
     link.send_line_with_body(&format!("DONE 2 {} fault 1", id(1)), b"")
@@ -99,7 +99,7 @@
 #[test]
 fn ignores_what_follows_a_response() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = start_run_with_call(&rig, PAY);
+    let (mut link, mut sidecar) = start_run_with_call(&rig, NON_IDEMPOTENT);
     let complete_response =
         |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{body}");
     let mut first = FakeService::accept(&rig.records).unwrap();
@@ -107,7 +107,7 @@
     let reply = format!("HTTP/1.1 102 Wait\r\n\r\n{}", complete_response("one"));
     first.0.get_mut().write_all(reply.as_bytes()).unwrap();
     assert_eq!(link.receive_command().unwrap().1, b"one");
-    send_request(&mut sidecar, 2, PAY, &[], b"");
+    send_request(&mut sidecar, 2, NON_IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     link.send_line_with_body(&format!("NEED 2 {run}"), b"body")
         .unwrap();
--- a/crates/server/tests/serve/reload.rs
+++ b/crates/server/tests/serve/reload.rs
@@ -9,9 +9,9 @@
 #[test]
 fn follows_new_addresses_while_requests_are_in_flight() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     for n in [1, 2] {
-        send_request(&mut sidecar, n, PAY, &[], b"");
+        send_request(&mut sidecar, n, NON_IDEMPOTENT, &[], b"");
         expect_start(&mut link);
     }
     link.send_line_with_body(&format!("NEED 1 {}", id(1)), b"first")
@@ -30,7 +30,7 @@
     }
     conf["listen"] = json!("127.0.0.1:1");
     rig.reload(&conf.to_string(), "cannot change while the server runs");
-    let mut link = Rig::hello(&engine, 1);
+    let mut link = Rig::accept_engine_on(&engine, 1);
     assert_eq!(
         FakeService::accept(&control)
             .unwrap()
@@ -64,12 +64,12 @@
 #[test]
 fn keeps_the_old_configuration_when_the_new_one_is_invalid() {
     let mut rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let valid = rig.conf.to_string();
     for invalid in ["", &valid[..valid.len() / 2], "{}"] {
         rig.reload(invalid, "configuration is invalid; keeping the old one");
     }
-    expect_served(&mut link, &mut sidecar, 1, READ, &[]);
+    expect_served(&mut link, &mut sidecar, 1, IDEMPOTENT, &[]);
     (0..5).for_each(|_| rig.signal("-HUP"));
     rig.reload(&valid, "configuration reloaded");
     rig.signal("-TERM");
@@ -87,17 +87,20 @@
 #[test]
 fn follows_an_engine_that_moves_away_and_back() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
     expect_start(&mut link);
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut conf = rig.conf.clone();
     conf["engine"] = json!(other.local_addr().unwrap().to_string());
     rig.reload(&conf.to_string(), "engine address changed");
     let mut unfinished = FakeEngine::accept(&other).unwrap();
-    assert_eq!(unfinished.command().unwrap().0[0], "ATTACH");
+    assert_eq!(unfinished.receive_any_command().unwrap().0[0], "ATTACH");
     rig.reload(&rig.conf.to_string(), "engine address changed");
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     complete_run(&mut link, &mut sidecar, 1);
-    assert!(unfinished.command().is_err(), "nothing more is sent there");
+    assert!(
+        unfinished.receive_any_command().is_err(),
+        "nothing more is sent there"
+    );
 }
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn passes_bodies_responses_and_results_of_any_bytes() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let all: Vec<u8> = (0..2_048u32)
         .map(|n| (n * 7 % 256) as u8)
         .chain(*b"\r\n")
@@ -16,14 +16,17 @@
     send_request(
         &mut sidecar,
         1,
-        READ,
+        IDEMPOTENT,
         &[("cost", "12.50"), ("rank", "0.6250")],
         &all,
     );
     let (words, body) = link.receive_command().unwrap();
     assert_eq!(
         (words.as_slice(), &body),
-        (&["RUN", &id(1), READ, "2048"].map(String::from)[..], &all)
+        (
+            &["RUN", &id(1), IDEMPOTENT, "2048"].map(String::from)[..],
+            &all
+        )
     );
     link.send_line("NOTE 1 nothing to see").unwrap();
     link.send_line_with_body(&format!("NEED 2 {}", id(1)), &all)
@@ -62,25 +65,25 @@
         rules["overload_factor"] = 40.0.into();
         conf["settings"]["family_info"]["n_cores"] = 32.into();
     });
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let mut bytes = Vec::new();
     for n in 1..=32u32 {
         let (id, at) = (id(n.into()), unix_ms().to_string());
         let fields = [
-            ("class", READ),
+            ("class", IDEMPOTENT),
             ("id", &id),
             ("at", &at),
             ("from", "1"),
             ("kb", "1.0"),
         ];
-        bytes.extend(frame(1, n, &payload(&fields, &[n as u8])));
+        bytes.extend(encode_frame(1, n, &encode_payload(&fields, &[n as u8])));
     }
     bytes
         .chunks(11)
         .for_each(|piece| sidecar.0.write_all(piece).unwrap());
     let mut runs: Vec<_> = (0..32).map(|_| expect_start(&mut link)).collect();
     // A request past the limit of open requests per connection is rejected; the others are not affected.
-    send_request(&mut sidecar, 33, READ, &[], b"");
+    send_request(&mut sidecar, 33, IDEMPOTENT, &[], b"");
     assert_eq!((sidecar.receive().unwrap().stream, runs.len()), (33, 32));
     runs.reverse();
     for (n, run) in runs.iter().enumerate() {
@@ -97,10 +100,10 @@
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn fails_only_the_request_with_an_invalid_field() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let at = unix_ms().to_string();
     let valid = [
-        ("class", READ),
+        ("class", IDEMPOTENT),
         ("id", "00000000000000ff"),
         ("at", &at),
         ("from", "1"),
@@ -153,9 +156,12 @@
     }
     sidecar.send(1, 90, &valid, &[0; 2_049]).unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9, "a body past 2 KiB");
-    sidecar.0.write_all(&frame(1, 91, &[3, 200, b'x'])).unwrap();
+    sidecar
+        .0
+        .write_all(&encode_frame(1, 91, &[3, 200, b'x']))
+        .unwrap();
     assert_eq!(sidecar.receive().unwrap().code, 9, "fields past the frame");
-    send_request(&mut sidecar, 100, READ, &[], b"");
+    send_request(&mut sidecar, 100, IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     // Two open requests with the same id cannot be told apart: the second fails, the first goes on.
     sidecar
@@ -163,7 +169,7 @@
             1,
             101,
             &[
-                ("class", READ),
+                ("class", IDEMPOTENT),
                 ("id", &run),
                 ("at", &at),
                 ("from", "1"),
@@ -191,19 +197,19 @@
 #[test]
 fn fails_a_request_once_when_its_deadline_passes() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, BRIEF, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, SHORT_TIMEOUT, &[], b"");
     let run = expect_start(&mut link);
     let answer = sidecar.receive().unwrap();
     assert_eq!((answer.stream, answer.code), (1, 9));
     assert_eq!(
         link.receive_command().unwrap().0,
         ["HALT", &run],
-        "a replayable run is stopped"
+        "an idempotent run is stopped"
     );
     link.send_line_with_body(&format!("DONE 1 {run} fine 400"), b"too late")
         .unwrap();
-    send_request(&mut sidecar, 2, READ, &[], b"");
+    send_request(&mut sidecar, 2, IDEMPOTENT, &[], b"");
     // HALT is sent again until the engine reports the end of the run.
     let run = std::iter::repeat_with(|| link.receive_command().unwrap().0)
         .find(|words| words[0] != "HALT")
@@ -223,12 +229,12 @@
 #[test]
 fn learns_no_queueing_delay_from_a_wrong_timestamp() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
-    let mut unproven = rig.sidecar();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    let mut unproven = rig.connect_sidecar();
     for n in 1..=20 {
         let (id, at) = (id(n.into()), (unix_ms() - 1_000).to_string());
         let fields = [
-            ("class", READ),
+            ("class", IDEMPOTENT),
             ("id", &id),
             ("at", &at),
             ("from", "1"),
@@ -239,8 +245,8 @@
         link.send_line(&format!("NO RUN {run}")).unwrap();
         assert_eq!(unproven.receive().unwrap().code, 9);
     }
-    send_request(&mut sidecar, 21, READ, &[], b"");
-    run_through(&mut link, 1, b"");
+    send_request(&mut sidecar, 21, IDEMPOTENT, &[], b"");
+    execute_next_run(&mut link, 1, b"");
     assert_eq!(
         sidecar.receive().unwrap().field("say"),
         Some("1"),
@@ -252,7 +258,7 @@
 #[test]
 fn serves_a_request_stamped_by_a_differing_clock() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     for (n, at) in [
         (1, unix_ms() + 7_200_000),
         (2, unix_ms() - 7_200_000),
@@ -265,7 +271,7 @@
                 1,
                 n,
                 &[
-                    ("class", READ),
+                    ("class", IDEMPOTENT),
                     ("id", &id),
                     ("at", &at),
                     ("from", "1"),
@@ -274,7 +280,7 @@
                 b"",
             )
             .unwrap();
-        run_through(&mut link, n.into(), b"");
+        execute_next_run(&mut link, n.into(), b"");
         assert_eq!(sidecar.receive().unwrap().code, 1);
     }
 }
@@ -284,12 +290,12 @@
 #[test]
 fn runs_a_keyed_request_once_for_all_its_attempts() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     let once = [("once", "basket 7")];
-    send_request(&mut sidecar, 1, BUY, &once, b"buy");
+    send_request(&mut sidecar, 1, KEYED, &once, b"buy");
     let run = expect_start(&mut link);
-    send_request(&mut sidecar, 2, BUY, &once, b"buy");
-    send_request(&mut sidecar, 3, BUY, &[("once", "basket 8")], b"buy");
+    send_request(&mut sidecar, 2, KEYED, &once, b"buy");
+    send_request(&mut sidecar, 3, KEYED, &[("once", "basket 8")], b"buy");
     assert_eq!(
         expect_start(&mut link),
         id(3),
@@ -303,7 +309,7 @@
         answers.map(|answer| (answer.stream, answer.code, answer.body)),
         [1, 2].map(|s| (s, 1, b"bought".to_vec()))
     );
-    send_request(&mut sidecar, 4, BUY, &once, b"buy");
+    send_request(&mut sidecar, 4, KEYED, &once, b"buy");
     let late = sidecar.receive().unwrap();
     assert_eq!(
         (late.stream, late.code, late.body.as_slice()),
@@ -315,9 +321,9 @@
 #[test]
 fn fails_repeats_of_a_failed_request() {
     let rig = Rig::start();
-    let (mut link, mut sidecar) = rig.ready();
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     for n in 1..=2 {
-        send_request(&mut sidecar, n, BUY, &[("once", "basket 7")], b"buy");
+        send_request(&mut sidecar, n, KEYED, &[("once", "basket 7")], b"buy");
     }
     let run = expect_start(&mut link);
     link.send_line_with_body(&format!("DONE 1 {run} fault 1"), b"")
--- a/crates/server/tests/serve/restarts.rs
+++ b/crates/server/tests/serve/restarts.rs
@@ -16,7 +16,7 @@
     while let Ok(mut link) = FakeEngine::accept(&listener) {
         std::thread::sleep(delay);
         let _ = link
-            .command()
+            .receive_any_command()
             .and_then(|_| link.send_line("HELLO running 5.0"));
         while link.receive_command().is_ok() {}
     }
@@ -57,7 +57,7 @@
             std::thread::spawn(move || run_engine(listener, Duration::from_millis(300) * n as u32));
             let control = rig.control.try_clone().unwrap();
             let reporting = std::thread::spawn(move || ready_reported_at(&control, n % 4));
-            let mut sidecar = rig.sidecar();
+            let mut sidecar = rig.connect_sidecar();
             while check_health(&mut sidecar) != 1 {}
             let healthy_at = Instant::now();
             reporting.join().unwrap().max(healthy_at) - start
@@ -80,18 +80,18 @@
 fn serves_while_idle_clients_fill_the_descriptors() {
     const SOCKETS: usize = 128;
     let rig = Rig::with(|conf| conf["limits"]["sockets"] = json!(SOCKETS));
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
     let run = expect_start(&mut link);
     // More than the connection limit: half send a health check and then stay idle, the others never send anything.
-    let mut idle: Vec<_> = (0..100).map(|_| rig.sidecar()).collect();
+    let mut idle: Vec<_> = (0..100).map(|_| rig.connect_sidecar()).collect();
     for sidecar in idle.iter_mut().step_by(2) {
         let _ = sidecar.send(4, 0, &[], b"");
     }
     rig.wait_for_log("connection limit reached");
     assert!(rig.descriptors() <= SOCKETS);
     drop(link);
-    let mut link = rig.link(0);
+    let mut link = rig.accept_engine(0);
     link.send_line_with_body(&format!("NEED 1 {run}"), b"body")
         .unwrap();
     let mut service = FakeService::accept(&rig.records).unwrap();
@@ -115,8 +115,8 @@
         .is_err()
     {}
     // A new connection is accepted as idle ones are evicted.
-    let mut new = rig.sidecar();
-    send_request(&mut new, 2, READ, &[], b"");
+    let mut new = rig.connect_sidecar();
+    send_request(&mut new, 2, IDEMPOTENT, &[], b"");
     assert_eq!(expect_start(&mut link), id(2));
     assert!(rig.descriptors() <= SOCKETS);
 }
--- a/crates/server/tests/serve/rig.rs
+++ b/crates/server/tests/serve/rig.rs
@@ -13,13 +13,14 @@
 /// Makes the names of temporary files unique within the test process.
 static NEXT_FILE_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-pub(crate) const READ: &str = "greet"; // replayable, its call can be skipped
-pub(crate) const BUY: &str = "order"; // uniqued
-pub(crate) const PAY: &str = "pay"; // non-replayable
-pub(crate) const BRIEF: &str = "brief"; // replayable, a client timeout of 600 ms
-
-/// The example configuration with the handlers `PAY` and `BRIEF` added.
-pub(crate) fn settings() -> Value {
+// Handlers, named by their idempotency or client timeout.
+pub(crate) const IDEMPOTENT: &str = "greet"; // its call can be skipped
+pub(crate) const KEYED: &str = "order";
+pub(crate) const NON_IDEMPOTENT: &str = "pay";
+pub(crate) const SHORT_TIMEOUT: &str = "brief"; // idempotent, a client timeout of 600 ms
+
+/// The example configuration with the handlers `NON_IDEMPOTENT` and `SHORT_TIMEOUT` added.
+pub(crate) fn example_config() -> Value {
     let mut conf: Value =
         serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
     let handler = |name: &str, effect: &str, timeout: f64| {
@@ -28,22 +29,22 @@
     };
     let classes = conf["settings"]["classes"].as_array_mut().unwrap();
     classes.extend([
-        handler(PAY, "once", 2_000.0),
-        handler(BRIEF, "repeatable", 600.0),
+        handler(NON_IDEMPOTENT, "once", 2_000.0),
+        handler(SHORT_TIMEOUT, "repeatable", 600.0),
     ]);
     conf
 }
 
 /// A configuration with fakes for engine, records service and control plane, on ports that the system picks.
-pub(crate) fn with_peers() -> (Value, [TcpListener; 3]) {
-    let mut conf = settings();
+pub(crate) fn config_with_fakes() -> (Value, [TcpListener; 3]) {
+    let mut conf = example_config();
     conf["listen"] = json!("127.0.0.1:0");
-    let peers = ["engine", "records", "control"].map(|key| {
+    let listeners = ["engine", "records", "control"].map(|key| {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         conf[key] = json!(listener.local_addr().unwrap().to_string());
         listener
     });
-    (conf, peers)
+    (conf, listeners)
 }
 
 /// Writes a configuration to a new temporary file.
@@ -59,7 +60,7 @@
 }
 
 /// A command that runs the server's binary with these arguments.
-pub(crate) fn program(args: &[&str]) -> Command {
+pub(crate) fn server_command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cottondyke"));
     command
         .args(args)
@@ -179,7 +180,7 @@
 
 /// Starts the server with this configuration file; returns the process and its log lines.
 fn spawn_server(config_flag: &str, path: &Path) -> (Child, Receiver<String>) {
-    let mut child = program(&["serve", config_flag, path.to_str().unwrap()])
+    let mut child = server_command(&["serve", config_flag, path.to_str().unwrap()])
         .spawn()
         .unwrap();
     let (lines, log) = channel();
@@ -194,15 +195,15 @@
 }
 
 /// A running server without an engine, configured by an operator's script.
-pub(crate) struct Alone {
+pub(crate) struct StandaloneServer {
     process: Process,
     pub addr: SocketAddr,
 }
 
-impl Alone {
+impl StandaloneServer {
     pub(crate) fn start(script: &str) -> Self {
         let process = Process::start("--operator", temporary_file(script));
-        Alone {
+        StandaloneServer {
             addr: process.listen_addr(),
             process,
         }
@@ -236,7 +237,7 @@
     };
 }
 
-deref_to_process!(Alone);
+deref_to_process!(StandaloneServer);
 deref_to_process!(Rig);
 
 impl Rig {
@@ -246,7 +247,7 @@
 
     /// Starts a server after `change` was applied to its configuration.
     pub(crate) fn with(change: impl FnOnce(&mut Value)) -> Self {
-        let (mut conf, [engine, records, control]) = with_peers();
+        let (mut conf, [engine, records, control]) = config_with_fakes();
         change(&mut conf);
         let process = Process::start("--config", temporary_file(&conf.to_string()));
         Rig {
@@ -259,18 +260,21 @@
         }
     }
 
-    /// Accepts the server's engine connection as [`Rig::hello`] does.
-    pub(crate) fn link(&self, last: u64) -> FakeEngine {
-        Self::hello(&self.engine, last)
+    /// Accepts the server's engine connection as [`Rig::accept_engine_on`] does.
+    pub(crate) fn accept_engine(&self, last: u64) -> FakeEngine {
+        Self::accept_engine_on(&self.engine, last)
     }
 
     /// Accepts an engine connection, which must ask for the messages after number `last`, and completes the handshake:
     /// the engine's hello, then the load query whose answer shows that all messages of earlier connections were read.
-    pub(crate) fn hello(engine: &TcpListener, last: u64) -> FakeEngine {
+    pub(crate) fn accept_engine_on(engine: &TcpListener, last: u64) -> FakeEngine {
         let mut link = FakeEngine::accept(engine).unwrap();
-        assert_eq!(link.command().unwrap().0, ["ATTACH", &last.to_string()]);
+        assert_eq!(
+            link.receive_any_command().unwrap().0,
+            ["ATTACH", &last.to_string()]
+        );
         link.send_line("HELLO running 5.0").unwrap();
-        let (words, _) = link.command().unwrap();
+        let (words, _) = link.receive_any_command().unwrap();
         assert_eq!(
             words[0], "STAT",
             "the first command is the load query of the handshake"
@@ -281,13 +285,13 @@
     }
 
     /// Connects a fake engine and a fake sidecar, and waits until the server reports that it is healthy.
-    pub(crate) fn ready(&self) -> (FakeEngine, FakeSidecar) {
-        let (link, mut sidecar) = (self.link(0), self.sidecar());
+    pub(crate) fn connect_engine_and_sidecar(&self) -> (FakeEngine, FakeSidecar) {
+        let (link, mut sidecar) = (self.accept_engine(0), self.connect_sidecar());
         while check_health(&mut sidecar) != 1 {}
         (link, sidecar)
     }
 
-    pub(crate) fn sidecar(&self) -> FakeSidecar {
+    pub(crate) fn connect_sidecar(&self) -> FakeSidecar {
         FakeSidecar::connect(self.addr).unwrap()
     }
 
@@ -341,7 +345,7 @@
 }
 
 /// Acts as the engine for one run: expects its start and sends its result as message `message`.
-pub(crate) fn run_through(link: &mut FakeEngine, message: u64, result: &[u8]) {
+pub(crate) fn execute_next_run(link: &mut FakeEngine, message: u64, result: &[u8]) {
     let run = expect_start(link);
     link.send_line_with_body(&format!("DONE {message} {run} fine 1"), result)
         .unwrap();
@@ -349,7 +353,7 @@
 
 /// Runs the binary with these arguments to its end; returns the exit code and standard error.
 pub(crate) fn run_to_exit(args: &[&str]) -> (Option<i32>, String) {
-    let mut child = program(args).spawn().unwrap();
+    let mut child = server_command(args).spawn().unwrap();
     let status = child.wait().unwrap();
     let mut text = String::new();
     child
--- a/crates/server/tests/serve/shutdown.rs
+++ b/crates/server/tests/serve/shutdown.rs
@@ -8,22 +8,22 @@
 #[test]
 fn answers_all_that_was_read_before_the_end() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(1_500));
-    let (mut link, mut sidecar) = rig.ready();
-    send_request(&mut sidecar, 1, PAY, &[], b"");
-    send_request(&mut sidecar, 2, PAY, &[], b"");
+    let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
+    send_request(&mut sidecar, 1, NON_IDEMPOTENT, &[], b"");
+    send_request(&mut sidecar, 2, NON_IDEMPOTENT, &[], b"");
     let (first, _hangs) = (expect_start(&mut link), expect_start(&mut link));
     rig.signal("-TERM");
     let notice = sidecar.receive().unwrap();
     assert_eq!((notice.kind, notice.stream), (6, 0));
     rig.signal("-TERM");
     rig.wait_for_log("repeated shutdown signal");
-    let mut late = rig.sidecar();
+    let mut late = rig.connect_sidecar();
     assert_ne!(
         check_health(&mut late),
         1,
         "health checks fail during the drain"
     );
-    send_request(&mut late, 3, READ, &[], b"");
+    send_request(&mut late, 3, IDEMPOTENT, &[], b"");
     link.send_line_with_body(&format!("DONE 1 {first} fine 1"), b"done")
         .unwrap();
     assert_eq!(sidecar.receive().unwrap().body, b"done");
@@ -42,7 +42,7 @@
 #[test]
 fn ends_in_time_when_idle() {
     let mut rig = Rig::with(|conf| conf["stop_ms"] = json!(2_000));
-    drop(rig.ready());
+    drop(rig.connect_engine_and_sidecar());
     rig.signal("-TERM");
     let (status, time) = rig.wait_for_exit();
     assert!(
--- a/crates/server/tests/serve/startup.rs
+++ b/crates/server/tests/serve/startup.rs
@@ -51,7 +51,7 @@
         ("seed", |c| c["seed"] = json!("xyz")),
     ];
     for (key, corrupt) in cases {
-        let mut conf = settings();
+        let mut conf = example_config();
         corrupt(&mut conf);
         let path = temporary_file(&conf.to_string());
         for command in ["check", "serve"] {
@@ -63,7 +63,7 @@
     }
     // The records service may be omitted only where `below` is `none`.
     for (below, expected) in [("none", Some(0)), ("common", Some(2))] {
-        let mut conf = settings();
+        let mut conf = example_config();
         conf.as_object_mut().unwrap().remove("records");
         conf["settings"]["family_info"]["below"] = json!(below);
         let path = temporary_file(&conf.to_string());
@@ -88,7 +88,7 @@
     assert_eq!(run_to_exit(&["dance"]).0, Some(2));
     assert_eq!(run_to_exit(&["version"]).0, Some(0));
     // One build accepts both ways to count callers; the settings alone select one.
-    let mut conf = settings();
+    let mut conf = example_config();
     conf["front"] = json!({ "callers": "connections" });
     conf["settings"]["family_info"]
         .as_object_mut()
@@ -107,7 +107,7 @@
 #[test]
 fn prints_one_line_when_the_address_is_in_use() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut conf = settings();
+    let mut conf = example_config();
     conf["listen"] = json!(listener.local_addr().unwrap().to_string());
     let path = temporary_file(&conf.to_string());
     assert_eq!(
--- a/crates/test-support/src/fake_machine/cores.rs
+++ b/crates/test-support/src/fake_machine/cores.rs
@@ -12,9 +12,9 @@
     /// How long a cold machine takes to reach full speed.
     pub warm_after: Duration,
     /// The cold speed that the server's settings state, which is no higher than the actual one.
-    pub told_cold_speed: f64,
+    pub configured_cold_speed: f64,
     /// The warm-up time that the server's settings state, which is no shorter than the actual one.
-    pub told_warm_within: Duration,
+    pub configured_warm_within: Duration,
     /// Runs per core that the machine survives when warm.
     pub overload_factor: f64,
     /// Whether each run needs one call to a dependency before it uses the cores.
@@ -32,7 +32,7 @@
 
 /// A run that the machine started.
 #[derive(Clone, Copy, Debug)]
-pub struct BegunRun {
+pub struct StartedRun {
     /// When it started, counted from the machine's start.
     pub at: Duration,
     /// Work of the run, in seconds on one core at full speed.
@@ -60,7 +60,7 @@
     runs: BTreeMap<String, f64>,
     /// Seconds of work of each run that waits for its call, by its id.
     waiting_for_call: BTreeMap<String, f64>,
-    started_runs: Vec<BegunRun>,
+    started_runs: Vec<StartedRun>,
     load_samples: Vec<LoadSample>,
     /// The number of the last notice since the machine's start.
     last_notice: u64,
@@ -185,7 +185,7 @@
             return;
         }
         let at = now.duration_since(self.started_at);
-        self.started_runs.push(BegunRun { at, work });
+        self.started_runs.push(StartedRun { at, work });
         if self.config.makes_calls {
             self.waiting_for_call.insert(id.to_string(), work);
             self.last_notice += 1;
@@ -220,11 +220,11 @@
         format!("{used:.3} {running:.0} 0.1 3")
     }
 
-    pub(super) fn started_runs(&self) -> &[BegunRun] {
+    pub(super) fn started_runs(&self) -> &[StartedRun] {
         &self.started_runs
     }
 
-    /// See [`FakeMachine::peak_crowding`](super::FakeMachine::peak_crowding).
+    /// See [`FakeMachine::peak_load`](super::FakeMachine::peak_load).
     pub(super) fn peak_load(&self, window: Duration) -> f64 {
         let span = window.as_secs_f64();
         let mut peak: f64 = 0.0;
--- a/crates/test-support/src/fake_machine/link.rs
+++ b/crates/test-support/src/fake_machine/link.rs
@@ -28,7 +28,7 @@
     stream.set_nodelay(true)?;
     let mut writer = FakeEngine(BufReader::new(stream.try_clone()?));
     let mut reader = FakeEngine(BufReader::new(stream));
-    reader.command()?;
+    reader.receive_any_command()?;
     let (link, hello) = {
         let mut cores = shared.cores();
         (cores.open_link(), cores.hello_line(Instant::now()))
@@ -54,7 +54,7 @@
     shared: &Shared,
 ) -> io::Result<()> {
     loop {
-        let command = reader.command()?;
+        let command = reader.receive_any_command()?;
         if !shared.cores().is_link_open(link) {
             return Ok(());
         }
--- a/crates/test-support/src/fake_machine/mod.rs
+++ b/crates/test-support/src/fake_machine/mod.rs
@@ -3,7 +3,7 @@
 mod cores;
 mod link;
 
-pub use cores::{BegunRun, MachineConfig, StartKind};
+pub use cores::{MachineConfig, StartKind, StartedRun};
 
 use cores::Cores;
 use std::io;
@@ -82,13 +82,13 @@
     }
 
     /// The runs that were started since the machine's last start, oldest first.
-    pub fn begun(&self) -> Vec<BegunRun> {
+    pub fn started_runs(&self) -> Vec<StartedRun> {
         self.shared.cores().started_runs().to_vec()
     }
 
     /// The largest mean number of runs on the cores over any `window` since the last start, as a fraction of the number
     /// that the machine survives at the end of that window.
-    pub fn peak_crowding(&self, window: Duration) -> f64 {
+    pub fn peak_load(&self, window: Duration) -> f64 {
         self.shared.cores().peak_load(window)
     }
 }
--- a/crates/test-support/src/fakes/fake_engine.rs
+++ b/crates/test-support/src/fakes/fake_engine.rs
@@ -26,7 +26,7 @@
     }
 
     /// Receives the next command of any kind; fails at the end of the connection.
-    pub fn command(&mut self) -> io::Result<EngineCommand> {
+    pub fn receive_any_command(&mut self) -> io::Result<EngineCommand> {
         let mut line = String::new();
         if self.0.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
@@ -49,7 +49,7 @@
             if Instant::now() > deadline {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            let (words, body) = self.command()?;
+            let (words, body) = self.receive_any_command()?;
             if words[0] != "STAT" {
                 return Ok((words, body));
             }
--- a/crates/test-support/src/fakes/fake_sidecar.rs
+++ b/crates/test-support/src/fakes/fake_sidecar.rs
@@ -9,7 +9,7 @@
 const COUNTED_HEAD_BYTES: usize = 5;
 
 /// Encodes fields and a body as the payload of a frame.
-pub fn payload(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode_payload(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = vec![fields.len() as u8];
     for (name, value) in fields {
         bytes.push(name.len() as u8);
@@ -22,7 +22,7 @@
 }
 
 /// Encodes a frame.
-pub fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+pub fn encode_frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() + COUNTED_HEAD_BYTES) as u32;
     let mut bytes = length.to_be_bytes().to_vec();
     bytes.push(kind);
@@ -101,7 +101,7 @@
         body: &[u8],
     ) -> io::Result<()> {
         self.0
-            .write_all(&frame(kind, stream, &payload(fields, body)))
+            .write_all(&encode_frame(kind, stream, &encode_payload(fields, body)))
     }
 
     /// Receives the next frame; fails at the end of the connection.
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,5 @@
-//! Fake peers of the server on loopback: sidecar, engine, HTTP service, dependency, and faulty links between them.
+//! Fakes of the systems around the server, on loopback: sidecar, engine, HTTP service, dependency, and faulty links
+//! between them.
 //!
 //! Tests, chaos experiments and the demo platform share them. A test or a seeded schedule sets the faults of the fakes
 //! and reads what they recorded.
--- a/examples/demo_platform/main.rs
+++ b/examples/demo_platform/main.rs
@@ -1,4 +1,4 @@
-//! Fakes of the server's peers for a demo. They use the addresses of `examples/config.json`.
+//! Fakes of the systems around the server, for a demo. They use the addresses of `examples/config.json`.
 //!
 //! - `demo_platform` runs the engine, the records service and the control plane.
 //! - `demo_platform send TEXT` sends one request as a sidecar does.
