--- a/crates/chaos/src/experiments/simulate.rs
+++ b/crates/chaos/src/experiments/simulate.rs
@@ -17,7 +17,7 @@
     let safeguards = Safeguards {
         lease: is_enabled("lease"),
         fence: is_enabled("fence"),
-        post_cancel_grace: is_enabled("linger"),
+        expiry_grace: is_enabled("linger"),
         demand: is_enabled("need"),
     };
     let next_seed = AtomicU64::new(options.seed);
--- a/crates/chaos/src/simulation/config.rs
+++ b/crates/chaos/src/simulation/config.rs
@@ -13,7 +13,7 @@
 
 pub(super) const LEASE_DURATION: i64 = 3 * SECOND;
 /// Upper bound of a call's duration.
-pub(super) const POST_CANCEL_GRACE: i64 = 400 * MILLISECOND;
+pub(super) const EXPIRY_GRACE: i64 = 400 * MILLISECOND;
 pub(super) const MAX_PROCESS_PAUSE: i64 = 30 * SECOND;
 pub(super) const PROBE_INTERVAL: i64 = 500 * MILLISECOND;
 /// How often a member reports its usage and starts calls.
@@ -60,7 +60,7 @@
             replicas: if random.bool() { 3 } else { 5 },
             total_units: random.u32(members as u32 / 2..=members as u32 * 6),
             faults_until: FAULT_DURATION,
-            end: FAULT_DURATION + LEASE_DURATION + RECOVERY_DURATION + POST_CANCEL_GRACE,
+            end: FAULT_DURATION + LEASE_DURATION + RECOVERY_DURATION + EXPIRY_GRACE,
             safeguards: Safeguards::default(),
             message_loss: random.f64() * MAX_MESSAGE_LOSS,
             has_constant_demand: false,
--- a/crates/chaos/src/simulation/state.rs
+++ b/crates/chaos/src/simulation/state.rs
@@ -1,8 +1,8 @@
 //! The state of a simulated cluster, and the operations that events and faults consist of. Random numbers are drawn in
 //! the order of these operations: reordering them changes the run of a seed.
 use super::config::{
-    EventLog, SimulationConfig, SimulationResult, BUDGET, LEASE_DURATION, LOAD_INTERVAL,
-    MAX_PROCESS_PAUSE, MILLISECOND, POST_CANCEL_GRACE, PROBE_INTERVAL, SECOND, SECOND_BUDGET,
+    EventLog, SimulationConfig, SimulationResult, BUDGET, EXPIRY_GRACE, LEASE_DURATION,
+    LOAD_INTERVAL, MAX_PROCESS_PAUSE, MILLISECOND, PROBE_INTERVAL, SECOND, SECOND_BUDGET,
 };
 use super::event::{Event, EventQueue, Transport};
 use super::network::{address_of, index_of, Link, Network, Phase};
@@ -30,8 +30,8 @@
 /// and would be missing from the usable units that are measured at the end.
 const CONSTANT_DEMAND_DURATION: i64 = SECOND + 500 * MILLISECOND;
 const MIN_CALL_DURATION: i64 = 10 * MILLISECOND;
-/// A call ends within the post-cancel grace even if the load update that started it came late.
-const MAX_CALL_DURATION: i64 = POST_CANCEL_GRACE - LOAD_INTERVAL / 2;
+/// A call ends within the expiry grace even if the load update that started it came late.
+const MAX_CALL_DURATION: i64 = EXPIRY_GRACE - LOAD_INTERVAL / 2;
 
 pub(super) struct ClusterState {
     pub(super) config: SimulationConfig,
@@ -136,7 +136,7 @@
         let budget = |name: &str| BudgetSpec {
             name: name.to_string(),
             units: self.config.total_units,
-            post_cancel_grace: Time(POST_CANCEL_GRACE),
+            expiry_grace: Time(EXPIRY_GRACE),
         };
         NodeConfig {
             holder: Holder {
--- a/crates/cluster/src/event.rs
+++ b/crates/cluster/src/event.rs
@@ -38,11 +38,12 @@
     MemberUp(Member),
     /// A member left, or was declared dead.
     MemberDown(Member),
-    /// Other members had declared this node dead, and it rejoined.
+    /// Other members had declared this node dead, and it rejoined under the next version.
     Rejoined,
     /// Another process runs under this node's name; this is its identity.
     DuplicateName(Member),
-    /// The replica's storage failed or holds unusable data: the replica no longer takes part in consensus.
+    /// The replica failed (see [`Replica::has_failed`](cottondyke_consensus::Replica::has_failed)) and no longer takes
+    /// part in consensus.
     ReplicaFailed,
 }
 
@@ -64,7 +65,7 @@
         /// The message, to be passed to the receiver's [`handle_message`](crate::ClusterNode::handle_message).
         bytes: Vec<u8>,
     },
-    /// Apply to the replica's storage, in order. Once it is durable, the driver calls
+    /// Apply to the replica's storage, in order. Once it is on disk, the driver calls
     /// [`handle_stored`](crate::ClusterNode::handle_stored) with its number, or
     /// [`handle_storage_failure`](crate::ClusterNode::handle_storage_failure) if it cannot be written.
     Store(StorageOperation),
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,4 +1,5 @@
-//! One node of a cluster that shares budgets, as a sans-I/O core.
+//! One node of a cluster that shares budgets, as a sans-I/O core. A node is one instance of the server; a cluster is
+//! the fleet of all instances that an operator's file describes.
 //!
 //! [`ClusterNode`] combines four sans-I/O components: the replica of the quota table (`cottondyke_consensus`, on the
 //! few nodes that hold one), the lease manager (`cottondyke_quota`, on the node whose replica is the leader), the lease
--- a/crates/cluster/src/node/mod.rs
+++ b/crates/cluster/src/node/mod.rs
@@ -34,7 +34,7 @@
 /// # Example
 ///
 /// A cluster of a single node, which holds the only replica: it bootstraps the replica, becomes the leader, and leases
-/// the budget to itself. In this example writes are durable at once.
+/// the budget to itself. In this example writes are on disk at once.
 ///
 /// ```
 /// use cottondyke_cluster::{ClusterNode, NodeConfig, Output};
@@ -55,7 +55,7 @@
 ///     budgets: vec![BudgetSpec {
 ///         name: "db".into(),
 ///         units: 10,
-///         post_cancel_grace: Time(0),
+///         expiry_grace: Time(0),
 ///     }],
 ///     lease_config: LeaseConfig {
 ///         lease_duration: Time(20_000),
@@ -166,9 +166,11 @@
         self.lease_holder.record_usage(budget, usage);
     }
 
-    /// Announces to other members that this node is leaving, and releases its quota as units come out of use.
+    /// Announces to other members that this node is leaving, and reports that it needs no more quota, so that the
+    /// leader lowers its quotas, usually not to 0. The rest is reclaimed after the process has ended or its lease has
+    /// expired.
     pub fn start_draining(&mut self, now: Time) -> Vec<Output> {
-        self.lease_holder.release_all();
+        self.lease_holder.start_draining();
         let effects = self.membership.announce_leaving(now);
         self.apply_membership_effects(effects);
         self.finish_input(now)
@@ -208,7 +210,7 @@
         self.finish_input(now)
     }
 
-    /// Handles the completion of a write: the operation with this number and all before it are durable.
+    /// Handles the completion of a write: the operation with this number and all before it are on disk.
     pub fn handle_stored(&mut self, now: Time, number: u64) -> Vec<Output> {
         if let Some(host) = &mut self.replica_host {
             let effects = host.handle_stored(number);
--- a/crates/cluster/src/node/replica.rs
+++ b/crates/cluster/src/node/replica.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// On a replica without a state: probes the others, and bootstraps once all of them reported that they have none.
+    /// On a replica without a state: sends probes to the others. If its name sorts first, it bootstraps once all others
+    /// have reported that they have no state either.
     fn continue_bootstrap(&mut self, now: Time) {
         let Some(host) = self
             .replica_host
@@ -106,7 +107,7 @@
     }
 
     /// Starts from the initial state. The state is written first: no message that depends on it may be sent before it
-    /// is durable.
+    /// is on disk.
     fn bootstrap_replica(&mut self, members: &BTreeMap<ReplicaId, String>) {
         let Some(host) = &mut self.replica_host else {
             return;
--- a/crates/cluster/src/node/replica_host.rs
+++ b/crates/cluster/src/node/replica_host.rs
@@ -30,7 +30,7 @@
     ticks: u64,
     /// The tick at which the pending read index was started.
     read_index_tick: Option<u64>,
-    /// Whether the state that the replica starts from is durable. Until then the replica neither ticks nor handles
+    /// Whether the state that the replica starts from is on disk. Until then the replica neither ticks nor handles
     /// messages: a crash could undo the state that its messages depend on.
     is_started: bool,
     is_failure_reported: bool,
@@ -131,7 +131,7 @@
         self.replica.handle_stored(number)
     }
 
-    /// Replaces the replica by one in the initial state of these members. Returns the write that must be durable before
+    /// Replaces the replica by one in the initial state of these members. Returns the write that must be on disk before
     /// the replica starts, or `None` if the replica cannot be opened.
     pub(super) fn reset_to_initial_state(
         &mut self,
--- a/crates/cluster/src/node/routing.rs
+++ b/crates/cluster/src/node/routing.rs
@@ -99,8 +99,8 @@
         self.redirect_lease_requests(now, leader_index);
     }
 
-    /// Makes this replica the request target and sends the next lease request soon. Without an index, the next replica
-    /// in order becomes the target, with a response timeout that starts now.
+    /// Makes the replica with this index the request target and sends the next lease request soon. Without an index,
+    /// the next replica in order becomes the target, with a response timeout that starts now.
     pub(super) fn redirect_lease_requests(&mut self, now: Time, replica_index: Option<usize>) {
         if let Some(index) = replica_index {
             self.request_target = index;
--- a/crates/cluster/src/node/status.rs
+++ b/crates/cluster/src/node/status.rs
@@ -50,7 +50,7 @@
     BudgetStatus {
         name: name.to_string(),
         units: budget.units,
-        post_cancel_grace_ms: budget.post_cancel_grace / TIME_UNITS_PER_MILLISECOND,
+        expiry_grace_ms: budget.expiry_grace / TIME_UNITS_PER_MILLISECOND,
         quotas: quotas.collect(),
     }
 }
--- a/crates/cluster/src/status.rs
+++ b/crates/cluster/src/status.rs
@@ -47,7 +47,7 @@
     pub units: u32,
     /// How long a unit may stay in use after its holder's lease has expired.
     #[serde(rename = "linger_ms")]
-    pub post_cancel_grace_ms: i64,
+    pub expiry_grace_ms: i64,
     /// The quota of each holder.
     #[serde(rename = "shares")]
     pub quotas: Vec<QuotaStatus>,
--- a/crates/cluster/tests/cluster_node.rs
+++ b/crates/cluster/tests/cluster_node.rs
@@ -30,7 +30,7 @@
         budgets: vec![BudgetSpec {
             name: BUDGET.into(),
             units: BUDGET_UNITS,
-            post_cancel_grace: Time(0),
+            expiry_grace: Time(0),
         }],
         lease_config: LeaseConfig {
             lease_duration: Time(20_000),
@@ -52,7 +52,7 @@
     ClusterNode::new(config("b"), None).unwrap()
 }
 
-/// Nodes whose messages arrive without delay or loss, and whose writes are durable at once.
+/// Nodes whose messages arrive without delay or loss, and whose writes are on disk at once.
 struct Cluster {
     now: Time,
     nodes: BTreeMap<SocketAddr, ClusterNode>,
--- a/crates/cluster/tests/golden_messages.rs
+++ b/crates/cluster/tests/golden_messages.rs
@@ -1,4 +1,4 @@
-//! The bytes of what instances say to each other and propose to the registry, as the versions in use write them.
+//! The bytes of what instances say to each other and propose to the quota table, as the versions in use write them.
 #![expect(clippy::too_many_lines, reason = "tables of cases and long scenarios")]
 
 use cottondyke_cluster::{Message, QuotaStateMachine};
@@ -57,7 +57,7 @@
         Command::SetBudget {
             budget: whole,
             units: 200,
-            post_cancel_grace: 5000,
+            expiry_grace: 5000,
         },
         raise(&a, 9, None),
         raise(&b, 130, None),
@@ -112,7 +112,7 @@
     let table: &QuotaTable = &restored.0;
     assert!(table.open && table.budgets.len() == 1);
     let whole = &table.budgets["db"];
-    assert_eq!((whole.units, whole.post_cancel_grace), (200, 5000));
+    assert_eq!((whole.units, whole.expiry_grace), (200, 5000));
     let share = |amount, epoch, fenced| Quota {
         amount,
         epoch: Epoch(epoch),
@@ -214,7 +214,7 @@
     assert!(view.quotas == [("db".to_string(), 200)]);
     let (budget, held) = (&view.budgets[0], &view.quarantined[0]);
     assert!(view.budgets.len() == 1 && view.quarantined.len() == 1 && budget.quotas.len() == 1);
-    assert!(budget.name == "db" && budget.units == 400 && budget.post_cancel_grace_ms == 500);
+    assert!(budget.name == "db" && budget.units == 400 && budget.expiry_grace_ms == 500);
     let share = &budget.quotas[0];
     assert!(share.holder == "b#7" && share.amount == 130 && share.epoch == 2 && share.fenced);
     assert!(
--- a/crates/consensus/src/replica/configuration.rs
+++ b/crates/consensus/src/replica/configuration.rs
@@ -14,8 +14,8 @@
 /// The minimum number of ticks between two proposals of a configuration change.
 const CONFIGURATION_CHANGE_INTERVAL_TICKS: u64 = 10;
 
-/// The member that a configuration change adds, as encoded in its log entry. The order of the fields is part of the
-/// serialized form.
+/// The member that a configuration change adds or promotes, as encoded in its log entry. The order of the fields is
+/// part of the serialized form.
 #[derive(Serialize, Deserialize)]
 struct AddedMember {
     id: ReplicaId,
--- a/crates/consensus/src/replica/message_check.rs
+++ b/crates/consensus/src/replica/message_check.rs
@@ -4,10 +4,10 @@
 use raft::eraftpb::{Message, MessageType};
 
 impl<S: StateMachine> Replica<S> {
-    /// Whether a message may be passed to raft: it is addressed to this replica, not of a local type, and satisfies
-    /// what raft assumes of its peers.
+    /// Whether a message may be passed to raft: it is addressed to this replica, not of a type that is never accepted,
+    /// and satisfies what raft assumes of its peers.
     pub(super) fn accepts_message(&self, message: &Message) -> bool {
-        !is_local(message.get_msg_type())
+        !is_never_accepted(message.get_msg_type())
             && message.to == self.id.0
             && message.from != self.id.0
             && message.from != 0
@@ -22,9 +22,10 @@
     }
 }
 
-/// Whether a replica creates messages of this type only for itself. Proposals and reads are among them: a leader
-/// accepts only its own, since one that another replica forwards would predate the leadership.
-fn is_local(message_type: MessageType) -> bool {
+/// Whether messages of this type are never accepted from another replica. These are raft's local messages, forwarded
+/// proposals and reads (a leader accepts only its own, because a forwarded one may have been made before its leadership
+/// began), and leadership transfers, which are not used.
+fn is_never_accepted(message_type: MessageType) -> bool {
     matches!(
         message_type,
         MessageType::MsgHup
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -101,7 +101,8 @@
         configuration.voters.into_iter().map(ReplicaId).collect()
     }
 
-    /// Whether the replica's log or storage is unusable. A failed replica does nothing until it is opened again.
+    /// Whether the replica failed: its storage failed, a snapshot could not be restored, or the crate `raft` panicked.
+    /// A failed replica does nothing until it is opened again.
     pub fn has_failed(&self) -> bool {
         self.failed
     }
--- a/crates/consensus/src/replica/ready.rs
+++ b/crates/consensus/src/replica/ready.rs
@@ -86,8 +86,9 @@
         Ok(operation)
     }
 
-    /// Requests that the operation is stored, and that its messages are sent after that. If there is nothing to store,
-    /// the messages only wait for earlier operations to be on disk.
+    /// Requests that the operation is stored, and that its messages are sent after that. If there is nothing to store
+    /// but earlier operations are pending, an empty operation is requested, so that the messages wait until the earlier
+    /// ones are on disk.
     fn persist(
         &mut self,
         ready: Ready,
--- a/crates/dependency/src/aggregator/audit.rs
+++ b/crates/dependency/src/aggregator/audit.rs
@@ -28,12 +28,12 @@
 
     fn check_gate(&self, id: GateId, gate: &DependencyGate) -> Result<(), InvariantViolation> {
         let dependency = || gate.spec.name.clone();
-        let active = self.calls.values().filter(|call| call.gate == id).count();
-        let counted = gate.active_calls();
-        if active != counted {
-            return Err(InvariantViolation::ActiveCallCountMismatch {
+        let awaited = self.calls.values().filter(|call| call.gate == id).count();
+        let counted = gate.awaited_calls();
+        if awaited != counted {
+            return Err(InvariantViolation::AwaitedCallCountMismatch {
                 dependency: dependency(),
-                actual: active,
+                actual: awaited,
                 counted,
             });
         }
--- a/crates/dependency/src/aggregator/call.rs
+++ b/crates/dependency/src/aggregator/call.rs
@@ -112,7 +112,7 @@
         if let Some(gate) = self.gates.get_mut(&call.gate) {
             gate.hedge_queue.retain(|other| *other != id);
             if may_still_run {
-                gate.abandon_call(now);
+                gate.stop_awaiting_call(now);
             } else {
                 gate.finish_call(now);
             }
@@ -251,7 +251,7 @@
             call.timestamp.finish();
         }
         if let Some(gate) = self.gates.get_mut(&gate_id) {
-            gate.abandon_call(now);
+            gate.stop_awaiting_call(now);
         }
         self.schedule_release(now, gate_id);
     }
--- a/crates/dependency/src/aggregator/run.rs
+++ b/crates/dependency/src/aggregator/run.rs
@@ -69,10 +69,10 @@
         }
     }
 
-    /// The deadline of a step on the dependency at this index of the plan: its time budget, or the time left until the
-    /// response target (until the request's deadline once the target has passed), whichever is less. If fallbacks to
-    /// other dependencies follow and the time left is less than the sum of all these budgets, it is divided in
-    /// proportion to them.
+    /// The deadline of a step on the dependency at this index of the plan: `now` plus the dependency's time budget or
+    /// the time left until the response target (until the request's deadline once the target has passed), whichever is
+    /// less. If the time left is less than the sum of this budget and the budgets of the fallbacks to other
+    /// dependencies that follow, the step gets a part of the time left in proportion to its budget.
     fn step_deadline(
         &self,
         now: Time,
--- a/crates/dependency/src/aggregator/state.rs
+++ b/crates/dependency/src/aggregator/state.rs
@@ -141,7 +141,8 @@
     pub(super) timeout: Time,
     pub(super) kind: CallKind,
     pub(super) timestamp: Rc<SendTimestamp>,
-    /// Whether its part no longer waits for it; the gate has then already observed its end.
+    /// Whether its part no longer waits for it. The gate has then already observed its outcome, but not yet its end:
+    /// the driver may still wait for its response.
     pub(super) is_abandoned: bool,
 }
 
--- a/crates/dependency/src/aggregator/usage.rs
+++ b/crates/dependency/src/aggregator/usage.rs
@@ -1,4 +1,4 @@
-//! The usage of leased quotas, from which the lease manager derives how many units to request.
+//! The usage of leased quotas, which this instance's lease holder reports to the leader as its demand.
 use super::state::GateId;
 use super::Aggregator;
 use crate::gate::DependencyGate;
--- a/crates/dependency/src/circuit_breaker.rs
+++ b/crates/dependency/src/circuit_breaker.rs
@@ -16,7 +16,7 @@
 const MAX_BACKOFF: Time = Time(4_000);
 /// Factor between consecutive backoffs.
 const BACKOFF_GROWTH: f64 = 1.6;
-/// Openings after which the backoff grows no further.
+/// The maximum exponent of `BACKOFF_GROWTH`, which avoids an overflow; `MAX_BACKOFF` is reached earlier.
 const MAX_BACKOFF_EXPONENT: u32 = 16;
 /// Maximum jitter in either direction, as a fraction of the backoff.
 const JITTER_RATIO: f64 = 0.25;
@@ -54,7 +54,7 @@
 /// The outcome of a call, as the breaker counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The dependency returned a valid reply.
+    /// The dependency returned a valid response.
     Success,
     /// The call failed, was rejected or timed out.
     Failure,
--- a/crates/dependency/src/error.rs
+++ b/crates/dependency/src/error.rs
@@ -7,12 +7,12 @@
 /// An invariant of the aggregator that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// The number of active calls that a gate counts differs from the actual one.
-    #[error("{dependency}: gate counts {counted} active calls, expected {actual}")]
-    ActiveCallCountMismatch {
+    /// The number of awaited calls that a gate counts differs from the actual one.
+    #[error("{dependency}: gate counts {counted} awaited calls, expected {actual}")]
+    AwaitedCallCountMismatch {
         /// The dependency's name.
         dependency: Rc<str>,
-        /// Active calls to it.
+        /// Calls to it whose responses are awaited.
         actual: usize,
         /// Calls that the gate counts.
         counted: usize,
--- a/crates/dependency/src/gate.rs
+++ b/crates/dependency/src/gate.rs
@@ -1,6 +1,7 @@
-//! The gate through which aggregations call one dependency. Active calls, abandoned calls that may still be running,
-//! and after a restart the calls that the previous incarnation of this instance may have left, all count as in flight.
-//! No call is admitted beyond the limit, and the limit never exceeds the configured or leased maximum.
+//! The gate through which aggregations call one dependency. Calls that this instance awaits, calls that it no longer
+//! awaits but that may still be running, and after a restart the calls that the previous incarnation of this instance
+//! may have left, all count as in flight. No call is admitted beyond the limit, and the limit never exceeds the
+//! configured or leased maximum.
 use crate::circuit_breaker::{
     CallKind, CallOutcome, CircuitBreaker, CircuitState, FailureThreshold, UniformDraw,
 };
@@ -25,8 +26,8 @@
 const MAX_REQUIRED_RATIO: f64 = 0.5;
 /// The required time before any latency was observed.
 const INITIAL_REQUIRED_TIME: Time = Time(1);
-/// The failure ratio of the last second from which a rejection or timeout counts as overload. When every one of them
-/// counted, a dependency with one straggler in forty calls had its limit held at half.
+/// The failure ratio of the last second from which a rejection or timeout counts as overload. If every one of them
+/// counted, one slow call in forty would keep the limit at about half.
 const OVERLOAD_THRESHOLD: FailureThreshold = FailureThreshold {
     ratio: 0.1,
     min_calls: 20.0,
@@ -52,7 +53,8 @@
     Success,
     /// The call failed in a way that is no sign of overload.
     Failure,
-    /// The call was rejected, or timed out although it was given enough time.
+    /// The call was rejected or its result was [`CallResult::TimedOut`](crate::CallResult::TimedOut), or its step's
+    /// deadline passed although it had been given enough time.
     Overload,
     /// The outcome is no evidence about the dependency.
     Ignored,
@@ -82,7 +84,7 @@
     pub successes: u64,
     /// Calls that failed or were a sign of overload.
     pub failures: u64,
-    /// Calls that were not answered before their timeout.
+    /// Calls that were still awaited when the deadline of their step passed.
     pub timeouts: u64,
     /// Parts refused a call because the limit was reached, at once or after waiting.
     pub limit_reached: u64,
@@ -212,11 +214,11 @@
     }
 
     /// Calls whose responses this instance still waits for.
-    pub fn active_calls(&self) -> usize {
-        self.in_flight.active()
+    pub fn awaited_calls(&self) -> usize {
+        self.in_flight.awaited()
     }
 
-    /// When the next abandoned, orphaned or sent call stops counting against the limit or the rate limit.
+    /// When the next unawaited, orphaned or sent call stops counting against the limit or the rate limit.
     pub fn next_release(&self, now: Time) -> Option<Time> {
         self.in_flight
             .release_times()
@@ -286,7 +288,7 @@
 
     /// Records that this instance no longer waits for the response of a call, which may go on running for the grace
     /// period.
-    pub fn abandon_call(&mut self, now: Time) {
+    pub fn stop_awaiting_call(&mut self, now: Time) {
         let until = now + self.spec.post_cancel_grace;
         self.in_flight.finish(now, CallEnd::MayRunUntil(until));
     }
@@ -349,8 +351,8 @@
     }
 
     /// The time that must be left for a call to be worth making: what nearly all calls need. A call made with less
-    /// fails through its caller's fault and is no evidence about the dependency, and a queue of such calls would keep a
-    /// low limit low indefinitely.
+    /// times out because of its short timeout, which says nothing about the dependency. If waiting calls were issued
+    /// that late, their timeouts would keep a low limit low indefinitely.
     pub fn required_time(&mut self) -> Time {
         let usual = self
             .latency
--- a/crates/dependency/src/latency.rs
+++ b/crates/dependency/src/latency.rs
@@ -12,7 +12,7 @@
 /// Significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
 /// A cached quantile is recomputed after this many further samples. Every quantile is read for each call; without this
-/// cache, and also with a single slot shared by all quantiles, computing them took a seventh of an aggregation's cost.
+/// cache, or with one entry shared by all quantiles, computing them took a seventh of an aggregation's cost.
 const QUANTILE_REFRESH_SAMPLES: u64 = 32;
 /// Weight of the newest sample in the recent mean, an exponentially weighted moving average.
 const RECENT_WEIGHT: f64 = 0.1;
@@ -23,9 +23,9 @@
 /// The latency of a call that succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencySample {
-    /// The time from the call to its reply.
+    /// The time from the call to its response.
     pub latency: Time,
-    /// Whether the reply came while the call was still awaited.
+    /// Whether the response came while the call was still awaited.
     pub in_time: bool,
 }
 
--- a/crates/dependency/src/messages.rs
+++ b/crates/dependency/src/messages.rs
@@ -61,8 +61,8 @@
     TimedOut,
     /// Its connection broke after it was sent: it may have been executed and may still be running.
     Interrupted,
-    /// A reused connection broke before any response arrived; usually the peer had already closed it, and nothing was
-    /// executed.
+    /// A reused connection broke before any response arrived; usually the dependency had already closed it, and nothing
+    /// was executed.
     StaleConnection,
     /// Known not to have been executed: the lease under which it was issued expired before it was sent.
     LeaseExpired,
@@ -120,19 +120,19 @@
         dependency: Rc<Dependency>,
         /// The body to send.
         body: Rc<[u8]>,
-        /// How long the caller will wait for the response.
+        /// How long this instance waits for the response: the time left until the step's deadline.
         timeout: Time,
         /// Whether a pooled connection may be used; otherwise the call gets a connection of its own.
         may_reuse_connection: bool,
         /// Where the driver records the time at which the first byte of the call is sent.
         timestamp: Rc<SendTimestamp>,
     },
-    /// Stop waiting for a call.
+    /// The part no longer waits for this call: wait for its response for at most `late_response_wait`.
     Abandon {
         /// The call.
         call: CallId,
-        /// How long to keep waiting for its response: its result is reported when it ends, or as
-        /// [`CallResult::TimedOut`] after this time. If zero, its connection is closed and no result is reported.
+        /// How long to wait for its response: its result is reported when it ends, or as [`CallResult::TimedOut`] after
+        /// this time. If zero, its connection is closed and no result is reported.
         late_response_wait: Time,
     },
     /// An aggregation has ended.
--- a/crates/dependency/src/plan.rs
+++ b/crates/dependency/src/plan.rs
@@ -20,8 +20,8 @@
     pub json: bool,
     /// The longest time that one step of a part may wait for it.
     pub time_budget: Time,
-    /// Maximum number of calls of this instance that may be in flight, including abandoned calls that may still be
-    /// running. At least 1.
+    /// Maximum number of calls of this instance that may be in flight, including calls that it no longer awaits but
+    /// that may still be running. At least 1.
     pub max_calls: usize,
     /// The lease that bounds calls in flight within `max_calls`; `None` if the quota is fixed.
     pub leased_calls: Option<Rc<LeasedQuota>>,
@@ -31,7 +31,7 @@
     pub leased_rate: Option<Rc<LeasedQuota>>,
     /// The adaptive limit never falls below this number of calls; at most `max_calls`.
     pub min_limit: usize,
-    /// How long an abandoned call may continue to run at the dependency.
+    /// How long a call that this instance no longer awaits may continue to run at the dependency.
     pub post_cancel_grace: Time,
     /// Maximum number of parts in the wait queue for a call.
     pub max_waiting: usize,
@@ -162,8 +162,8 @@
             .any(|part| part.dependency == dependency && part.fallbacks.iter().any(is_cached))
     }
 
-    /// The longest time that a part may take without any queueing: the sum of the time budgets of its dependency and of
-    /// the dependencies that it falls back to.
+    /// The longest time that a part may take, including the time in wait queues: the sum of the time budgets of its
+    /// dependency and of the dependencies that it falls back to.
     pub fn worst_case_part_time(&self, part: &PartSpec) -> Time {
         let secondaries = part.fallbacks.iter().filter_map(|fallback| match fallback {
             Fallback::Secondary(dependency) => Some(*dependency),
--- a/crates/membership/src/effect.rs
+++ b/crates/membership/src/effect.rs
@@ -20,7 +20,8 @@
     MemberDown(Member),
     /// Others had declared this member dead, and it rejoined under the next version.
     Rejoined,
-    /// Another process has the same name as this member, and a later incarnation.
+    /// An identity with this member's name and a later incarnation, or the same incarnation and a later version, was
+    /// received: another process uses the name.
     DuplicateName(Member),
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -35,6 +35,8 @@
 }
 
 impl Identity for Member {
+    /// `foca` keeps one identity for each `Addr`. The name is this key, so that a restarted process replaces its
+    /// predecessor even at another socket address.
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -94,7 +94,8 @@
     }
 
     /// Fires the timers that are due, and contacts other members if that is due. Timers that are due at the same time
-    /// fire in the order in which `foca` requested them; one that is late because the process was stopped fires once.
+    /// fire in the order in which `foca` requested them; a timer that became due while the process was suspended fires
+    /// once.
     pub fn handle_timer(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.has_left {
@@ -223,9 +224,9 @@
         effects
     }
 
-    /// The seeds that are not in the list. A member that others declared dead has a new version that no other member
-    /// knows, and `foca` stays silent until another member contacts it: until one answers, all known members are
-    /// candidates too.
+    /// The seeds that are not in the list. While no other member knows this identity (`active` is false), the listed
+    /// members are candidates too: after others declared this member dead, it has a new version that they do not know,
+    /// and `foca` sends nothing until another member contacts it.
     fn contact_candidates(&self) -> Vec<Member> {
         let own_name = &self.identity().name;
         let listed = self.swim.iter_members().map(|member| member.id());
--- a/crates/operator-config/src/model.rs
+++ b/crates/operator-config/src/model.rs
@@ -111,7 +111,7 @@
     pub requests_per_second: f64,
 }
 
-/// `peers(...)`: this instance as a member of a fleet, and the replicas of the fleet's registry.
+/// `peers(...)`: this instance as a member of a fleet, and the replicas of the fleet's quota table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Peers {
     /// Where it is declared.
@@ -127,7 +127,7 @@
     /// How often another member is probed.
     #[serde(rename = "probe", with = "serde_time")]
     pub probe_interval: Time,
-    /// The names and addresses of the registry's replicas.
+    /// The names and addresses of the quota table's replicas.
     #[serde(rename = "keepers")]
     pub replicas: Vec<(String, SocketAddr)>,
     /// The directory of the state that must survive a restart; required for a replica.
@@ -142,7 +142,7 @@
 }
 
 impl Peers {
-    /// Whether this instance holds a replica of the registry.
+    /// Whether this instance holds a replica of the quota table.
     pub fn is_replica(&self) -> bool {
         self.replicas.iter().any(|(name, _)| *name == self.name)
     }
@@ -160,9 +160,9 @@
     pub address: SocketAddr,
     /// The path of each request to it.
     pub path: String,
-    /// Whether its replies are JSON; otherwise they are text.
+    /// Whether its responses are JSON; otherwise they are text.
     #[serde(rename = "json")]
-    pub replies_are_json: bool,
+    pub responses_are_json: bool,
     /// The longest time that one step of a part may wait for it.
     #[serde(rename = "budget", with = "serde_time")]
     pub time_budget: Time,
@@ -194,13 +194,13 @@
 /// The substitute for a part that its dependency did not deliver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fallback {
-    /// `kept(age)`: the last good reply, up to this age.
+    /// `kept(age)`: the last successful response, up to this age.
     #[serde(rename = "Kept", with = "serde_time")]
     Cached(Time),
     /// `other(dependency)`: a call to the dependency of this name.
     #[serde(rename = "Other")]
     Secondary(String),
-    /// `fixed(value)`: a constant. A string is sent without quotes if the dependency's replies are text; any other
+    /// `fixed(value)`: a constant. A string is sent without quotes if the dependency's responses are text; any other
     /// value is sent as JSON.
     #[serde(rename = "Fixed")]
     Default(Json),
@@ -246,7 +246,7 @@
     pub peers: Option<Peers>,
     /// The maximum number of running instances, if ceilings are divided into fixed shares.
     pub instances: Option<u64>,
-    /// The memory for cached replies, in MiB.
+    /// The memory for cached responses, in MiB.
     #[serde(rename = "kept_mb")]
     pub stale_cache_mb: f64,
     /// The location of `fleet(...)`; line 0 if it is not declared.
--- a/crates/operator-config/src/parse/dependency.rs
+++ b/crates/operator-config/src/parse/dependency.rs
@@ -27,7 +27,7 @@
                 .as_f64()
                 .filter(|quantile| HEDGE_QUANTILES.contains(quantile))
         })?,
-        replies_are_json: arguments.choice(
+        responses_are_json: arguments.choice(
             "replies",
             &[("json", true), ("text", false)],
             Some(false),
--- a/crates/operator-config/src/parse/fleet.rs
+++ b/crates/operator-config/src/parse/fleet.rs
@@ -2,7 +2,7 @@
 use crate::arguments::Arguments;
 use crate::{ConfigError, SourceLocation};
 
-/// The default memory for cached replies, in MiB.
+/// The default memory for cached responses, in MiB.
 pub(super) const DEFAULT_STALE_CACHE_MB: f64 = 4.0;
 const MAX_INSTANCES: u64 = 100_000;
 const MAX_STALE_CACHE_MB: f64 = 65_536.0;
--- a/crates/operator-config/src/parse/peers.rs
+++ b/crates/operator-config/src/parse/peers.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The allowed numbers of registry replicas. A majority of them must be available, so an even number tolerates no more
-/// failures than the odd number below it.
+/// The allowed numbers of replicas of the quota table. A majority of them must be available, so an even number
+/// tolerates no more failures than the odd number below it.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
 const EXPECTED_REPLICAS: &str =
     "1, 3 or 5 names with an address each such as {\"a\": \"10.0.0.1:7100\"}";
--- a/crates/operator-config/src/plan.rs
+++ b/crates/operator-config/src/plan.rs
@@ -64,7 +64,7 @@
             name: declared.name.as_str().into(),
             addr: declared.address,
             path: declared.path.as_str().into(),
-            json: declared.replies_are_json,
+            json: declared.responses_are_json,
             time_budget: declared.time_budget,
             max_calls,
             leased_calls: None,
@@ -84,10 +84,10 @@
     }
 
     fn plan_part(&self, part: &Part) -> dependency::PartSpec {
-        let replies_are_json = self
+        let responses_are_json = self
             .dependencies
             .iter()
-            .any(|declared| declared.name == part.dependency && declared.replies_are_json);
+            .any(|declared| declared.name == part.dependency && declared.responses_are_json);
         dependency::PartSpec {
             name: part.name.as_str().into(),
             dependency: self.dependency_index(&part.dependency),
@@ -95,7 +95,7 @@
             fallbacks: part
                 .fallbacks
                 .iter()
-                .map(|(_, fallback)| self.plan_fallback(fallback, replies_are_json))
+                .map(|(_, fallback)| self.plan_fallback(fallback, responses_are_json))
                 .collect(),
         }
     }
--- a/crates/operator-config/src/queries.rs
+++ b/crates/operator-config/src/queries.rs
@@ -45,11 +45,12 @@
             .map_or(DEFAULT_REQUEST_VALUE, |declared| declared.value)
     }
 
-    /// The longest time that a call may occupy a dependency after it was sent: its time budget, half of that again in
-    /// which a late reply is still read, and the time that the dependency may continue after the cancellation.
+    /// The longest time that a call may occupy a dependency after it was sent: its time budget, half of the time budget
+    /// in which a late response is still awaited (`LATE_RESPONSE_WAIT_RATIO` of the aggregator), and the time that the
+    /// dependency may continue after the cancellation.
     pub fn max_call_duration(&self, dependency: &Dependency) -> Time {
-        let late_reply_window = Time(dependency.time_budget.0 / 2);
-        dependency.time_budget + late_reply_window + dependency.post_cancel_grace
+        let late_response_wait = Time(dependency.time_budget.0 / 2);
+        dependency.time_budget + late_response_wait + dependency.post_cancel_grace
     }
 
     /// The budgets that all instances share: calls in flight, and calls per second if a rate is set.
@@ -58,13 +59,13 @@
         let calls = shared().map(|dependency| BudgetSpec {
             name: call_budget_name(&dependency.name),
             units: dependency.ceiling as u32,
-            post_cancel_grace: self.max_call_duration(dependency),
+            expiry_grace: self.max_call_duration(dependency),
         });
         let rates = shared().filter_map(|dependency| {
             Some(BudgetSpec {
                 name: rate_budget_name(&dependency.name),
                 units: dependency.max_rate? as u32,
-                post_cancel_grace: RATE_WINDOW,
+                expiry_grace: RATE_WINDOW,
             })
         });
         calls.chain(rates).collect()
--- a/crates/quota/src/command.rs
+++ b/crates/quota/src/command.rs
@@ -17,8 +17,8 @@
         budget: String,
         /// Units that all members together may use.
         units: u32,
-        /// See [`Budget::post_cancel_grace`](crate::Budget::post_cancel_grace), in tenths of a millisecond.
-        post_cancel_grace: i64,
+        /// See [`Budget::expiry_grace`](crate::Budget::expiry_grace), in tenths of a millisecond.
+        expiry_grace: i64,
     },
     /// Grants a holder more units; rejected if they are not free.
     RaiseQuota {
@@ -42,7 +42,8 @@
         /// The current epoch of the quota, which stays the same.
         expected_epoch: Epoch,
     },
-    /// Reclaims a quota whose lease expired and whose units, except for quarantined ones, can no longer be in use.
+    /// Reclaims a quota whose units, except for quarantined ones, can no longer be in use: its lease expired, or its
+    /// holder's process ended.
     FenceHolder {
         /// The budget's name.
         budget: String,
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -20,8 +20,8 @@
 pub struct LeaseConfig {
     /// How long a quota may be used, counted from when the request was made whose answer granted it.
     pub lease_duration: Time,
-    /// How long one unit of a fenced quota stays quarantined after its lease expired: a process that was suspended
-    /// between checking its lease and sending a call sends that one call when it resumes.
+    /// How long one unit of a fenced quota stays quarantined, counted from when the leader proposed the fencing: a
+    /// process that was suspended between checking its lease and sending a call sends that one call when it resumes.
     pub max_process_pause: Time,
     /// Which safeguards are enabled.
     pub safeguards: Safeguards,
@@ -36,7 +36,7 @@
     /// The units that a holder reports to retain count only under the current epoch of its quota.
     pub fence: bool,
     /// After its lease expired, a quota is reclaimed only once its units can no longer be in use.
-    pub post_cancel_grace: bool,
+    pub expiry_grace: bool,
     /// Quotas follow need and weight; if disabled, all members get equal quotas.
     pub demand: bool,
 }
@@ -46,7 +46,7 @@
         Safeguards {
             lease: true,
             fence: true,
-            post_cancel_grace: true,
+            expiry_grace: true,
             demand: true,
         }
     }
@@ -60,5 +60,5 @@
     /// Units that all members together may use.
     pub units: u32,
     /// How long a unit may stay in use after its holder's lease has expired.
-    pub post_cancel_grace: Time,
+    pub expiry_grace: Time,
 }
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -160,8 +160,9 @@
         }
     }
 
-    /// Starts draining: from now on this member needs no units, and releases its units as they come out of use.
-    pub fn release_all(&mut self) {
+    /// Starts draining: from now on this member reports that it needs no units, so that the leader lowers its quotas,
+    /// usually not to 0. The rest is reclaimed after its process has ended or its lease has expired.
+    pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
--- a/crates/quota/src/lease_manager/allocation.rs
+++ b/crates/quota/src/lease_manager/allocation.rs
@@ -6,8 +6,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A target is not lowered by less than this fraction of it: otherwise the allocation would fluctuate with every change
-/// in need.
+/// A target is lowered only if the decrease is at least this fraction of it: otherwise the allocation would fluctuate
+/// with every change in need.
 const MIN_RELATIVE_DECREASE: f64 = 0.125;
 
 /// The target of each live holder for one budget, in units.
@@ -125,8 +125,8 @@
             let quota = budget.quotas.get(holder);
             let current = quota.map_or(0, |quota| quota.amount);
             let amount = target.min(current + free);
-            if amount <= self.notified_amount(budget_name, holder, quota)
-                || self.revocations.is_pending(budget_name, holder)
+            if amount <= self.known_amount(budget_name, holder, quota)
+                || self.fencings.is_pending(budget_name, holder)
             {
                 continue;
             }
@@ -142,14 +142,14 @@
 
     /// The amount of its quota that the holder knows of. It may be less than the quota; since an amount never increases
     /// within an epoch, the holder then needs a raise to a new epoch to use more again.
-    fn notified_amount(&self, budget_name: &str, holder: &Holder, quota: Option<&Quota>) -> u32 {
+    fn known_amount(&self, budget_name: &str, holder: &Holder, quota: Option<&Quota>) -> u32 {
         let Some(quota) = quota.filter(|quota| !quota.fenced) else {
             return 0;
         };
         self.members
             .state(budget_name, holder)
-            .map(|state| state.notified)
-            .filter(|notified| notified.epoch == quota.epoch)
-            .map_or(quota.amount, |notified| notified.amount)
+            .map(|state| state.known)
+            .filter(|known| known.epoch == quota.epoch)
+            .map_or(quota.amount, |known| known.amount)
     }
 }
--- a/crates/quota/src/lease_manager/context.rs
+++ b/crates/quota/src/lease_manager/context.rs
@@ -1,7 +1,7 @@
 //! The input of planning: what the leader itself knows about the leases, and how long these can last.
 
 use super::members::{HolderState, Members};
-use super::revocations::Revocations;
+use super::revocations::Fencings;
 use crate::{LeaseConfig, MAX_CLOCK_DRIFT};
 use cottondyke_types::Time;
 
@@ -10,7 +10,7 @@
     pub(super) config: &'a LeaseConfig,
     pub(super) leader_since: Time,
     pub(super) members: &'a Members,
-    pub(super) revocations: &'a Revocations,
+    pub(super) fencings: &'a Fencings,
 }
 
 impl LeaseContext<'_> {
--- a/crates/quota/src/lease_manager/members.rs
+++ b/crates/quota/src/lease_manager/members.rs
@@ -9,14 +9,14 @@
 /// Lease durations after which a silent member without any quota is removed.
 const IDLE_RETENTION_LEASES: f64 = 2.0;
 
-/// The epoch and amount that a holder was last notified of.
+/// The epoch and the amount of its quota that a holder knows, by its last request and by what it was sent since.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NotifiedQuota {
+pub(super) struct KnownQuota {
     pub(super) epoch: Epoch,
     pub(super) amount: u32,
 }
 
-impl NotifiedQuota {
+impl KnownQuota {
     /// Whether the holder must be notified of `granted`: it has a newer epoch, or a smaller amount in the same epoch.
     pub(super) fn is_outdated_by(&self, granted: &GrantedQuota) -> bool {
         granted.epoch > self.epoch || (granted.epoch == self.epoch && granted.amount < self.amount)
@@ -29,7 +29,7 @@
     /// When the last demand was received.
     pub(super) received_at: Time,
     pub(super) demand: Demand,
-    pub(super) notified: NotifiedQuota,
+    pub(super) known: KnownQuota,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -71,19 +71,18 @@
     pub(super) fn record_request(&mut self, now: Time, request: &LeaseRequest) {
         let member = self.by_holder.entry(request.holder.clone()).or_default();
         for demand in &request.demands {
-            let notified = member
+            let known = member
                 .budgets
                 .get(&demand.budget)
-                .map(|state| state.notified)
-                .filter(|notified| notified.epoch == demand.epoch);
-            // A holder retains at least the amount that it knows of: if it retains less, it knows of a smaller amount.
-            let amount = notified.map_or(demand.retained, |notified| {
-                notified.amount.min(demand.retained)
-            });
+                .map(|state| state.known)
+                .filter(|known| known.epoch == demand.epoch);
+            // A holder never reports to retain less than the amount that it knows: if it retains less than the recorded
+            // amount, it knows a smaller one.
+            let amount = known.map_or(demand.retained, |known| known.amount.min(demand.retained));
             let state = HolderState {
                 received_at: now,
                 demand: demand.clone(),
-                notified: NotifiedQuota {
+                known: KnownQuota {
                     epoch: demand.epoch,
                     amount,
                 },
@@ -106,7 +105,7 @@
         };
         for quota in granted {
             if let Some(state) = member.budgets.get_mut(&quota.budget) {
-                state.notified = NotifiedQuota {
+                state.known = KnownQuota {
                     epoch: quota.epoch,
                     amount: quota.amount,
                 };
--- a/crates/quota/src/lease_manager/mod.rs
+++ b/crates/quota/src/lease_manager/mod.rs
@@ -31,7 +31,7 @@
 use cottondyke_types::Time;
 use members::Members;
 use read_index::ReadIndexQueue;
-use revocations::Revocations;
+use revocations::Fencings;
 use std::collections::BTreeMap;
 
 /// Maximum number of commands that are proposed at a time.
@@ -41,7 +41,8 @@
 /// Interval between two planning runs, as a fraction of the lease duration. Planning does not run on every request
 /// because both its cost and the rate of requests grow with the number of members.
 const PLANNING_INTERVAL: f64 = 0.003;
-/// The same if no request arrived and no command was applied since the last run.
+/// Interval between two planning runs if no request arrived and no command was applied since the last run, as a
+/// fraction of the lease duration.
 const IDLE_PLANNING_INTERVAL: f64 = 0.02;
 
 /// The leader's side of the lease protocol: confirms leadership, answers lease requests and proposes changes to the
@@ -52,7 +53,7 @@
     leader_since: Option<Time>,
     members: Members,
     read_index: ReadIndexQueue,
-    revocations: Revocations,
+    fencings: Fencings,
     /// The targets of each budget, by its name.
     targets: BTreeMap<String, Targets>,
     /// When the commands that are not applied yet were proposed.
@@ -70,7 +71,7 @@
             leader_since: None,
             members: Members::default(),
             read_index: ReadIndexQueue::default(),
-            revocations: Revocations::default(),
+            fencings: Fencings::default(),
             targets: BTreeMap::new(),
             proposed_at: None,
             last_run: DISTANT_PAST,
@@ -171,7 +172,7 @@
         table: &QuotaTable,
     ) -> Option<GrantedQuota> {
         let quota = table.quota(budget, holder)?;
-        let revoked = quota.fenced || self.revocations.is_pending(budget, holder);
+        let is_fenced_or_pending = quota.fenced || self.fencings.is_pending(budget, holder);
         let target = self
             .targets
             .get(budget)
@@ -181,7 +182,11 @@
         Some(GrantedQuota {
             budget: budget.to_string(),
             epoch: quota.epoch,
-            amount: if revoked { 0 } else { quota.amount.min(target) },
+            amount: if is_fenced_or_pending {
+                0
+            } else {
+                quota.amount.min(target)
+            },
         })
     }
 
@@ -194,7 +199,7 @@
                 .iter()
                 .filter_map(|(budget, state)| {
                     self.granted_quota(budget, member.holder, table)
-                        .filter(|granted| state.notified.is_outdated_by(granted))
+                        .filter(|granted| state.known.is_outdated_by(granted))
                 })
                 .collect();
             if !granted.is_empty() {
@@ -216,7 +221,7 @@
     pub fn handle_applied(&mut self, table: &QuotaTable) {
         self.proposed_at = None;
         self.dirty = true;
-        self.revocations.settle(table);
+        self.fencings.settle(table);
     }
 
     /// Quotas of fenced or silent holders, and until when they are quarantined on this leader's clock. Empty if this
@@ -269,7 +274,7 @@
         }
         commands.truncate(MAX_COMMANDS);
         for command in &commands {
-            self.revocations.record(now, command);
+            self.fencings.record(now, command);
         }
         self.proposed_at = (!commands.is_empty()).then_some(now);
         self.members
@@ -283,11 +288,12 @@
             .is_some_and(|proposed_at| now < proposed_at + timeout)
     }
 
-    /// Whether no lease can be in force any longer that an earlier cluster granted before this one was bootstrapped.
+    /// Whether all leases that an earlier cluster granted before this one was bootstrapped have expired, and the grace
+    /// for calls made under them has passed.
     fn may_open(&self, now: Time, leader_since: Time, specs: &[BudgetSpec]) -> bool {
         let longest_grace = specs
             .iter()
-            .map(|spec| spec.post_cancel_grace)
+            .map(|spec| spec.expiry_grace)
             .max()
             .unwrap_or_default();
         now >= leader_since + max_lease_duration(&self.config) + longest_grace
@@ -312,7 +318,7 @@
             config: &self.config,
             leader_since: self.leader_since?,
             members: &self.members,
-            revocations: &self.revocations,
+            fencings: &self.fencings,
         })
     }
 }
@@ -320,10 +326,10 @@
 /// Commands that set the budgets whose entry in the table differs from the configuration.
 fn plan_budgets(table: &QuotaTable, specs: &[BudgetSpec]) -> Vec<Command> {
     let is_applied = |budget: &Budget, spec: &BudgetSpec| {
-        let grace = budget.post_cancel_grace();
+        let grace = budget.expiry_grace();
         // The table keeps a longer grace while any quota is in force.
-        let grace_retained = grace > spec.post_cancel_grace && !budget.quotas.is_empty();
-        budget.units == spec.units && (grace == spec.post_cancel_grace || grace_retained)
+        let grace_retained = grace > spec.expiry_grace && !budget.quotas.is_empty();
+        budget.units == spec.units && (grace == spec.expiry_grace || grace_retained)
     };
     specs
         .iter()
@@ -334,7 +340,7 @@
         .map(|spec| Command::SetBudget {
             budget: spec.name.clone(),
             units: spec.units,
-            post_cancel_grace: spec.post_cancel_grace.0,
+            expiry_grace: spec.expiry_grace.0,
         })
         .collect()
 }
--- a/crates/quota/src/lease_manager/reclaim.rs
+++ b/crates/quota/src/lease_manager/reclaim.rs
@@ -8,7 +8,7 @@
 /// lease before the next one.
 const QUARANTINED_UNITS: u32 = 1;
 
-/// Units that no member may use until their former holder can no longer be using them. Shown to operators.
+/// Units of a fenced or silent holder, which are not granted to other members yet. Shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedQuota {
     /// The budget's name.
@@ -17,7 +17,8 @@
     pub holder: Holder,
     /// The number of quarantined units.
     pub units: u32,
-    /// Until when they are quarantined, on the leader's clock.
+    /// When the leader reclaims them, on its own clock. Of a quota that is not fenced yet, `QUARANTINED_UNITS` then
+    /// stay quarantined for `max_process_pause`.
     pub until: Time,
 }
 
@@ -38,8 +39,8 @@
         holder: &Holder,
         quota: &Quota,
     ) -> Reclaimable {
-        let grace = if self.config.safeguards.post_cancel_grace {
-            budget.post_cancel_grace()
+        let grace = if self.config.safeguards.expiry_grace {
+            budget.expiry_grace()
         } else {
             Time(0)
         };
@@ -60,7 +61,7 @@
         }
         if quota.fenced {
             let fenced_at = self
-                .revocations
+                .fencings
                 .fenced_at(budget_name, holder)
                 .unwrap_or(self.leader_since);
             return Reclaimable {
@@ -85,10 +86,10 @@
     ) {
         for (holder, quota) in &budget.quotas {
             let reclaimable = self.reclaimable(budget_name, budget, holder, quota);
-            // A proposed fencing that is not settled is proposed again, even if the holder has sent a request since:
-            // until it is settled, the holder is granted nothing.
+            // A proposed fencing that is neither applied nor rejected yet is proposed again, even if the holder has
+            // sent a request since: until then, the holder is granted nothing.
             let pending = self
-                .revocations
+                .fencings
                 .is_pending_at(budget_name, holder, quota.epoch);
             if now >= reclaimable.at || pending {
                 commands.push(Command::FenceHolder {
--- a/crates/quota/src/lease_manager/revocations.rs
+++ b/crates/quota/src/lease_manager/revocations.rs
@@ -21,17 +21,18 @@
     }
 }
 
-/// The proposed fencings of one leadership.
+/// The proposed fencings of one leadership. A fencing is settled once it was applied, or was rejected because its quota
+/// was removed or has another epoch.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Revocations {
+pub(super) struct Fencings {
     /// The epoch that each proposed fencing expects. Until it is settled, the holder must not be granted anything, even
     /// if it has sent a request since: the fencing may be committed at any moment.
-    pending_revocations: BTreeMap<QuotaKey, Epoch>,
+    pending: BTreeMap<QuotaKey, Epoch>,
     /// When each fencing that leaves units quarantined was proposed.
     fenced_at: BTreeMap<QuotaKey, Time>,
 }
 
-impl Revocations {
+impl Fencings {
     /// Records a proposed command if it is a fencing.
     pub(super) fn record(&mut self, now: Time, command: &Command) {
         let Command::FenceHolder {
@@ -47,18 +48,18 @@
         if *quarantined > 0 {
             self.fenced_at.insert(key.clone(), now);
         }
-        self.pending_revocations.insert(key, *expected_epoch);
+        self.pending.insert(key, *expected_epoch);
     }
 
     /// Removes the entries that are settled by commands that were applied to the table.
     pub(super) fn settle(&mut self, table: &QuotaTable) {
         // A raise may have been committed before a fencing. The fencing is then rejected because of its old epoch.
-        self.pending_revocations.retain(|key, expected_epoch| {
+        self.pending.retain(|key, expected_epoch| {
             table
                 .quota(&key.budget, &key.holder)
                 .is_some_and(|quota| quota.epoch == *expected_epoch)
         });
-        let pending = &self.pending_revocations;
+        let pending = &self.pending;
         // Commands that were proposed together with a fencing may be applied before it: the quota is not fenced yet,
         // and the start of its quarantine must not be lost.
         self.fenced_at.retain(|key, _| {
@@ -70,14 +71,13 @@
     }
 
     pub(super) fn is_pending(&self, budget: &str, holder: &Holder) -> bool {
-        self.pending_revocations
-            .contains_key(&QuotaKey::new(budget, holder))
+        self.pending.contains_key(&QuotaKey::new(budget, holder))
     }
 
     /// Whether a fencing that expects this epoch is not settled.
     pub(super) fn is_pending_at(&self, budget: &str, holder: &Holder, epoch: Epoch) -> bool {
         let key = QuotaKey::new(budget, holder);
-        self.pending_revocations.get(&key) == Some(&epoch)
+        self.pending.get(&key) == Some(&epoch)
     }
 
     /// When this leader proposed to fence the quota.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -29,7 +29,7 @@
 //!     max_process_pause: SECOND,
 //!     safeguards: Safeguards::default(),
 //! };
-//! let specs = [BudgetSpec { name: "db".into(), units: 8, post_cancel_grace: SECOND }];
+//! let specs = [BudgetSpec { name: "db".into(), units: 8, expiry_grace: SECOND }];
 //!
 //! // The leader. Its table is already open, and its commands are committed immediately.
 //! let mut table = QuotaTable::default();
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -48,7 +48,7 @@
     pub amount: u32,
 }
 
-/// Answers a lease request, or notifies a holder of a quota that changed since.
+/// Answers a lease request, or notifies a holder of quotas that changed since its last answer or notification.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
     /// The recipient.
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -25,9 +25,9 @@
 pub struct Budget {
     /// Units that all members together may use.
     pub units: u32,
-    /// How long a unit can stay in use at most after its holder's lease expired, in tenths of a millisecond: a call's
-    /// time limit plus how long the dependency may continue to process it, or the window of a rate.
-    pub post_cancel_grace: i64,
+    /// How long a unit can stay in use at most after its holder's lease expired, in tenths of a millisecond: for a
+    /// budget of calls the longest duration of a call, for a budget of calls per second the window of the rate.
+    pub expiry_grace: i64,
     /// The quotas in force, quarantined ones included.
     pub quotas: BTreeMap<Holder, Quota>,
 }
@@ -44,8 +44,8 @@
     }
 
     /// The field of the same name as a duration.
-    pub fn post_cancel_grace(&self) -> Time {
-        Time(self.post_cancel_grace)
+    pub fn expiry_grace(&self) -> Time {
+        Time(self.expiry_grace)
     }
 
     /// The quota of a holder if its epoch is the expected one.
@@ -154,8 +154,8 @@
             Command::SetBudget {
                 budget,
                 units,
-                post_cancel_grace,
-            } => self.set_budget(budget, *units, *post_cancel_grace),
+                expiry_grace,
+            } => self.set_budget(budget, *units, *expiry_grace),
             Command::RaiseQuota {
                 budget,
                 holder,
@@ -212,7 +212,7 @@
         &mut self,
         name: &str,
         units: u32,
-        post_cancel_grace: i64,
+        expiry_grace: i64,
     ) -> Result<(), CommandRejected> {
         if !self.budgets.contains_key(name) && self.budgets.len() >= MAX_BUDGETS {
             return Err(CommandRejected::TableFull { limit: MAX_BUDGETS });
@@ -222,10 +222,10 @@
         let min_grace = if budget.quotas.is_empty() {
             0
         } else {
-            budget.post_cancel_grace
+            budget.expiry_grace
         };
         budget.units = units;
-        budget.post_cancel_grace = post_cancel_grace.max(min_grace);
+        budget.expiry_grace = expiry_grace.max(min_grace);
         Ok(())
     }
 }
--- a/crates/quota/tests/lease_manager.rs
+++ b/crates/quota/tests/lease_manager.rs
@@ -15,7 +15,7 @@
     safeguards: Safeguards {
         lease: true,
         fence: true,
-        post_cancel_grace: true,
+        expiry_grace: true,
         demand: true,
     },
 };
@@ -48,7 +48,7 @@
     [BudgetSpec {
         name: BUDGET.to_string(),
         units: UNITS,
-        post_cancel_grace: Time(0),
+        expiry_grace: Time(0),
     }]
 }
 
@@ -61,7 +61,7 @@
     let set_budget = Command::SetBudget {
         budget: BUDGET.into(),
         units: UNITS,
-        post_cancel_grace: 0,
+        expiry_grace: 0,
     };
     table.apply(&set_budget).unwrap();
     (manager, table)
--- a/crates/quota/tests/model/cluster.rs
+++ b/crates/quota/tests/model/cluster.rs
@@ -10,7 +10,7 @@
 /// longer than one.
 pub(crate) const CLOCK_STEP: i64 = 500;
 pub(crate) const LEASE_DURATION: Time = Time(2 * CLOCK_STEP);
-pub(crate) const POST_CANCEL_GRACE: Time = Time(3 * CLOCK_STEP);
+pub(crate) const EXPIRY_GRACE: Time = Time(3 * CLOCK_STEP);
 pub(crate) const MAX_PROCESS_PAUSE: Time = Time(CLOCK_STEP);
 pub(crate) const MAX_CLOCK_STEPS: i64 = 12;
 /// Maximum number of messages in flight; further ones are lost.
@@ -184,7 +184,7 @@
         let specs = [BudgetSpec {
             name: BUDGET.to_string(),
             units: UNITS,
-            post_cancel_grace: POST_CANCEL_GRACE,
+            expiry_grace: EXPIRY_GRACE,
         }];
         let planned = self
             .lease_manager
@@ -209,7 +209,7 @@
     pub(crate) fn advance_clock(&mut self) {
         self.now += Time(CLOCK_STEP);
         let now = self.now;
-        let in_progress = |started_at: &Time| *started_at + POST_CANCEL_GRACE > now;
+        let in_progress = |started_at: &Time| *started_at + EXPIRY_GRACE > now;
         for member in &mut self.members {
             member.calls.retain(in_progress);
         }
@@ -232,7 +232,7 @@
         Command::SetBudget {
             budget: BUDGET.into(),
             units: UNITS,
-            post_cancel_grace: POST_CANCEL_GRACE.0,
+            expiry_grace: EXPIRY_GRACE.0,
         },
         Command::RaiseQuota {
             budget: BUDGET.into(),
--- a/crates/quota/tests/model/main.rs
+++ b/crates/quota/tests/model/main.rs
@@ -218,7 +218,7 @@
     assert_eq!(find_violation(all, Search::Simulation { seed: 1 }), None);
 }
 
-/// Guards against a model that cannot detect violations: with the lease, the fence or the post-cancel grace disabled,
+/// Guards against a model that cannot detect violations: with the lease, the fence or the expiry grace disabled,
 /// the search must find one.
 #[test]
 fn finds_a_violation_when_any_safeguard_is_off() {
@@ -232,13 +232,13 @@
         ..all
     };
     let without_grace = Safeguards {
-        post_cancel_grace: false,
+        expiry_grace: false,
         ..all
     };
     let cases = [
         ("lease", without_lease),
         ("fence", without_fence),
-        ("post-cancel grace", without_grace),
+        ("expiry grace", without_grace),
     ];
     for (name, safeguards) in cases {
         let simulations = (1..4).map(|seed| Search::Simulation { seed });
--- a/crates/quota/tests/table.rs
+++ b/crates/quota/tests/table.rs
@@ -27,7 +27,7 @@
     let set_budget = Command::SetBudget {
         budget: BUDGET.to_string(),
         units: UNITS,
-        post_cancel_grace: 0,
+        expiry_grace: 0,
     };
     for command in [Command::Open, set_budget, raise(BUDGET, "a", 5, None)] {
         table.apply(&command).unwrap();
--- a/crates/script/src/globals.rs
+++ b/crates/script/src/globals.rs
@@ -92,7 +92,8 @@
     Ok(NoneType)
 }
 
-/// Records a declaration, and returns its name for use where a name is expected.
+/// Records a declaration, and returns its first positional argument, its name, for use where a name is expected; an
+/// empty string if the name is given as a named argument.
 fn declare_named(
     function: &'static str,
     eval: &Evaluator,
--- a/crates/script/src/limits.rs
+++ b/crates/script/src/limits.rs
@@ -1,6 +1,7 @@
 //! The limits of one evaluation.
 
-/// The maximum number of function calls and loop iterations, over all files.
+/// The maximum number of steps of the interpreter (function calls and loop iterations; the crate `starlark` calls them
+/// ticks), over all files.
 pub const MAX_TICKS: u64 = 200_000;
 /// The maximum depth of nested function calls.
 pub const MAX_CALL_DEPTH: usize = 60;
--- a/crates/script/src/loader.rs
+++ b/crates/script/src/loader.rs
@@ -24,7 +24,7 @@
     loaded: RefCell<BTreeMap<PathBuf, FrozenModule>>,
     /// The canonical paths of the files being evaluated, the script itself first.
     loading: RefCell<Vec<PathBuf>>,
-    /// The ticks that the files evaluated so far have taken.
+    /// The steps of the interpreter that the files evaluated so far have taken.
     ticks: Cell<u64>,
 }
 
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -113,7 +113,8 @@
         self.step(|node| node.handle_timer(now));
     }
 
-    /// Handles the start of draining: this instance needs no more quota, and releases what it holds.
+    /// Handles the start of draining: this instance announces that it is leaving and needs no more quota (see
+    /// [`ClusterNode::start_draining`]).
     pub fn start_draining(&self, now: Time) {
         self.step(|node| node.start_draining(now));
     }
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -146,7 +146,7 @@
         safeguards: Safeguards {
             lease: operator.has_safeguard("lease"),
             fence: operator.has_safeguard("fence"),
-            post_cancel_grace: operator.has_safeguard("linger"),
+            expiry_grace: operator.has_safeguard("linger"),
             demand: operator.has_safeguard("need"),
         },
     }
--- a/crates/server/src/cluster/status.rs
+++ b/crates/server/src/cluster/status.rs
@@ -88,7 +88,7 @@
         writeln!(
             text,
             "budget {}: {leased} of {} lent, a unit lingers up to {} ms",
-            budget.name, budget.units, budget.post_cancel_grace_ms
+            budget.name, budget.units, budget.expiry_grace_ms
         )?;
         for quota in &budget.quotas {
             let fenced = if quota.fenced {
--- a/crates/server/tests/golden_data.rs
+++ b/crates/server/tests/golden_data.rs
@@ -83,7 +83,7 @@
         assert!(view.name == "alone" && view.leader.as_deref() == Some("alone"));
         let budget = &view.budgets[0];
         assert!(view.budgets.len() == 1 && budget.name == "db" && budget.quotas.len() == 1);
-        assert!(budget.units == 200 && budget.post_cancel_grace_ms == 3_600_000);
+        assert!(budget.units == 200 && budget.expiry_grace_ms == 3_600_000);
         let share = &budget.quotas[0];
         assert!(share.holder.starts_with('b') && share.amount == 9 && share.epoch == 1);
         assert!(!share.fenced);
