--- a/crates/operator-config/src/summary.rs
+++ b/crates/operator-config/src/summary.rs
@@ -26,17 +26,19 @@
         }
         if !self.disabled_safeguards.is_empty() {
             let names = self.disabled_safeguards.join(", ");
-            lines.push(format!("switched off: {names}"));
+            lines.push(format!("disabled safeguards: {names}"));
         }
         lines.into_iter().map(|line| line + "\n").collect()
     }
 
-    /// For a dependency whose ceiling is leased: when the quota of a lost instance can be leased again.
+    /// For a dependency whose ceiling is leased: about how long after the last lease request of an instance that became
+    /// unreachable its quota, except for one unit, can be leased again.
     fn summarize_lost_lease(&self, dependency: &Dependency) -> Option<String> {
         let peers = self.peers.as_ref().filter(|_| !dependency.per_instance)?;
         let free_after = peers.lease_duration + self.max_call_duration(dependency);
         Some(format!(
-            "dependency {}: the share of an instance that is lost is free again {} after it was last heard",
+            "dependency {}: the quota of an unreachable instance can be leased again about {} after its last \
+             lease request",
             dependency.name,
             format_duration(free_after)
         ))
@@ -50,8 +52,8 @@
         .map(|(name, address)| format!("{name} {address}"))
         .collect();
     format!(
-        "peers: {} in zone {} on {}, keepers {}; ceilings are lent for {} at a time; cut off from most keepers it \
-         uses nothing of them once that is over",
+        "peers: {} in zone {} on {}, keepers {}; ceilings are leased for {} at a time; without a connection to \
+         a majority of the keepers, this instance makes no calls under them once its lease has expired",
         peers.name,
         peers.zone,
         peers.listen,
@@ -71,8 +73,9 @@
         "in all"
     };
     format!(
-        "dependency {}: {} {}, budget {}, {} to {max_calls} calls here of {} {scope}, {max_waiting} may wait, \
-         extra calls at most {} of first ones, {hedge}",
+        "dependency {}: {} {}, budget {}, {} to {max_calls} concurrent calls from this instance, \
+         ceiling {} {scope}, at most {max_waiting} waiting, retries and hedged calls at most {} of first calls, \
+         {hedge}",
         dependency.name,
         dependency.address,
         dependency.path,
@@ -115,7 +118,7 @@
         .collect();
     let otherwise = match part.required {
         _ if !fallbacks.is_empty() => fallbacks.join(", then "),
-        true => "the answer is errored".to_string(),
+        true => "the page fails".to_string(),
         false => "left out".to_string(),
     };
     format!(
--- a/crates/operator-config/src/validate/error.rs
+++ b/crates/operator-config/src/validate/error.rs
@@ -75,7 +75,7 @@
         handler: String,
         target: String,
     },
-    #[error("serve(listen = ...) is missing: expected it where no configuration is given")]
+    #[error("serve(listen = ...) is missing: expected it when no platform configuration is given")]
     MissingServe,
     #[error("no handler(...) is declared: expected at least one")]
     NoHandlers,
