--- a/crates/chaos/src/process.rs
+++ b/crates/chaos/src/process.rs
@@ -170,7 +170,7 @@
             return Err(Error::NotServing { last_line });
         };
         if let Some(addr) = listen_address(&line) {
-            if line.contains("among peers") {
+            if line.contains("listening for peers") {
                 peers = Some(addr);
             } else {
                 sidecars = Some(addr);
--- a/crates/server/src/app.rs
+++ b/crates/server/src/app.rs
@@ -9,7 +9,7 @@
 use crate::dispatcher::{DispatcherParts, RequestDispatcher};
 use crate::event::{Event, TaskChannels, MAX_PENDING_EVENTS};
 use crate::execution::engine_link;
-use crate::protocol::sidecar::NameTable;
+use crate::protocol::sidecar::DecoderSettings;
 use crate::resource_limits::ResourceLimits;
 use crate::{listener, load_report, signal};
 use async_channel::Sender;
@@ -55,7 +55,7 @@
     let (events, pending_events) = async_channel::bounded(MAX_PENDING_EVENTS);
     let (stop_listening, stopped) = async_channel::bounded(1);
     let (report, report_updates) = async_channel::unbounded();
-    let (engine_address, engine_moves) = async_channel::unbounded();
+    let (engine_address, address_changes) = async_channel::unbounded();
     let tasks = Rc::new(LocalExecutor::new());
     log_start(&config, &listener);
 
@@ -63,7 +63,7 @@
     let listener_task = tasks.spawn(listener::listen(tasks.clone(), listener, context, stopped));
     let engine = config.engine;
     let engine_task =
-        engine.map(|addr| tasks.spawn(engine_link::run(addr, engine_moves, events.clone())));
+        engine.map(|addr| tasks.spawn(engine_link::run(addr, address_changes, events.clone())));
     let name = config.name.clone();
     let control = config.control;
     let report_task = control.map(|addr| tasks.spawn(load_report::run(addr, name, report_updates)));
@@ -136,13 +136,13 @@
     limits: &Rc<ResourceLimits>,
     events: Sender<Event>,
 ) -> ConnectionContext {
-    let names = NameTable {
+    let decoder_settings = DecoderSettings {
         handlers: config.names.handlers.clone(),
         tenants: config.names.tenants.clone(),
         max_client_timeout_ms: config.max_client_timeout_ms,
     };
     ConnectionContext {
-        names: Rc::new(names),
+        decoder_settings: Rc::new(decoder_settings),
         limits: limits.clone(),
         events,
         write_timeout: writer::write_timeout(config.max_client_timeout_ms),
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -31,22 +31,22 @@
 
     /// Converts a point in time to an `Instant`.
     pub fn instant(&self, at: Time) -> Instant {
-        self.0 + duration(at - START_TIME)
+        self.0 + to_duration(at - START_TIME)
     }
 }
 
 /// Converts a `Time` to a `Duration`; a negative one becomes zero.
-pub fn duration(time: Time) -> Duration {
+pub fn to_duration(time: Time) -> Duration {
     Duration::from_micros(time.0.clamp(0, 1 << 40) as u64 * TICK.as_micros() as u64)
 }
 
 /// Converts milliseconds to a `Time`, rounded down, so that what it delays comes early rather than late.
-pub fn time_of_ms(ms: f64) -> Time {
+pub fn time_from_ms(ms: f64) -> Time {
     Time((ms * 10.0).floor().clamp(0.0, 1e15) as i64)
 }
 
 /// Converts a `Time` to milliseconds.
-pub fn ms(time: Time) -> f64 {
+pub fn to_ms(time: Time) -> f64 {
     time.as_f64() / 10.0
 }
 
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether `new` differs from the running `peers` in anything that takes a restart to change: all but the replicas.
-    pub fn is_fixed_part_changed(&self, new: &Peers) -> bool {
+    pub fn requires_restart(&self, new: &Peers) -> bool {
         let old = &self.peers;
         old.name != new.name
             || old.zone != new.zone
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -130,7 +130,7 @@
         storage.thread,
         tasks,
     );
-    tracing::info!(name = peers.name, life = incarnation, listen = %bound, "among peers");
+    tracing::info!(name = peers.name, incarnation, listen = %bound, "listening for peers");
     Ok(StartedCluster {
         driver,
         listener,
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -89,7 +89,7 @@
     },
     /// The operator's file declares what the platform's configuration already does.
     #[error(
-        "{}:{}: {what}: the configuration tells that already; expected it in one of the two",
+        "{}:{}: {what}: the platform's configuration already declares this; expected it in only one of the two",
         .at.file, .at.line
     )]
     DeclaredTwice {
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -9,7 +9,7 @@
 pub use error::{ConfigError, EvaluationError};
 pub use reload::Reloaded;
 
-use crate::clock::time_of_ms;
+use crate::clock::time_from_ms;
 use cottondyke_admission::AdmissionController;
 use cottondyke_operator_config::{HandlerSpec, OperatorConfig};
 use cottondyke_settings::{self as settings, WireNames};
@@ -239,9 +239,9 @@
 
 fn handler_times(class: &Value) -> HandlerTimes {
     HandlerTimes {
-        response_target: time_of_ms(class_ms(class, "aim_ms")),
-        client_timeout: time_of_ms(class_ms(class, "deadline_ms")),
-        dedup_window: time_of_ms(class_ms(class, "dedup_window_ms")),
+        response_target: time_from_ms(class_ms(class, "aim_ms")),
+        client_timeout: time_from_ms(class_ms(class, "deadline_ms")),
+        dedup_window: time_from_ms(class_ms(class, "dedup_window_ms")),
     }
 }
 
--- a/crates/server/src/config/standalone.rs
+++ b/crates/server/src/config/standalone.rs
@@ -2,7 +2,7 @@
 //! generated from it.
 use super::capacity::max_caller_connections;
 use super::{Config, ConfigError};
-use crate::clock::ms;
+use crate::clock::to_ms;
 use cottondyke_operator_config::{OperatorConfig, Serve};
 use cottondyke_types::Idempotency;
 use serde_json::{json, Value};
@@ -62,11 +62,11 @@
         },
         "group_size": operator.instances.unwrap_or(1),
         "obligations": {
-            "drain_grace_ms": ms(serve.shutdown_timeout) / 2.0, "overload_factor": OVERLOAD_FACTOR,
+            "drain_grace_ms": to_ms(serve.shutdown_timeout) / 2.0, "overload_factor": OVERLOAD_FACTOR,
             "start_capacity": 1.0, "warm_within_ms": 1_000.0,
         },
         "over_share_worth": 0.1,
-        "policy_limits": { "max_retry_after_ms": ms(serve.max_retry_after), "retry_after": true },
+        "policy_limits": { "max_retry_after_ms": to_ms(serve.max_retry_after), "retry_after": true },
         "resolution_ms": 1.0,
         "worth_by": "request",
     })
@@ -81,9 +81,9 @@
         };
         json!({
             "name": handler.name, "effect": effect, "credit": handler.value, "late_value": handler.late_value_ratio,
-            "aim_ms": ms(handler.response_target),
-            "deadline_ms": ms(handler.client_timeout),
-            "dedup_window_ms": ms(handler.dedup_window),
+            "aim_ms": to_ms(handler.response_target),
+            "deadline_ms": to_ms(handler.client_timeout),
+            "dedup_window_ms": to_ms(handler.dedup_window),
         })
     };
     operator.handlers.iter().map(class).collect()
--- a/crates/server/src/connection/reader.rs
+++ b/crates/server/src/connection/reader.rs
@@ -2,7 +2,7 @@
 //! responses.
 use crate::connection::writer::{self, ReadProgress, WriteOutcome};
 use crate::event::{ConnectionId, Event, Outgoing};
-use crate::protocol::sidecar::{Decoder, Frame, NameTable};
+use crate::protocol::sidecar::{Decoder, DecoderSettings, Frame};
 use crate::protocol::ProtocolError;
 use crate::resource_limits::{BufferReservation, ResourceLimits};
 use async_channel::{Receiver, Sender};
@@ -30,8 +30,8 @@
 
 /// State shared by the tasks of all connections.
 pub struct ConnectionContext {
-    /// The parts of the settings that requests are decoded with.
-    pub names: Rc<NameTable>,
+    /// The settings that requests are decoded with.
+    pub decoder_settings: Rc<DecoderSettings>,
     /// Limits on descriptors and memory.
     pub limits: Rc<ResourceLimits>,
     /// The dispatcher's event queue.
@@ -68,7 +68,7 @@
         context,
         progress: &progress,
         writer_queue: &writer_queue,
-        decoder: Decoder::new(context.names.clone()),
+        decoder: Decoder::new(context.decoder_settings.clone()),
         reservation: context.limits.reserve_buffer(),
         frame_deadline: Some(Instant::now() + FRAME_TIMEOUT),
     };
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -27,8 +27,8 @@
     events_processed: u64,
     /// Whether anything was ever sent or received on it.
     was_used: bool,
-    /// Whether the engine has recognized a request that came on it.
-    is_proven: bool,
+    /// Whether it is verified: the engine has recognized a request that was read from it.
+    is_verified: bool,
     /// When something was last sent or received on it, or when it was opened.
     last_used: Time,
     /// When go-away was sent, which asks the sidecar to send no more requests.
@@ -60,13 +60,13 @@
 
 impl ConnectionTable {
     /// Adds a new connection, whose writer receives from `outgoing`.
-    pub fn opened(&mut self, now: Time, id: ConnectionId, outgoing: Sender<Outgoing>) {
+    pub fn insert(&mut self, now: Time, id: ConnectionId, outgoing: Sender<Outgoing>) {
         let connection = Connection {
             outgoing: Some(outgoing),
             in_flight: 0,
             events_processed: 0,
             was_used: false,
-            is_proven: false,
+            is_verified: false,
             last_used: now,
             go_away_at: None,
             close_requested: false,
@@ -76,7 +76,7 @@
     }
 
     /// Removes a connection that has been closed.
-    pub fn closed(&mut self, id: ConnectionId) {
+    pub fn remove(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 
@@ -104,16 +104,16 @@
         true
     }
 
-    /// Records that the engine has recognized a request that came on this connection.
-    pub fn mark_proven(&mut self, id: ConnectionId) {
+    /// Records that the engine has recognized a request that was read from this connection.
+    pub fn mark_verified(&mut self, id: ConnectionId) {
         self.connections
             .entry(id)
-            .and_modify(|connection| connection.is_proven = true);
+            .and_modify(|connection| connection.is_verified = true);
     }
 
-    /// Whether the engine has recognized a request that came on this connection.
-    pub fn is_proven(&self, id: ConnectionId) -> bool {
-        self.connections.get(&id).is_some_and(|c| c.is_proven)
+    /// Whether this connection is verified.
+    pub fn is_verified(&self, id: ConnectionId) -> bool {
+        self.connections.get(&id).is_some_and(|c| c.is_verified)
     }
 
     /// Sends a response if the connection is still open. A full queue means that the sidecar reads too slowly: its
@@ -146,13 +146,13 @@
     }
 
     /// Sends the error to the sidecar, then drains and closes the connection.
-    pub fn fail(&mut self, now: Time, id: ConnectionId, error: ProtocolError) {
+    pub fn close_with_error(&mut self, now: Time, id: ConnectionId, error: ProtocolError) {
         self.send(now, id, &Response::ConnectionError(error.message()));
-        self.end(id);
+        self.close_when_drained(id);
     }
 
     /// Closes the connection, from which nothing more is read, as soon as nothing is in flight on it.
-    pub fn end(&mut self, id: ConnectionId) {
+    pub fn close_when_drained(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.is_draining = true;
         }
@@ -194,7 +194,7 @@
         for (id, connection) in idle.filter(|(_, c)| predicate(c)) {
             tracing::debug!(connection = id.0, "closing an idle connection");
             let close = Outgoing::Close {
-                taken: connection.events_processed,
+                events_processed: connection.events_processed,
             };
             connection.close_requested = connection
                 .outgoing
@@ -245,7 +245,7 @@
 
     /// Closes idle connections on which go-away was sent, after a delay for requests that are still in transit:
     /// `CLOSE_DELAY`, or `MIN_CLOSE_DELAY` once the server `is_closing` and has stopped listening.
-    pub fn maintain(&mut self, now: Time, is_closing: bool) {
+    pub fn close_after_go_away(&mut self, now: Time, is_closing: bool) {
         let delay = if is_closing {
             MIN_CLOSE_DELAY
         } else {
--- a/crates/server/src/connection/writer.rs
+++ b/crates/server/src/connection/writer.rs
@@ -1,6 +1,6 @@
 //! Writes the responses of one connection in batches, and ends the connection once the dispatcher asks for the close
 //! and no input is left unprocessed.
-use crate::clock::{duration, time_of_ms};
+use crate::clock::{time_from_ms, to_duration};
 use crate::event::Outgoing;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -27,12 +27,12 @@
 
 impl ReadProgress {
     /// Whether the connection can be closed without losing a request that was sent before the close, where the
-    /// dispatcher has processed `processed` events. An event that it has not processed, part of a frame, or unread
-    /// bytes keep the connection open. A request that arrives after this check is discarded and never runs; its
+    /// dispatcher has processed `events_processed` events. An event that it has not processed, part of a frame, or
+    /// unread bytes keep the connection open. A request that arrives after this check is discarded and never runs; its
     /// sidecar sends it again elsewhere.
-    fn can_close(&self, stream: &Async<TcpStream>, processed: u64) -> bool {
+    fn can_close(&self, stream: &Async<TcpStream>, events_processed: u64) -> bool {
         let has_unread = stream.get_ref().peek(&mut [0]).is_ok_and(|count| count > 0);
-        self.events_read.get() == processed && !self.has_partial_frame.get() && !has_unread
+        self.events_read.get() == events_processed && !self.has_partial_frame.get() && !has_unread
     }
 }
 
@@ -47,7 +47,7 @@
 
 /// How long a sidecar may read nothing before its connection is dropped, given the longest client timeout.
 pub fn write_timeout(max_client_timeout_ms: f64) -> Duration {
-    MIN_WRITE_TIMEOUT.max(duration(time_of_ms(max_client_timeout_ms)))
+    MIN_WRITE_TIMEOUT.max(to_duration(time_from_ms(max_client_timeout_ms)))
 }
 
 /// Writes the responses that the dispatcher queues, until the dispatcher drops its sender or asks for a close that no
@@ -73,7 +73,7 @@
                     bytes.extend_from_slice(&response);
                     settled += usize::from(settles_request);
                 }
-                Outgoing::Close { taken } => close_after_events = Some(taken),
+                Outgoing::Close { events_processed } => close_after_events = Some(events_processed),
             }
         }
         // Updated before the first byte is written: a sidecar may send its next request as soon as it has received one
@@ -83,7 +83,9 @@
         if write_batch(stream, &bytes, write_timeout).await.is_err() {
             return WriteOutcome::Broken;
         }
-        if close_after_events.is_some_and(|processed| progress.can_close(stream, processed)) {
+        if close_after_events
+            .is_some_and(|events_processed| progress.can_close(stream, events_processed))
+        {
             return WriteOutcome::Complete;
         }
     }
--- a/crates/server/src/dispatcher/actions.rs
+++ b/crates/server/src/dispatcher/actions.rs
@@ -1,6 +1,6 @@
 //! Performs the actions of the admission controller, in the order in which they are listed.
 use super::RequestDispatcher;
-use crate::clock::ms;
+use crate::clock::to_ms;
 use crate::dedup::DedupOutcome;
 use crate::event::ReportUpdate;
 use crate::execution::ExecutionRequest;
@@ -100,7 +100,7 @@
         };
         let response = Response::Rejected {
             stream: request.stream,
-            retry_after_ms: ms(rejection.retry_after),
+            retry_after_ms: to_ms(rejection.retry_after),
             do_not_retry: rejection.do_not_retry,
         };
         self.counters.rejected += 1;
--- a/crates/server/src/dispatcher/arrivals.rs
+++ b/crates/server/src/dispatcher/arrivals.rs
@@ -1,7 +1,7 @@
 //! Arriving requests, duplicates among them, and callers that cancel or disconnect.
 use super::requests::InFlightRequest;
 use super::RequestDispatcher;
-use crate::clock::time_of_ms;
+use crate::clock::time_from_ms;
 use crate::config::CallerSource;
 use crate::dedup::{DedupWindow, IdempotencyKey};
 use crate::event::ConnectionId;
@@ -17,7 +17,7 @@
 struct QueueingDelay {
     /// As its timestamp reports.
     reported: Time,
-    /// The same, capped at the last delay on a proven connection.
+    /// The same, capped at the last delay on a verified connection.
     observed: Time,
 }
 
@@ -55,7 +55,7 @@
         let key = self.take_idempotency_key(&mut request);
         let Some(lookup) = self.look_up_original(now, connection, now - delay, key, &request)
         else {
-            tracing::debug!(connection = connection.0, id = ?request.id, "duplicate on an unproven connection");
+            tracing::debug!(connection = connection.0, id = ?request.id, "duplicate on an unverified connection");
             self.counters.invalid += 1;
             let response = Response::Failed(request.stream);
             self.connections.send(now, connection, &response);
@@ -68,10 +68,10 @@
         self.admit(now, id, connection, request, delay, lookup);
     }
 
-    /// Timestamps show how long requests wait to be read only on proven connections, where the engine has recognized a
-    /// request. On any other, the delay counts no more than the last one that was observed on a proven connection.
+    /// Timestamps show how long requests wait to be read only on verified connections. On any other, the delay counts
+    /// no more than the last one that was observed on a verified connection.
     fn observe_delay(&mut self, connection: ConnectionId, reported: Time) -> QueueingDelay {
-        if self.connections.is_proven(connection) {
+        if self.connections.is_verified(connection) {
             self.recent_delay = reported;
         }
         QueueingDelay {
@@ -100,8 +100,8 @@
     ///
     /// Protects responses from clients that copy a key: a duplicate gets its response from the table, and no engine
     /// checks whether it recognizes the request. So it gets that response only on the connection of the original, while
-    /// that is in flight, or on a proven connection, where the engine has recognized a request. A read on any other
-    /// connection runs by itself; a keyed request, which must not run again, fails.
+    /// that is in flight, or on a verified connection. A read on any other connection runs by itself; a keyed request,
+    /// which must not run again, fails.
     fn look_up_original(
         &mut self,
         now: Time,
@@ -116,7 +116,7 @@
         let may_be_copied = original.is_some_and(|original| {
             let first = self.requests.get(original);
             let is_same = first.is_some_and(|first| first.connection == connection);
-            !self.connections.is_proven(connection) && !is_same
+            !self.connections.is_verified(connection) && !is_same
         });
         if !may_be_copied {
             return Some(DedupLookup { original, key });
@@ -142,13 +142,13 @@
         let counts_connections = self.config.caller_source == CallerSource::Connections;
         let client_time_left = request
             .client_wait_ms
-            .map(|ms| (time_of_ms(ms) - delay.reported).max(Time(0)));
+            .map(|ms| (time_from_ms(ms) - delay.reported).max(Time(0)));
         let arrival = Arrival {
             id,
             handler: request.handler,
             tenant: request.tenant,
             caller: counts_connections.then_some(CallerId(connection.0)),
-            cost_hint: request.cost_hint_ms.map(time_of_ms),
+            cost_hint: request.cost_hint_ms.map(time_from_ms),
             is_retry: request.is_retry,
             duplicate_of: lookup.original,
             memory_kb: request.memory_kb,
@@ -175,15 +175,15 @@
     }
 
     /// Decides which of two requests with the same id is the copy, and returns where its failure is sent. Protects
-    /// sidecars from a client that copies their requests and is read first: if only the later connection is proven and
-    /// the bodies are equal, the later request takes the place of the earlier one, and its response.
+    /// sidecars from a client that copies their requests and is read first: if only the later connection is verified
+    /// and the bodies are equal, the later request takes the place of the earlier one, and its response.
     fn resolve_id_conflict(
         &mut self,
         connection: ConnectionId,
         request: &Request,
     ) -> (ConnectionId, StreamId) {
         let later = (connection, request.stream);
-        if !self.connections.is_proven(connection) {
+        if !self.connections.is_verified(connection) {
             return later;
         }
         let earlier = self
@@ -192,8 +192,8 @@
         let Some(earlier) = earlier else {
             return later;
         };
-        let is_proven = self.connections.is_proven(earlier.connection);
-        if is_proven || earlier.body[..] != request.body[..] {
+        let is_verified = self.connections.is_verified(earlier.connection);
+        if is_verified || earlier.body[..] != request.body[..] {
             return later;
         }
         let copy = (earlier.connection, earlier.stream);
@@ -211,7 +211,7 @@
         let window = match self.config.idempotency[handler] {
             Idempotency::Keyed => DedupWindow {
                 until: Some(now + self.config.times[handler].dedup_window + TIME_LIMIT_SLACK),
-                grace: time_of_ms(self.config.max_client_timeout_ms),
+                grace: time_from_ms(self.config.max_client_timeout_ms),
             },
             _ => DedupWindow {
                 until: None,
@@ -274,7 +274,7 @@
     /// the callers of its unanswered requests are gone. A request with an idempotency key continues, for its
     /// duplicates.
     pub(super) fn handle_connection_closed(&mut self, now: Time, connection: ConnectionId) {
-        self.connections.closed(connection);
+        self.connections.remove(connection);
         let open = self
             .requests
             .ids_where(|request| request.connection == connection && request.is_open_without_key());
--- a/crates/server/src/dispatcher/counters.rs
+++ b/crates/server/src/dispatcher/counters.rs
@@ -34,8 +34,8 @@
 
 #[derive(Default)]
 pub(super) struct LogCounters {
-    /// Requests that could not be run: invalid ones, ids that are already in flight, duplicates on unproven connections
-    /// and requests on dropped connections.
+    /// Requests that could not be run: invalid ones, ids that are already in flight, duplicates on unverified
+    /// connections and requests on dropped connections.
     pub(super) invalid: u64,
     /// Connections that broke the protocol.
     pub(super) malformed: u64,
@@ -70,9 +70,13 @@
                 "invalid input in the last second"
             );
         }
-        if engine.not_begun + engine.failed > 0 {
-            let (not_begun, failed) = (engine.not_begun, engine.failed);
-            tracing::warn!(not_begun, failed, "failed calls in the last second");
+        if engine.not_executed + engine.failed > 0 {
+            let (not_executed, failed) = (engine.not_executed, engine.failed);
+            tracing::warn!(
+                not_begun = not_executed,
+                failed,
+                "failed calls in the last second"
+            );
         }
         if failed + rejected > 0 {
             tracing::info!(
--- a/crates/server/src/dispatcher/engine.rs
+++ b/crates/server/src/dispatcher/engine.rs
@@ -1,6 +1,6 @@
 //! Connections to the engine, and health checks.
 use super::RequestDispatcher;
-use crate::clock::time_of_ms;
+use crate::clock::time_from_ms;
 use crate::dedup::DedupTable;
 use crate::event::ConnectionId;
 use crate::execution::engine::EngineExecutor;
@@ -36,7 +36,7 @@
             "connected to the engine"
         );
         if first {
-            let engine_started_at = (now - time_of_ms(age_ms)).max(self.started_at);
+            let engine_started_at = (now - time_from_ms(age_ms)).max(self.started_at);
             self.restart_admission(now, engine_started_at);
         }
     }
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -1,6 +1,9 @@
 //! The dispatcher: the sole owner of the admission controller, of the in-flight requests and of the timers. Every input
 //! reaches it as an [`Event`]; it passes inputs to the admission controller and performs the resulting actions in the
 //! order in which [`Actions`](cottondyke_admission::Actions) lists them. It never waits on a socket.
+//!
+//! A connection is *verified* once the engine has recognized a request that was read from it: the request's run has
+//! requested a call or has completed. The completion of an aggregation counts as well.
 mod actions;
 mod arrivals;
 mod counters;
@@ -80,7 +83,7 @@
     health: HealthChecker,
     cpu: CpuSampler,
     counters: LogCounters,
-    /// How long the last request on a proven connection waited to be read.
+    /// How long the last request on a verified connection waited to be read.
     recent_delay: Time,
     report: Sender<ReportUpdate>,
     engine_address: Sender<SocketAddr>,
@@ -178,7 +181,7 @@
                 deep,
             } => self.handle_health_check(now, connection, stream, deep),
             Event::Cancelled(connection, stream) => self.handle_cancel(now, connection, stream),
-            Event::HalfClosed(connection) => self.connections.end(connection),
+            Event::HalfClosed(connection) => self.connections.close_when_drained(connection),
             Event::ProtocolError(connection, error) => {
                 self.handle_protocol_error(now, connection, error)
             }
@@ -221,7 +224,7 @@
     }
 
     fn handle_opened(&mut self, now: Time, connection: ConnectionId, outgoing: Sender<Outgoing>) {
-        self.connections.opened(now, connection, outgoing);
+        self.connections.insert(now, connection, outgoing);
         self.evict_connections(now);
         if self.stop_listening.is_none() {
             self.connections.send_go_away_to_all(now);
@@ -255,7 +258,7 @@
     fn handle_protocol_error(&mut self, now: Time, connection: ConnectionId, error: ProtocolError) {
         tracing::debug!(connection = connection.0, %error, "malformed frame; closing the connection");
         self.counters.malformed += 1;
-        self.connections.fail(now, connection, error);
+        self.connections.close_with_error(now, connection, error);
     }
 }
 
@@ -295,7 +298,7 @@
         )
     });
     let handlers = HandlerTable {
-        classes: handlers.iter().map(|name| name.as_str().into()).collect(),
+        names: handlers.iter().map(|name| name.as_str().into()).collect(),
         idempotency: config.idempotency.clone(),
     };
     Executors::new(engine, aggregation, handlers)
--- a/crates/server/src/dispatcher/outcomes.rs
+++ b/crates/server/src/dispatcher/outcomes.rs
@@ -1,7 +1,7 @@
 //! Events of executors: ends of runs, calls, load samples and self-tests; and the final response of each request, sent
 //! once.
 use super::RequestDispatcher;
-use crate::clock::time_of_ms;
+use crate::clock::time_from_ms;
 use crate::dedup::RetentionLimits;
 use crate::execution::ExecutionEvent;
 use crate::protocol::sidecar::{Response, RunOutput};
@@ -35,7 +35,7 @@
             ExecutionEvent::Ended(id, outcome, output) => {
                 self.handle_run_ended(now, id, outcome, output)
             }
-            ExecutionEvent::CallWanted(id) => Some(self.admission.call_requested(now, id)),
+            ExecutionEvent::CallRequested(id) => Some(self.admission.call_requested(now, id)),
             ExecutionEvent::CallEnded(id, outcome) => {
                 Some(self.admission.call_ended(now, id, outcome))
             }
@@ -47,9 +47,9 @@
                 };
                 Some(self.admission.tick(now, sample))
             }
-            ExecutionEvent::Alive(id) => {
+            ExecutionEvent::Progressed(id) => {
                 if let Some(request) = self.requests.get(id) {
-                    self.connections.mark_proven(request.connection);
+                    self.connections.mark_verified(request.connection);
                 }
                 None
             }
@@ -117,7 +117,7 @@
         let is_completed = outcome == RunOutcome::Completed;
         self.executors.forget(id);
         if is_completed {
-            self.connections.mark_proven(connection);
+            self.connections.mark_verified(connection);
         }
         let retained = (is_completed && is_shared).then(|| Rc::new(output.clone()));
         let response = match is_completed {
@@ -140,7 +140,7 @@
     /// abandoned, which frees its place. Any other still occupies the machine: it is counted as overdue, so that runs
     /// started beside runs that hang do not overload the machine.
     pub(super) fn settle_overdue_runs(&mut self, now: Time) {
-        let max_age = time_of_ms(self.config.max_client_timeout_ms).scaled(OVERDUE_AFTER);
+        let max_age = time_from_ms(self.config.max_client_timeout_ms).scaled(OVERDUE_AFTER);
         let overdue = self.requests.ids_where(|request| {
             request.is_running
                 && request.is_answered
@@ -149,11 +149,11 @@
         });
         for id in overdue {
             let wire_id = self.requests.get(id).map(|request| request.wire_id);
-            if self.executors.may_have_lost(id) {
+            if self.executors.can_be_abandoned(id) {
                 tracing::warn!(id = ?wire_id, "abandoning a run that never ended");
                 self.abandon_run(now, id);
             } else {
-                tracing::warn!(id = ?wire_id, "a run is overdue; it still counts towards the survivable concurrency");
+                tracing::warn!(id = ?wire_id, "a run is overdue; it still counts towards the concurrency ceiling");
                 self.mark_overdue(now, id);
             }
         }
@@ -212,7 +212,7 @@
             self.connections.send(now, request.connection, &response);
         }
         if request.is_running {
-            self.executors.mark_unwanted(id);
+            self.executors.mark_answered(id);
         } else {
             self.requests.remove(id);
         }
--- a/crates/server/src/dispatcher/reload.rs
+++ b/crates/server/src/dispatcher/reload.rs
@@ -50,7 +50,7 @@
         }
         if config.control != self.config.control {
             if let Some(control) = config.control {
-                let _ = self.report.try_send(ReportUpdate::Moved(control));
+                let _ = self.report.try_send(ReportUpdate::AddressChanged(control));
             }
         }
         if let Some(engine) = &mut self.executors.engine {
@@ -65,7 +65,7 @@
         };
         if let Some(cluster) = &self.cluster {
             let peers = operator.peers.as_ref();
-            if peers.is_some_and(|peers| cluster.is_fixed_part_changed(peers)) {
+            if peers.is_some_and(|peers| cluster.requires_restart(peers)) {
                 tracing::warn!(
                     "only keepers of peers(...) can change while the server runs; keeping the old values"
                 );
--- a/crates/server/src/dispatcher/shutdown.rs
+++ b/crates/server/src/dispatcher/shutdown.rs
@@ -1,6 +1,6 @@
 //! The graceful shutdown: from its signal until every request that was read is answered, or the timeout is over.
 use super::RequestDispatcher;
-use crate::clock::time_of_ms;
+use crate::clock::time_from_ms;
 use crate::shutdown::{self, ShutdownPhase, FULL_AGGREGATIONS_UNTIL};
 use cottondyke_types::Time;
 
@@ -23,7 +23,7 @@
 
     /// The configured time from the shutdown signal to the end of the process.
     pub(super) fn shutdown_timeout(&self) -> Time {
-        time_of_ms(self.config.shutdown_timeout.as_secs_f64() * 1_000.0)
+        time_from_ms(self.config.shutdown_timeout.as_secs_f64() * 1_000.0)
     }
 
     pub(super) fn shutdown_phase(&self, now: Time) -> ShutdownPhase {
--- a/crates/server/src/dispatcher/timers.rs
+++ b/crates/server/src/dispatcher/timers.rs
@@ -86,7 +86,7 @@
         self.next_maintenance = now + interval;
         let phase = self.shutdown_phase(now);
         let is_closing = phase >= ShutdownPhase::StoppedAccepting;
-        self.connections.maintain(now, is_closing);
+        self.connections.close_after_go_away(now, is_closing);
         self.evict_connections(now);
         if let Some(engine) = &mut self.executors.engine {
             engine.maintain(now);
@@ -102,7 +102,7 @@
 
     /// Logs the failures of the last second and the admission status that explains them.
     fn log_last_second(&mut self, now: Time) {
-        let engine = self.executors.log_and_count(now);
+        let engine = self.executors.log_and_take_counters(now);
         let counters = std::mem::take(&mut self.counters);
         let status = self.admission.status(now);
         let is_in_slow_start = status.capacity < 1.0;
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -90,26 +90,26 @@
         /// Whether it is the final answer to a request.
         settles_request: bool,
     },
-    /// Close the connection if the dispatcher has handled everything that was read on it. A request that crosses this
+    /// Close the connection if the dispatcher has processed everything that was read on it. A request that crosses this
     /// message keeps the connection open.
     Close {
-        /// How many events of this connection the dispatcher has handled.
-        taken: u64,
+        /// How many events of this connection the dispatcher has processed.
+        events_processed: u64,
     },
 }
 
 /// Why a call returned no result, by how far it had got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The service has not started it.
+    /// The service has not executed it.
     #[error("not executed: {0}")]
-    NotBegun(&'static str),
-    /// The service may have started it, and it may still be running.
+    NotExecuted(&'static str),
+    /// The service may have executed it, and it may still be running.
     #[error("possibly executed: {0}")]
-    MaybeBegun(&'static str),
-    /// The service has started it, and it is no longer running.
+    Indeterminate(&'static str),
+    /// The service has executed it at least in part, and it is no longer running.
     #[error("failed: {0}")]
-    Ended(&'static str),
+    Failed(&'static str),
     /// Its connection broke after it was sent, which proves nothing: it may still be running.
     #[error("interrupted: {0}")]
     Interrupted(&'static str),
@@ -119,9 +119,9 @@
     /// Converts the error to the outcome that the admission controller is given.
     pub fn outcome(self) -> CallOutcome {
         match self {
-            CallError::NotBegun(_) => CallOutcome::NotExecuted,
-            CallError::MaybeBegun(_) => CallOutcome::Indeterminate,
-            CallError::Ended(_) => CallOutcome::Failed,
+            CallError::NotExecuted(_) => CallOutcome::NotExecuted,
+            CallError::Indeterminate(_) => CallOutcome::Indeterminate,
+            CallError::Failed(_) => CallOutcome::Failed,
             CallError::Interrupted(_) => CallOutcome::Interrupted,
         }
     }
@@ -135,5 +135,5 @@
         healthy: bool,
     },
     /// The control plane's new address.
-    Moved(SocketAddr),
+    AddressChanged(SocketAddr),
 }
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -1,7 +1,7 @@
 //! The executor for aggregations, whose responses the server composes from dependency calls. The decisions are made in
 //! `cottondyke_dependency`; this module runs its actions as tasks and converts its results to responses.
 use super::{response_body, ExecutionEvent, ExecutionRequest};
-use crate::clock::{ms, Clock};
+use crate::clock::{to_ms, Clock};
 use crate::cluster::{ClusterDriver, USAGE_INTERVAL};
 use crate::event::Event;
 use crate::outbound::dependency_call::{self, DependencyCall};
@@ -356,7 +356,7 @@
 fn log_circuit_change(now: Time, dependency: &str, state: CircuitState, limit: usize) {
     match state {
         CircuitState::Open { until } => {
-            let open_ms = ms(until - now);
+            let open_ms = to_ms(until - now);
             tracing::warn!(%dependency, open_ms, limit, "circuit breaker opened");
         }
         CircuitState::HalfOpen { .. } => {
--- a/crates/server/src/execution/engine.rs
+++ b/crates/server/src/execution/engine.rs
@@ -20,8 +20,8 @@
 /// Failed calls and refused commands since the counters were last taken.
 #[derive(Default)]
 pub struct EngineCounters {
-    /// Calls that the records service did not begin to execute.
-    pub not_begun: u64,
+    /// Calls that the records service did not execute.
+    pub not_executed: u64,
     /// Calls that failed or whose outcome is unknown; they may have been executed.
     pub failed: u64,
     /// Commands that the engine refused.
@@ -100,10 +100,11 @@
         }
     }
 
-    /// Records that no client waits for the run any longer, and cancels its call in flight.
-    pub fn mark_unwanted(&mut self, id: RequestId) {
+    /// Records that the run's request has been answered, so that no client waits for it, and cancels its call in
+    /// flight.
+    pub fn mark_answered(&mut self, id: RequestId) {
         if let Some(run) = self.runs.get_mut(&id) {
-            run.is_wanted = false;
+            run.is_awaited = false;
             run.call = None;
         }
     }
@@ -182,9 +183,10 @@
         std::mem::take(&mut self.counters)
     }
 
-    /// Whether the engine may never have received the run, or has suspended it at a call, where it uses no core. False
-    /// for a run that hangs: a command has arrived if its link stayed open for long enough after it was written.
-    pub fn may_have_lost(&self, id: RequestId) -> bool {
+    /// Whether the run can be given up: the engine may never have received it, or has suspended it at a call, where it
+    /// uses no core, or it is no run of this executor. False for a run that hangs: a command has arrived if its link
+    /// stayed open for long enough after it was written.
+    pub fn can_be_abandoned(&self, id: RequestId) -> bool {
         self.runs
             .get(&id)
             .is_none_or(|run| run.may_be_lost || run.needed_call.is_some())
@@ -220,7 +222,10 @@
                 });
                 run.resume_command = None;
                 run.has_begun = true;
-                vec![ExecutionEvent::Alive(id), ExecutionEvent::CallWanted(id)]
+                vec![
+                    ExecutionEvent::Progressed(id),
+                    ExecutionEvent::CallRequested(id),
+                ]
             }
             EngineMessage::Load { tag, gauges } => self.handle_load(tag, &gauges),
             EngineMessage::SelfTest { tag, passed } => {
@@ -257,7 +262,7 @@
         tracing::debug!(command, id = ?run.wire_id, "engine refused a command");
         // Any other refusal means that the command was redundant, not that the engine has no such run.
         let is_unknown_run =
-            command == "RUN" && !run.has_begun || command == "HALT" && !run.is_wanted;
+            command == "RUN" && !run.has_begun || command == "HALT" && !run.is_awaited;
         self.counters.refused += 1;
         if !is_unknown_run {
             return Vec::new();
@@ -271,7 +276,7 @@
     fn possibly_lost_commands(&self) -> Vec<EngineCommand> {
         self.runs
             .values()
-            .filter(|run| run.is_wanted)
+            .filter(|run| run.is_awaited)
             .filter_map(|run| run.possibly_lost_command(self.link_lost_at))
             .filter(|command| !self.commands.is_queued(command))
             .collect()
@@ -280,7 +285,7 @@
     /// Marks the runs whose commands are sent again as no longer possibly lost.
     fn mark_resent(&mut self) {
         let runs = self.runs.values_mut();
-        for run in runs.filter(|run| run.is_wanted && run.is_idempotent) {
+        for run in runs.filter(|run| run.is_awaited && run.is_idempotent) {
             run.may_be_lost = false;
         }
     }
@@ -306,7 +311,7 @@
         let task = self.tasks.spawn(async move {
             let result = match records {
                 Some(records) => records_call::call(records, call).await,
-                None => Err(CallError::NotBegun("no records service configured")),
+                None => Err(CallError::NotExecuted("no records service configured")),
             };
             let event = Event::RecordsCallEnded(id, number, result);
             let _ = events.send(event).await;
@@ -336,10 +341,10 @@
             Err(error) => {
                 tracing::debug!(?error, id = ?run.wire_id, call = number.0, "call to the records service failed");
                 match error {
-                    CallError::NotBegun(_) => self.counters.not_begun += 1,
-                    CallError::MaybeBegun(_) | CallError::Ended(_) | CallError::Interrupted(_) => {
-                        self.counters.failed += 1
-                    }
+                    CallError::NotExecuted(_) => self.counters.not_executed += 1,
+                    CallError::Indeterminate(_)
+                    | CallError::Failed(_)
+                    | CallError::Interrupted(_) => self.counters.failed += 1,
                 }
                 error.outcome()
             }
--- a/crates/server/src/execution/engine_run.rs
+++ b/crates/server/src/execution/engine_run.rs
@@ -25,7 +25,7 @@
     pub(super) body: Rc<[u8]>,
     pub(super) is_idempotent: bool,
     /// Whether a client still waits for the run.
-    pub(super) is_wanted: bool,
+    pub(super) is_awaited: bool,
     /// Whether a message of the engine has shown that the run began.
     pub(super) has_begun: bool,
     /// When the start command was passed to the link, or queued while there was no link.
@@ -55,7 +55,7 @@
             class,
             body: request.body.clone(),
             is_idempotent,
-            is_wanted: true,
+            is_awaited: true,
             has_begun: false,
             commanded_at: now,
             was_queued: false,
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -38,11 +38,11 @@
 #[derive(Debug)]
 pub enum ExecutionEvent {
     /// The run has made progress.
-    Alive(RequestId),
+    Progressed(RequestId),
     /// The run has ended.
     Ended(RequestId, RunOutcome, RunOutput),
-    /// The run needs a call to the records service, which the admission controller has to permit.
-    CallWanted(RequestId),
+    /// The run requests a call to the records service, which the admission controller has to permit.
+    CallRequested(RequestId),
     /// The run's call to the records service has ended.
     CallEnded(RequestId, CallOutcome),
     /// The CPU utilization that the dispatcher queried, as a fraction of all cores; `None` if unknown.
@@ -53,8 +53,8 @@
 
 /// The names and idempotency of the handlers, indexed by `HandlerId`.
 pub struct HandlerTable {
-    /// The class names that the engine uses for the handlers.
-    pub classes: Vec<Rc<str>>,
+    /// The names of the handlers, which the engine calls classes.
+    pub names: Vec<Rc<str>>,
     /// Whether a handler's runs may be executed more than once.
     pub idempotency: Vec<Idempotency>,
 }
@@ -116,7 +116,7 @@
             let output = RunOutput::default();
             return vec![ExecutionEvent::Ended(id, RunOutcome::Failed, output)];
         };
-        let class = self.handlers.classes[handler].clone();
+        let class = self.handlers.names[handler].clone();
         engine.start(now, id, request, class, is_idempotent);
         Vec::new()
     }
@@ -132,18 +132,20 @@
         }
     }
 
-    /// Records that no client waits for the run any longer. Aggregations end at their deadline in any case.
-    pub fn mark_unwanted(&mut self, id: RequestId) {
+    /// Records that the run's request has been answered, so that no client waits for it. Aggregations end at their
+    /// deadline in any case.
+    pub fn mark_answered(&mut self, id: RequestId) {
         if let Some(engine) = &mut self.engine {
-            engine.mark_unwanted(id);
+            engine.mark_answered(id);
         }
     }
 
-    /// Whether the engine may never have received the run, or has suspended it at a call, where it uses no core.
-    pub fn may_have_lost(&self, id: RequestId) -> bool {
+    /// Whether the run can be given up: the engine may never have received it, or has suspended it at a call, where it
+    /// uses no core. Also true for a run that is not on the engine.
+    pub fn can_be_abandoned(&self, id: RequestId) -> bool {
         self.engine
             .as_ref()
-            .is_none_or(|engine| engine.may_have_lost(id))
+            .is_none_or(|engine| engine.can_be_abandoned(id))
     }
 
     /// Drops the state of a run that the dispatcher considers ended.
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Called once a second: logs the state of the dependencies and returns the engine's counters.
-    pub fn log_and_count(&mut self, now: Time) -> EngineCounters {
+    /// Called once a second: logs the state of the dependencies, and returns the engine's counters and resets them.
+    pub fn log_and_take_counters(&mut self, now: Time) -> EngineCounters {
         if let Some(aggregation) = &mut self.aggregation {
             aggregation.maintain(now);
         }
--- a/crates/server/src/load_report.rs
+++ b/crates/server/src/load_report.rs
@@ -29,7 +29,7 @@
         let result = loop {
             match update.take() {
                 Some(ReportUpdate::Health { healthy: new }) => healthy = new,
-                Some(ReportUpdate::Moved(new)) => addr = new,
+                Some(ReportUpdate::AddressChanged(new)) => addr = new,
                 None => {}
             }
             let reporting = async { Ok(report_in_time(addr, &path, healthy).await) };
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -129,7 +129,7 @@
         .as_ref()
         .map(|operator| operator.summary(&config.handler_specs()))
         .unwrap_or_default();
-    format!("{}: the configuration is good\n{operator}", config.name)
+    format!("{}: the configuration is valid\n{operator}", config.name)
 }
 
 fn serve(arguments: Arguments) -> ExitCode {
--- a/crates/server/src/outbound/dependency_call.rs
+++ b/crates/server/src/outbound/dependency_call.rs
@@ -1,5 +1,5 @@
 //! Calls from aggregations to their dependencies: the encoding of requests and the classification of responses.
-use crate::clock::{ms, Clock};
+use crate::clock::{to_ms, Clock};
 use crate::event::CallError;
 use crate::outbound::http_client::{self, ConnectionPool, Exchange, ExchangeProgress};
 use crate::protocol::http::{self, Response};
@@ -48,9 +48,9 @@
     let exchange = match http_client::exchange(&mut stream, &request, &progress).await {
         Ok(exchange) => exchange,
         Err(_) if is_reused && !progress.has_received.get() => return CallResult::StaleConnection,
-        Err(CallError::NotBegun(_)) => return CallResult::Rejected,
-        Err(CallError::MaybeBegun(_)) => return CallResult::TimedOut,
-        Err(CallError::Ended(_)) => return CallResult::Failure,
+        Err(CallError::NotExecuted(_)) => return CallResult::Rejected,
+        Err(CallError::Indeterminate(_)) => return CallResult::TimedOut,
+        Err(CallError::Failed(_)) => return CallResult::Failure,
         Err(CallError::Interrupted(_)) => return CallResult::Interrupted,
     };
     let Exchange {
@@ -65,7 +65,7 @@
 
 fn encode(call: &DependencyCall) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256 + call.body.len());
-    let remaining_ms = (ms(call.remaining).floor() as u64).to_string();
+    let remaining_ms = (to_ms(call.remaining).floor() as u64).to_string();
     let headers = [
         ("Req-Id", call.request.as_str()),
         ("Time-Left-Ms", remaining_ms.as_str()),
--- a/crates/server/src/outbound/http_client.rs
+++ b/crates/server/src/outbound/http_client.rs
@@ -40,7 +40,7 @@
 pub async fn connect(addr: SocketAddr) -> Result<HttpConnection, CallError> {
     let stream = HttpConnection::connect(addr)
         .await
-        .map_err(|_| CallError::NotBegun("connection failed"))?;
+        .map_err(|_| CallError::NotExecuted("connection failed"))?;
     let _ = stream.get_ref().set_nodelay(true);
     Ok(stream)
 }
@@ -63,9 +63,9 @@
     // If a connection breaks before the response has begun, the request may still be running at the service. Treating
     // it as ended would let further calls overload the service.
     let connection_error = |reason| match sent.get() {
-        Some(true) if progress.has_received.get() => CallError::Ended(reason),
+        Some(true) if progress.has_received.get() => CallError::Failed(reason),
         Some(true) => CallError::Interrupted(reason),
-        _ => CallError::MaybeBegun("connection broke while the request was sent"),
+        _ => CallError::Indeterminate("connection broke while the request was sent"),
     };
     let reading = async {
         let mut decoder = Decoder::default();
@@ -84,7 +84,7 @@
             decoder.feed(&bytes[..count]);
             let response = decoder
                 .next_response()
-                .map_err(|_| CallError::Ended("malformed response"))?;
+                .map_err(|_| CallError::Failed("malformed response"))?;
             if let Some(response) = response {
                 let is_reusable = !response.close && decoder.is_empty() && sent.get() == Some(true);
                 return Ok(Exchange {
--- a/crates/server/src/outbound/records_call.rs
+++ b/crates/server/src/outbound/records_call.rs
@@ -1,6 +1,6 @@
 //! Calls to the records service. Each call has a connection of its own, so that bytes after a response are never read
 //! by another call, and no request is written to a connection that the service has closed.
-use crate::clock::{duration, ms};
+use crate::clock::{to_duration, to_ms};
 use crate::event::CallError;
 use crate::outbound::http_client::{self, ExchangeProgress};
 use crate::protocol::http;
@@ -27,11 +27,11 @@
 pub async fn call(addr: SocketAddr, call: RecordsCall) -> Result<Vec<u8>, CallError> {
     let progress = ExchangeProgress::default();
     let timeout = async {
-        Timer::after(duration(call.timeout)).await;
+        Timer::after(to_duration(call.timeout)).await;
         Err(if progress.is_sending.get() {
-            CallError::MaybeBegun("timed out")
+            CallError::Indeterminate("timed out")
         } else {
-            CallError::NotBegun("timed out")
+            CallError::NotExecuted("timed out")
         })
     };
     attempt(addr, &call, &progress).or(timeout).await
@@ -43,7 +43,7 @@
     progress: &ExchangeProgress,
 ) -> Result<Vec<u8>, CallError> {
     let mut stream = http_client::connect(addr).await?;
-    let wait_ms = (ms(call.timeout).ceil() as u64).to_string();
+    let wait_ms = (to_ms(call.timeout).ceil() as u64).to_string();
     let headers = [
         ("Op-Of", call.request.as_str()),
         ("Op-Wait-Ms", wait_ms.as_str()),
@@ -55,8 +55,10 @@
     let response = exchange.response;
     match response.status {
         200 => Ok(response.body),
-        503 | 409 if response.not_executed => Err(CallError::NotBegun("rejected by the service")),
-        504 => Err(CallError::MaybeBegun("timed out at the service")),
-        _ => Err(CallError::Ended("error response")),
+        503 | 409 if response.not_executed => {
+            Err(CallError::NotExecuted("rejected by the service"))
+        }
+        504 => Err(CallError::Indeterminate("timed out at the service")),
+        _ => Err(CallError::Failed("error response")),
     }
 }
--- a/crates/server/src/protocol/sidecar/mod.rs
+++ b/crates/server/src/protocol/sidecar/mod.rs
@@ -30,10 +30,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u32);
 
-/// The parts of the settings that requests are decoded with: the names of handlers and tenants, in order, and the
-/// longest client timeout.
+/// The settings that requests are decoded with: the names of handlers and tenants, in order, and the longest client
+/// timeout.
 #[derive(Debug, Default)]
-pub struct NameTable {
+pub struct DecoderSettings {
     /// Names of the handlers; the index of a name is its `HandlerId`.
     pub handlers: Vec<String>,
     /// Names of the tenants; the index of a name is its `TenantId`.
@@ -63,7 +63,7 @@
 /// Decodes the frames of one connection.
 #[derive(Debug)]
 pub struct Decoder {
-    names: Rc<NameTable>,
+    settings: Rc<DecoderSettings>,
     buffer: ReadBuffer,
     /// All stream numbers up to this one count as used.
     used_through: u32,
@@ -72,10 +72,10 @@
 }
 
 impl Decoder {
-    /// Creates a decoder that resolves these names.
-    pub fn new(names: Rc<NameTable>) -> Self {
+    /// Creates a decoder with these settings.
+    pub fn new(settings: Rc<DecoderSettings>) -> Self {
         Decoder {
-            names,
+            settings,
             buffer: ReadBuffer::default(),
             used_through: 0,
             used_ahead: BTreeSet::new(),
@@ -109,7 +109,7 @@
         let (kind, payload) = (bytes[0], &bytes[5..]);
         let frame = match kind {
             REQUEST if stream.0 == 0 => return Err(ProtocolError::RequestOnStreamZero),
-            REQUEST => request::decode(&self.names, stream, payload)
+            REQUEST => request::decode(&self.settings, stream, payload)
                 .map_or_else(|e| Frame::InvalidRequest(stream, e), Frame::Request),
             HEALTH_CHECK => {
                 let (fields, _) = read_fields(payload).map_err(ProtocolError::Fields)?;
--- a/crates/server/src/protocol/sidecar/request.rs
+++ b/crates/server/src/protocol/sidecar/request.rs
@@ -1,5 +1,5 @@
 //! Decodes a request from a sidecar: named fields, then the body.
-use super::{read_fields, Fields, NameTable, StreamId};
+use super::{read_fields, DecoderSettings, Fields, StreamId};
 use crate::protocol::{RequestError, WireId};
 use cottondyke_types::{HandlerId, TenantId};
 
@@ -42,14 +42,14 @@
 }
 
 pub(super) fn decode(
-    names: &NameTable,
+    settings: &DecoderSettings,
     stream: StreamId,
     payload: &[u8],
 ) -> Result<Request, RequestError> {
     let (fields, body) = read_fields(payload)?;
     let fields = RequestFields(fields);
-    let handler = fields.handler(names)?;
-    let tenant = fields.tenant(names)?;
+    let handler = fields.handler(settings)?;
+    let tenant = fields.tenant(settings)?;
     let id = fields.required("id")?;
     let arrived = fields.required("at")?;
     let sender = fields.required("from")?;
@@ -59,7 +59,7 @@
     let is_retry = fields.is_retry()?;
     let memory_kb = fields.memory_kb()?;
     fields.check_rank()?;
-    let max_timeout_ms = names.max_client_timeout_ms;
+    let max_timeout_ms = settings.max_client_timeout_ms;
     let cost = fields.number_up_to("cost", max_timeout_ms * MAX_COST_PER_TIMEOUT)?;
     let client_wait_ms = fields.number_up_to("wait", max_timeout_ms * MAX_WAIT_PER_TIMEOUT)?;
     let idempotency_key = match fields.optional("once")? {
@@ -121,20 +121,20 @@
         Ok(number)
     }
 
-    fn handler(&self, names: &NameTable) -> Result<HandlerId, RequestError> {
+    fn handler(&self, settings: &DecoderSettings) -> Result<HandlerId, RequestError> {
         let class = self.required("class")?;
-        let index = names.handlers.iter().position(|name| name == class);
+        let index = settings.handlers.iter().position(|name| name == class);
         index.map(HandlerId).ok_or(RequestError::UnknownHandler)
     }
 
-    fn tenant(&self, names: &NameTable) -> Result<Option<TenantId>, RequestError> {
+    fn tenant(&self, settings: &DecoderSettings) -> Result<Option<TenantId>, RequestError> {
         let Some(tenant) = self.optional("tenant")? else {
-            return match names.tenants.is_empty() {
+            return match settings.tenants.is_empty() {
                 true => Ok(None),
                 false => Err(RequestError::Missing("tenant")),
             };
         };
-        let index = names.tenants.iter().position(|name| name == tenant);
+        let index = settings.tenants.iter().position(|name| name == tenant);
         let index = index.ok_or(RequestError::UnknownTenant)?;
         Ok(Some(TenantId(index)))
     }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -7,7 +7,7 @@
 /// From then on no connection is accepted. The admission controller has answered all requests by 0.95.
 const STOP_ACCEPTING_AT: f64 = 0.88;
 /// From then on idle connections are closed, and the process ends as soon as everything it read is answered.
-const END_WHEN_IDLE_AT: f64 = 0.955;
+const CLOSE_IDLE_AT: f64 = 0.955;
 /// From then on the process ends even if a sidecar has not read its responses.
 const FORCE_END_AT: f64 = 0.985;
 
@@ -34,7 +34,7 @@
     let has_reached = |fraction: f64| now >= signalled_at + timeout.scaled(fraction);
     if has_reached(FORCE_END_AT) {
         ShutdownPhase::Expired
-    } else if has_reached(END_WHEN_IDLE_AT) {
+    } else if has_reached(CLOSE_IDLE_AT) {
         ShutdownPhase::Closing
     } else if has_reached(STOP_ACCEPTING_AT) {
         ShutdownPhase::StoppedAccepting
--- a/crates/server/tests/connection_close.rs
+++ b/crates/server/tests/connection_close.rs
@@ -6,7 +6,7 @@
 
 use cottondyke::connection::reader::{self, ConnectionContext};
 use cottondyke::event::{ConnectionId, Event, Outgoing};
-use cottondyke::protocol::sidecar::NameTable;
+use cottondyke::protocol::sidecar::DecoderSettings;
 use cottondyke::resource_limits::ResourceLimits;
 use cottondyke_test_support::fakes::{
     encode_frame, encode_payload, unix_ms, FakeSidecar, IO_TIMEOUT,
@@ -50,14 +50,14 @@
         sidecar.0.set_nodelay(true).unwrap();
         sidecar.0.set_read_timeout(Some(IO_TIMEOUT)).unwrap();
         let stream = Async::new(listener.accept().unwrap().0).unwrap();
-        let names = NameTable {
+        let decoder_settings = DecoderSettings {
             handlers: vec!["greet".into()],
             tenants: Vec::new(),
             max_client_timeout_ms: 2_000.0,
         };
         let (event_sender, events) = async_channel::bounded(capacity);
         let context = ConnectionContext {
-            names: Rc::new(names),
+            decoder_settings: Rc::new(decoder_settings),
             limits: ResourceLimits::new(8, 1 << 20),
             events: event_sender,
             write_timeout: WRITE_TIMEOUT,
@@ -98,9 +98,7 @@
     /// Asks for the close, as the dispatcher does once it has processed so many events.
     fn close(&self, events_processed: u64) {
         self.outgoing
-            .try_send(Outgoing::Close {
-                taken: events_processed,
-            })
+            .try_send(Outgoing::Close { events_processed })
             .unwrap();
     }
 
--- a/crates/server/tests/connection_table.rs
+++ b/crates/server/tests/connection_table.rs
@@ -16,7 +16,7 @@
     let mut connections = ConnectionTable::default();
     let channels: Vec<_> = (0..5).map(|_| async_channel::bounded(4)).collect();
     for (n, at) in [(0, 0), (1, 10), (2, 20), (3, 5_000), (4, 5_000)] {
-        connections.opened(Time(at), ConnectionId(n), channels[n as usize].0.clone());
+        connections.insert(Time(at), ConnectionId(n), channels[n as usize].0.clone());
     }
     connections.record_request(Time(10), ConnectionId(0));
     connections.send(Time(10), ConnectionId(0), &Response::Failed(StreamId(1)));
@@ -44,7 +44,7 @@
     // requests in transit.
     connections.evict_excess(Time(5_500), count(5, 3));
     assert_eq!(sent(), [(0, false); 5]);
-    (1..=2).for_each(|n| connections.closed(ConnectionId(n)));
+    (1..=2).for_each(|n| connections.remove(ConnectionId(n)));
     connections.evict_excess(Time(5_600), count(3, 2));
     assert_eq!((connections.count(), sent()[0]), (3, (1, false)));
     connections.evict_excess(Time(7_000), count(3, 2));
--- a/crates/server/tests/dispatcher.rs
+++ b/crates/server/tests/dispatcher.rs
@@ -40,7 +40,7 @@
         let (events, pending) = async_channel::unbounded();
         let (engine, commands) = async_channel::unbounded();
         let (report, _updates) = async_channel::unbounded();
-        let (engine_address, _moves) = async_channel::unbounded();
+        let (engine_address, _address_changes) = async_channel::unbounded();
         let (stop_listening, _stopped) = async_channel::bounded(1);
         let channels = TaskChannels {
             report,
--- a/crates/server/tests/golden_cli.rs
+++ b/crates/server/tests/golden_cli.rs
@@ -158,11 +158,12 @@
     );
     let handler =
         r#"handler("h", effect = "uniqued", response_target = "1s", client_timeout = "1s")"#;
-    let both = "the configuration tells that already; expected it in one of the two";
+    let both =
+        "the platform's configuration already declares this; expected it in only one of the two";
     let cases = [
         (
             format!("{fleet}\n{dependency})\n{page}"),
-            "toy: the configuration is good
+            "toy: the configuration is valid
 dependency d: 127.0.0.1:1 /, budget 1 ms, 1 to 2 concurrent calls from this instance, ceiling 6 in all, \
              at most 2 waiting, retries and hedged calls at most 0.1 of first calls, no hedging
 page greet: answered within 11 ms of its response target of 500 ms
--- a/crates/server/tests/golden_protocol.rs
+++ b/crates/server/tests/golden_protocol.rs
@@ -4,7 +4,7 @@
 
 use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, MessageNumber, Tag};
 use cottondyke::protocol::sidecar::RunOutput;
-use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
+use cottondyke::protocol::sidecar::{self, DecoderSettings, Frame, Response, StreamId};
 use cottondyke::protocol::{http, peers, ProtocolError, ReadBuffer, WireId};
 use cottondyke_admission::RunOutcome;
 use std::rc::Rc;
@@ -79,7 +79,7 @@
 /// What a sidecar's frames are read as where there are these customers.
 fn frames_text(customers: &[&str], bytes: &[u8]) -> String {
     let listed = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    let mut names = NameTable::default();
+    let mut names = DecoderSettings::default();
     (names.handlers, names.tenants) = (listed(&["a", "b"]), listed(customers));
     names.max_client_timeout_ms = 2_000.0;
     let mut decoder = sidecar::Decoder::new(Rc::new(names));
--- a/crates/server/tests/http_client.rs
+++ b/crates/server/tests/http_client.rs
@@ -36,7 +36,7 @@
         assert!(
             matches!(
                 exchange_with_reset_after(&rejection[..cut]),
-                Err(CallError::MaybeBegun(_))
+                Err(CallError::Indeterminate(_))
             ),
             "{cut}"
         );
@@ -59,7 +59,7 @@
         let progress = ExchangeProgress::default();
         let error = async_io::block_on(exchange(&mut stream, &[7; 16], &progress)).unwrap_err();
         answering.join().unwrap();
-        let ended = matches!(error, CallError::Ended(_));
+        let ended = matches!(error, CallError::Failed(_));
         let interrupted = matches!(error, CallError::Interrupted(_));
         assert_eq!((ended, interrupted), (has_ended, !has_ended), "{error:?}");
     }
--- a/crates/server/tests/listener.rs
+++ b/crates/server/tests/listener.rs
@@ -32,7 +32,7 @@
     let (_, stop) = async_channel::bounded(1);
     let executor = Rc::new(LocalExecutor::new());
     let context = ConnectionContext {
-        names: Rc::default(),
+        decoder_settings: Rc::default(),
         limits: ResourceLimits::new(1, 0),
         events,
         write_timeout: IO_TIMEOUT,
--- a/crates/server/tests/protocol.rs
+++ b/crates/server/tests/protocol.rs
@@ -3,7 +3,7 @@
 use cottondyke::protocol::engine::{self, EngineCommand, EngineMessage, EngineStart};
 use cottondyke::protocol::http;
 use cottondyke::protocol::sidecar::RunOutput;
-use cottondyke::protocol::sidecar::{self, Frame, NameTable, Response, StreamId};
+use cottondyke::protocol::sidecar::{self, DecoderSettings, Frame, Response, StreamId};
 use cottondyke::protocol::{RequestError, WireId};
 use cottondyke_admission::RunOutcome;
 use cottondyke_test_support::fakes::{encode_frame, encode_payload};
@@ -18,9 +18,9 @@
     age_ms: 12.5,
 };
 
-fn names() -> Rc<NameTable> {
+fn decoder_settings() -> Rc<DecoderSettings> {
     let handlers = ["browse", "checkout"].map(String::from).to_vec();
-    Rc::new(NameTable {
+    Rc::new(DecoderSettings {
         handlers,
         tenants: vec!["acme".to_string()],
         max_client_timeout_ms: 2_000.0,
@@ -71,7 +71,7 @@
 
 piece_decoder!(
     sidecar::Decoder,
-    sidecar::Decoder::new(names()),
+    sidecar::Decoder::new(decoder_settings()),
     Frame,
     next_frame
 );
--- a/crates/server/tests/serve/engine.rs
+++ b/crates/server/tests/serve/engine.rs
@@ -129,7 +129,7 @@
     );
 }
 
-/// Sets one core, an overdue time of 0.8 s for runs, and the `overload_factor` that limits the survivable concurrency.
+/// Sets one core, an overdue time of 0.8 s for runs, and the `overload_factor` that determines the concurrency ceiling.
 fn one_core(conf: &mut serde_json::Value, overload_factor: f64) {
     for class in conf["settings"]["classes"].as_array_mut().unwrap() {
         class["deadline_ms"] = 200.0.into();
@@ -153,13 +153,13 @@
     assert_eq!(expect_start(&mut link), id(2), "its capacity is free");
 }
 
-/// Runs that hang must not overload the machine. They count against the survivable concurrency until the engine reports
+/// Runs that hang must not overload the machine. They count towards the concurrency ceiling until the engine reports
 /// their end, while other runs may start beside them.
 #[test]
-fn counts_overdue_runs_against_the_survivable_concurrency() {
+fn counts_overdue_runs_towards_the_concurrency_ceiling() {
     let rig = Rig::with(|conf| one_core(conf, 4.0));
     let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
-    // With the safety margin, the survivable concurrency of one core is three runs.
+    // With the safety margin, the concurrency ceiling of one core is three runs.
     for number in 1..=3 {
         send_request(&mut sidecar, number, NON_IDEMPOTENT, &[], b"");
         assert_eq!(expect_start(&mut link), id(number.into()));
--- a/crates/server/tests/serve/idempotency.rs
+++ b/crates/server/tests/serve/idempotency.rs
@@ -28,14 +28,14 @@
     }
 }
 
-/// A server, its engine, a sidecar of which the engine has accepted a request (a proven connection), and a client of
+/// A server, its engine, a sidecar of which the engine has accepted a request (a verified connection), and a client of
 /// which it has accepted none.
-fn start_with_unproven_client() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
+fn start_with_unverified_client() -> (Rig, FakeEngine, FakeSidecar, FakeSidecar) {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
     expect_served(&mut link, &mut sidecar, 1, IDEMPOTENT, &[]);
-    let unproven = rig.connect_sidecar();
-    (rig, link, sidecar, unproven)
+    let unverified = rig.connect_sidecar();
+    (rig, link, sidecar, unverified)
 }
 
 /// Guards against two runs of a keyed request whose attempts stay unread for longer than the dedup window and are then
@@ -127,22 +127,22 @@
 /// request gets neither the result of an open request nor a stored one, while repeats by the sidecar itself do.
 #[test]
 fn gives_no_result_for_a_copied_key() {
-    let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
+    let (_rig, mut link, mut sidecar, mut unverified) = start_with_unverified_client();
     send_request(&mut sidecar, 2, KEYED, KEY, b"");
     assert_eq!(expect_start(&mut link), id(2));
-    send_request(&mut unproven, 3, KEYED, KEY, b"");
+    send_request(&mut unverified, 3, KEYED, KEY, b"");
     assert_eq!(
-        unproven.receive().unwrap().code,
+        unverified.receive().unwrap().code,
         9,
         "while the first is open"
     );
     send_request(&mut sidecar, 4, KEYED, KEY, b"");
-    assert_eq!(check_health(&mut unproven), 1);
+    assert_eq!(check_health(&mut unverified), 1);
     complete_run(&mut link, &mut sidecar, 2);
     assert_eq!(sidecar.receive().unwrap().body, b"result 2");
-    send_request(&mut unproven, 5, KEYED, KEY, b"");
+    send_request(&mut unverified, 5, KEYED, KEY, b"");
     assert_eq!(
-        unproven.receive().unwrap().code,
+        unverified.receive().unwrap().code,
         9,
         "when its result is stored"
     );
@@ -154,17 +154,17 @@
 /// Guards against a client that blocks a key by using it first: a request that the engine rejects leaves the key free
 /// for genuine attempts, whether one was coalesced with it or arrives later.
 #[test]
-fn frees_a_key_that_an_unproven_client_used_first() {
+fn frees_a_key_that_an_unverified_client_used_first() {
     for is_coalesced in [true, false] {
-        let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
-        send_request(&mut unproven, 2, KEYED, KEY, b"");
+        let (_rig, mut link, mut sidecar, mut unverified) = start_with_unverified_client();
+        send_request(&mut unverified, 2, KEYED, KEY, b"");
         assert_eq!(expect_start(&mut link), id(2));
         if is_coalesced {
             send_request(&mut sidecar, 3, KEYED, KEY, b"");
             assert_eq!(check_health(&mut sidecar), 1, "the attempt has been read");
         }
         link.send_line(&format!("NO RUN {}", id(2))).unwrap();
-        assert_eq!(unproven.receive().unwrap().code, 9);
+        assert_eq!(unverified.receive().unwrap().code, 9);
         if !is_coalesced {
             send_request(&mut sidecar, 3, KEYED, KEY, b"");
         }
@@ -177,17 +177,17 @@
 /// fails and the sidecar gets the answer.
 #[test]
 fn fails_a_copied_request() {
-    let (_rig, mut link, mut sidecar, mut unproven) = start_with_unproven_client();
+    let (_rig, mut link, mut sidecar, mut unverified) = start_with_unverified_client();
     for (number, copy_first) in [(2, true), (3, false)] {
         let (first, second) = if copy_first {
-            (&mut unproven, &mut sidecar)
+            (&mut unverified, &mut sidecar)
         } else {
-            (&mut sidecar, &mut unproven)
+            (&mut sidecar, &mut unverified)
         };
         send_request(first, number, NON_IDEMPOTENT, &[], b"same");
         assert_eq!(expect_start(&mut link), id(number.into()));
         send_request(second, number, NON_IDEMPOTENT, &[], b"same");
-        assert_eq!(unproven.receive().unwrap().code, 9);
+        assert_eq!(unverified.receive().unwrap().code, 9);
         complete_run(&mut link, &mut sidecar, number);
     }
 }
--- a/crates/server/tests/serve/requests.rs
+++ b/crates/server/tests/serve/requests.rs
@@ -230,7 +230,7 @@
 fn learns_no_queueing_delay_from_a_wrong_timestamp() {
     let rig = Rig::start();
     let (mut link, mut sidecar) = rig.connect_engine_and_sidecar();
-    let mut unproven = rig.connect_sidecar();
+    let mut unverified = rig.connect_sidecar();
     for n in 1..=20 {
         let (id, at) = (id(n.into()), (unix_ms() - 1_000).to_string());
         let fields = [
@@ -240,10 +240,10 @@
             ("from", "1"),
             ("kb", "1.0"),
         ];
-        unproven.send(1, n, &fields, b"").unwrap();
+        unverified.send(1, n, &fields, b"").unwrap();
         let run = expect_start(&mut link);
         link.send_line(&format!("NO RUN {run}")).unwrap();
-        assert_eq!(unproven.receive().unwrap().code, 9);
+        assert_eq!(unverified.receive().unwrap().code, 9);
     }
     send_request(&mut sidecar, 21, IDEMPOTENT, &[], b"");
     execute_next_run(&mut link, 1, b"");
