--- a/crates/server/src/app.rs
+++ b/crates/server/src/app.rs
@@ -119,8 +119,8 @@
 }
 
 impl BackgroundTasks {
-    /// Runs until a task panics. Without any one of them the server would work only in part, so that the panic ends
-    /// it, with an error that says why.
+    /// Runs until a task panics. If one task stops, the server would work only in part, so a panic of any of them ends
+    /// the server with an error that says why.
     async fn run(self) {
         propagate_panic(Some(self.listener_task))
             .or(propagate_panic(self.engine_task))
--- a/crates/server/src/clock.rs
+++ b/crates/server/src/clock.rs
@@ -10,9 +10,9 @@
 /// A wall clock that is off its expected value by less than this was slewed, not stepped.
 const MAX_SLEW: Duration = Duration::from_millis(20);
 /// The unit of `Time`: a tenth of a millisecond.
-const TICK: Duration = Duration::from_micros(100);
-/// Units of `Time` in a millisecond.
-const TICKS_PER_MS: i128 = 10;
+const TIME_UNIT: Duration = Duration::from_micros(100);
+/// Tenths of a millisecond, the unit of `Time`, in a millisecond.
+const TENTHS_PER_MS: i128 = 10;
 
 /// The program's monotonic clock.
 #[derive(Clone, Copy, Debug)]
@@ -24,9 +24,10 @@
         Clock(Instant::now())
     }
 
-    /// The time now in whole ticks, rounded down: a timer that has fired is never taken to be early.
+    /// The time now in whole tenths of a millisecond, rounded down. Timers are set to whole tenths of a millisecond, so
+    /// `now` is never before the time for which a timer has fired.
     pub fn now(&self) -> Time {
-        START_TIME + Time((self.0.elapsed().as_micros() / TICK.as_micros()) as i64)
+        START_TIME + Time((self.0.elapsed().as_micros() / TIME_UNIT.as_micros()) as i64)
     }
 
     /// Converts a point in time to an `Instant`.
@@ -37,10 +38,10 @@
 
 /// Converts a `Time` to a `Duration`; a negative one becomes zero.
 pub fn to_duration(time: Time) -> Duration {
-    Duration::from_micros(time.0.clamp(0, 1 << 40) as u64 * TICK.as_micros() as u64)
+    Duration::from_micros(time.0.clamp(0, 1 << 40) as u64 * TIME_UNIT.as_micros() as u64)
 }
 
-/// Converts milliseconds to a `Time`, rounded down, so that what it delays comes early rather than late.
+/// Converts milliseconds to a `Time`, rounded down, so that no timeout becomes longer.
 pub fn time_from_ms(ms: f64) -> Time {
     Time((ms * 10.0).floor().clamp(0.0, 1e15) as i64)
 }
@@ -105,8 +106,8 @@
 
 /// The time since `unix_ms`, if a request can have waited for that long.
 fn plausible_age(unix_ms: u64, unix: Duration) -> Option<Time> {
-    let ticks =
-        unix.as_micros().div_ceil(TICK.as_micros()) as i128 - i128::from(unix_ms) * TICKS_PER_MS;
-    let is_plausible = (0..=i128::from(MAX_PLAUSIBLE_AGE.0)).contains(&ticks);
-    is_plausible.then_some(Time(ticks as i64))
+    let tenths = unix.as_micros().div_ceil(TIME_UNIT.as_micros()) as i128
+        - i128::from(unix_ms) * TENTHS_PER_MS;
+    let is_plausible = (0..=i128::from(MAX_PLAUSIBLE_AGE.0)).contains(&tenths);
+    is_plausible.then_some(Time(tenths as i64))
 }
--- a/crates/server/src/connection/reader.rs
+++ b/crates/server/src/connection/reader.rs
@@ -42,7 +42,8 @@
 
 /// Why reading from a connection ended.
 enum ReadEnd {
-    /// The sidecar sends nothing more, but may still read responses.
+    /// Nothing more is read: the sidecar has stopped sending, or the dispatcher has dropped the connection or has
+    /// ended. Queued responses may still be written.
     HalfClosed,
     /// Reading failed: the connection is lost.
     Broken,
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -203,9 +203,10 @@
         }
     }
 
-    /// Evicts connections in excess of the target, the least useful first. Connections that never sent anything are
-    /// closed at once; then idle ones, the least recently used first, are sent go-away and closed after
-    /// `MIN_CLOSE_DELAY`, when no request can be in transit any more. Returns when to call this again.
+    /// Evicts idle connections in excess of the target, the least useful first. Connections on which nothing was sent
+    /// or received since they were opened, at least `UNUSED_GRACE_PERIOD` ago, are closed at once; then the others, the
+    /// least recently used first, are sent go-away and closed after `MIN_CLOSE_DELAY`, when no request can be in
+    /// transit any more. Returns when to call this again.
     pub fn evict_excess(&mut self, now: Time, count: ConnectionCount) -> Option<Time> {
         let excess = count
             .open
--- a/crates/server/src/connection/writer.rs
+++ b/crates/server/src/connection/writer.rs
@@ -50,8 +50,8 @@
     MIN_WRITE_TIMEOUT.max(to_duration(time_from_ms(max_client_timeout_ms)))
 }
 
-/// Writes the responses that the dispatcher queues, until the dispatcher drops its sender or asks for a close that no
-/// input prevents.
+/// Writes the responses that the dispatcher queues, until the dispatcher drops its sender or asks for a close while
+/// `ReadProgress::can_close` holds.
 pub async fn write(
     stream: &Async<TcpStream>,
     outgoing: Receiver<Outgoing>,
--- a/crates/server/src/dedup.rs
+++ b/crates/server/src/dedup.rs
@@ -1,6 +1,10 @@
 //! Deduplication of requests: the table behind idempotency keys and shared responses. Whether an attempt falls into a
-//! dedup window depends on when it reached the machine, however late it is read. So an entry outlives its window by a
-//! grace period, in which only attempts that arrived within the window still find it.
+//! dedup window depends on when it reached the machine, however late it is taken from its socket. So an entry outlives
+//! its window by a grace period, in which only attempts that arrived within the window still find it.
+//!
+//! A *read request* is a request to an idempotent handler. Its entry is kept until it ends, and its response is shared
+//! for a time to live. Any other request with an entry is a keyed request, which must not run again in its dedup
+//! window.
 use crate::protocol::sidecar::RunOutput;
 use cottondyke_types::{HandlerId, RequestId, TenantId, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,16 +35,17 @@
 /// How long an entry can be found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DedupWindow {
-    /// Attempts that reached the machine before this are duplicates. `None` for a read that has not completed.
+    /// Attempts that reached the machine before this are duplicates. `None` for a read request that has not completed.
     pub until: Option<Time>,
-    /// How long after `until` the entry is retained, for attempts that arrived in time and are read late.
+    /// How long after `until` the entry is retained, for attempts that arrived in time and are taken from the socket
+    /// late.
     pub grace: Time,
 }
 
 /// Limits on the results that are retained for duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// How long the response to a read is shared with duplicates.
+    /// How long the response to a read request is shared with duplicates.
     pub read_ttl: Time,
     /// Size of all retained results, in bytes. Past it the oldest are dropped, and their duplicates fail.
     pub max_bytes: usize,
@@ -130,8 +135,8 @@
         Some(entry)
     }
 
-    /// Records how a request ended: with a result, or `None` if it failed. The entry of a read is kept for
-    /// `limits.read_ttl` if it completed, and removed otherwise.
+    /// Records how a request ended: with a result, or `None` if it failed. The entry of a read request is kept
+    /// for `limits.read_ttl` if it completed, and removed otherwise.
     pub fn record_outcome(
         &mut self,
         now: Time,
--- a/crates/server/src/dispatcher/actions.rs
+++ b/crates/server/src/dispatcher/actions.rs
@@ -1,4 +1,5 @@
-//! Performs the actions of the admission controller, in the order in which they are listed.
+//! Performs the actions of the admission controller, in the order in which they are listed, except `retain_key` and
+//! `idle_timeout`.
 use super::RequestDispatcher;
 use crate::clock::to_ms;
 use crate::dedup::DedupOutcome;
@@ -40,7 +41,8 @@
             self.reject(now, &rejection);
         }
         // `retain_key` is not performed: the admission controller accounts for what it retains, and the entry itself
-        // exists since the request was read.
+        // exists since the request was read. `idle_timeout` is not performed either: idle connections are closed only
+        // after go-away, on eviction or shutdown, or at the end of a shutdown.
         for id in actions.release_key {
             self.dedup.release(id);
         }
--- a/crates/server/src/dispatcher/arrivals.rs
+++ b/crates/server/src/dispatcher/arrivals.rs
@@ -9,7 +9,8 @@
 use cottondyke_admission::Arrival;
 use cottondyke_types::{CallerId, HandlerId, Idempotency, RequestId, Time};
 
-/// Slack that the protocol adds to each time limit on sockets. A dedup window gets it too, which makes it stricter.
+/// Tolerance that the protocol grants on every time limit where it is spoken over sockets. Dedup windows are extended
+/// by it, so that no duplicate is missed.
 const TIME_LIMIT_SLACK: Time = Time(500);
 
 /// How long a request waited to be read after it reached the machine.
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Takes the idempotency key of a request, if it applies. The attempts of a keyed request have the same tenant; a
-    /// read is shared by handler and key alone.
+    /// Removes the idempotency key from a request and returns it, if the request is keyed or its response may be
+    /// shared. Duplicates of a keyed request have the same tenant; responses of idempotent handlers are shared between
+    /// tenants.
     fn take_idempotency_key(&self, request: &mut Request) -> Option<IdempotencyKey> {
         let idempotency = self.config.idempotency[request.handler.0];
         let is_keyed = idempotency == Idempotency::Keyed;
@@ -96,12 +98,13 @@
             })
     }
 
-    /// Looks up the request of which this one is a duplicate; `None` if it may neither share that response nor run.
+    /// Looks up the request of which this one is a duplicate, the original; `None` if the request must fail, because it
+    /// may neither share the original's response nor run.
     ///
     /// Protects responses from clients that copy a key: a duplicate gets its response from the table, and no engine
-    /// checks whether it recognizes the request. So it gets that response only on the connection of the original, while
-    /// that is in flight, or on a verified connection. A read on any other connection runs by itself; a keyed request,
-    /// which must not run again, fails.
+    /// checks whether it recognizes the request. So it gets that response only on the original's connection while the
+    /// original is in flight, or on a verified connection. On any other connection, a request to an idempotent handler
+    /// runs by itself; a keyed request, which must not run again, fails.
     fn look_up_original(
         &mut self,
         now: Time,
@@ -201,10 +204,10 @@
         copy
     }
 
-    /// Inserts a first attempt into the dedup table. The window opens when the attempt that runs reached the machine,
-    /// but timestamps may be wrong: so that no effect occurs twice, it is taken to open now at the earliest. It does
-    /// not depend on whether the admission controller still accounts for the key: otherwise two attempts that both
-    /// waited unread past a short window would each run.
+    /// Inserts a first attempt into the dedup table. The window should start when the attempt reached the machine, but
+    /// timestamps may be wrong: so that no effect occurs twice, the window starts now, which is never too early. The
+    /// entry is kept even if the admission controller no longer accounts for the key: otherwise two attempts that both
+    /// waited unread until a short window had passed would each run.
     fn open_dedup_window(&mut self, now: Time, id: RequestId, key: Option<&IdempotencyKey>) {
         let Some(key) = key else { return };
         let HandlerId(handler) = key.handler;
--- a/crates/server/src/dispatcher/counters.rs
+++ b/crates/server/src/dispatcher/counters.rs
@@ -41,7 +41,7 @@
     pub(super) malformed: u64,
     /// Requests that the admission controller failed before their run ended.
     pub(super) failed: u64,
-    /// Requests that were not admitted or were shed.
+    /// Requests that the admission controller rejected.
     pub(super) rejected: u64,
     /// The reasons, by rule.
     pub(super) by_rule: RuleCounts,
--- a/crates/server/src/dispatcher/engine.rs
+++ b/crates/server/src/dispatcher/engine.rs
@@ -12,9 +12,9 @@
 use cottondyke_types::Time;
 
 impl RequestDispatcher {
-    /// Handles a hello of the engine. The first one tells when the engine started: the admission controller counts from
-    /// then, or from the start of this program if that is later, since nothing was observed before. Nothing has run by
-    /// then, so all open requests are submitted again.
+    /// Handles a hello of the engine. The first one tells when the engine started: the slow start of the admission
+    /// controller begins then, or at the start of this program if that is later, since nothing was observed before. No
+    /// request has run before the first hello, so all open requests are submitted again.
     pub(super) fn handle_engine_up(
         &mut self,
         now: Time,
@@ -50,8 +50,8 @@
             }
         }
         self.executors.forget_all(now);
-        // Open requests are inserted again as they are submitted: the first of those that are left for a key is its
-        // first attempt.
+        // Open requests are inserted again as they are submitted: of those with the same key, the one submitted first
+        // becomes the first attempt.
         self.dedup = DedupTable::default();
         self.requests.remove_answered();
         self.ticks.clear();
--- a/crates/server/src/dispatcher/mod.rs
+++ b/crates/server/src/dispatcher/mod.rs
@@ -43,7 +43,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Further events that are handled in one batch before timers and other tasks run.
+/// Maximum number of events that are handled directly after the first one, before timers and other tasks run.
 const MAX_EVENT_BATCH: usize = 64;
 
 /// What a dispatcher is built from.
@@ -62,7 +62,7 @@
     pub limits: Rc<ResourceLimits>,
     /// Channels to background tasks.
     pub channels: TaskChannels,
-    /// Leases quotas; `None` without `peers(...)`.
+    /// Leases quotas; `None` if the operator file declares no `peers(...)`.
     pub cluster: Option<Rc<ClusterDriver>>,
 }
 
--- a/crates/server/src/dispatcher/requests.rs
+++ b/crates/server/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests, which holds each from its arrival until it is answered and none of its runs is in progress.
+//! The table of requests, which holds each from its arrival until it is answered and its run, if any, has ended.
 use crate::dedup::IdempotencyKey;
 use crate::event::ConnectionId;
 use crate::protocol::sidecar::StreamId;
@@ -21,6 +21,7 @@
     pub(super) key: Option<IdempotencyKey>,
     pub(super) body: Rc<[u8]>,
     pub(super) is_answered: bool,
+    /// Whether its run has started and not ended, also while the run waits for a call.
     pub(super) is_running: bool,
     /// Whether its run continues long after it was answered, and the admission controller was told so.
     pub(super) is_overdue: bool,
--- a/crates/server/src/dispatcher/timers.rs
+++ b/crates/server/src/dispatcher/timers.rs
@@ -7,7 +7,8 @@
 use cottondyke_admission::LoadSample;
 use cottondyke_types::{Time, SECOND};
 
-/// If the engine does not answer a load query within this time, the admission controller's tick goes without load.
+/// If the engine does not answer a load query within this time, the admission controller is ticked with an
+/// empty load sample.
 const LOAD_QUERY_TIMEOUT: Time = Time(100);
 const MAINTENANCE_INTERVAL: Time = Time(500);
 const DRAINING_MAINTENANCE_INTERVAL: Time = Time(50);
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -73,7 +73,8 @@
 
 /// The dispatcher's channels to background tasks.
 pub struct TaskChannels {
-    /// Updates for the load report, one for each change of health or address; it receives each at once.
+    /// Updates for the load report, one for each change of health or address; each is sent as soon as the change
+    /// occurs.
     pub report: Sender<ReportUpdate>,
     /// New addresses of the engine, one for each reload that changes it.
     pub engine_address: Sender<SocketAddr>,
@@ -90,15 +91,15 @@
         /// Whether it is the final answer to a request.
         settles_request: bool,
     },
-    /// Close the connection if the dispatcher has processed everything that was read on it. A request that crosses this
-    /// message keeps the connection open.
+    /// Close the connection if the dispatcher has processed everything that was read on it. A request that was sent to
+    /// the server but not yet processed when the dispatcher sent this message keeps the connection open.
     Close {
         /// How many events of this connection the dispatcher has processed.
         events_processed: u64,
     },
 }
 
-/// Why a call returned no result, by how far it had got.
+/// Why a call returned no result, by whether the service executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The service has not executed it.
--- a/crates/server/src/execution/aggregation.rs
+++ b/crates/server/src/execution/aggregation.rs
@@ -35,7 +35,8 @@
 pub struct AggregationExecutorConfig {
     /// The initial plan.
     pub plan: AggregationPlan,
-    /// The value of each handler's requests, indexed by `HandlerId`.
+    /// The weight of each handler's requests in the demand for leased quotas, indexed by `HandlerId`: their value in
+    /// the operator file.
     pub weights: Vec<f64>,
     /// Seed of the random numbers for hedges and retries.
     pub seed: u64,
@@ -54,6 +55,7 @@
     clock: Clock,
     /// Leases the quotas of dependencies, if the instance is part of a cluster.
     cluster: Option<Rc<ClusterDriver>>,
+    /// The weight of each handler's requests in the demand for leased quotas.
     weights: Vec<f64>,
     /// When the usage of the quotas is reported next.
     next_usage_report: Time,
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The server is draining: all requests must be answered by `until`.
+    /// The server is draining: all aggregations must end by `until`, with the parts that are available then.
     pub fn start_draining(&mut self, now: Time, until: Time) {
         self.aggregator.start_draining(until);
         if let Some(cluster) = &self.cluster {
--- a/crates/server/src/execution/command_queue.rs
+++ b/crates/server/src/execution/command_queue.rs
@@ -3,8 +3,8 @@
 use async_channel::Sender;
 use cottondyke_types::{Time, SECOND};
 
-/// While this many commands in the link are unread, cancellations are dropped, since they are requested again. All
-/// other commands are bounded by the number of requests.
+/// While this many commands wait to be written to the link, cancellations are dropped, since they are requested again.
+/// All other commands are bounded by the number of requests.
 const MAX_PENDING_COMMANDS: usize = 1_024;
 /// How long to wait for the answer to the fence.
 const FENCE_TIMEOUT: Time = SECOND;
--- a/crates/server/src/execution/mod.rs
+++ b/crates/server/src/execution/mod.rs
@@ -165,7 +165,8 @@
         }
     }
 
-    /// The server is draining: all requests must be answered by `until`.
+    /// The server is draining: all aggregations must end by `until`, with the parts that are available then. Runs on
+    /// the engine are not affected.
     pub fn start_draining(&mut self, now: Time, until: Time) {
         if let Some(aggregation) = &mut self.aggregation {
             aggregation.start_draining(now, until);
--- a/crates/server/src/execution/response_body.rs
+++ b/crates/server/src/execution/response_body.rs
@@ -5,8 +5,8 @@
 
 /// Bytes reserved for the JSON around the body of a part.
 const PART_OVERHEAD: usize = 64;
-/// Units of `Time` in a millisecond.
-const TICKS_PER_MS: i64 = 10;
+/// Tenths of a millisecond, the unit of `Time`, in a millisecond.
+const TENTHS_PER_MS: i64 = 10;
 
 /// Encodes a response from these parts, with the names of the parts that do not come from their primary source.
 pub fn encode(parts: &[PartResult]) -> RunOutput {
@@ -40,7 +40,7 @@
 fn encode_part(part: &PartResult, to: &mut Vec<u8>) {
     let state = match &part.source {
         PartSource::Primary => "\"whole\"".to_string(),
-        PartSource::Cached(age) => format!("\"kept\",\"age_ms\":{}", age.0 / TICKS_PER_MS),
+        PartSource::Cached(age) => format!("\"kept\",\"age_ms\":{}", age.0 / TENTHS_PER_MS),
         PartSource::Secondary(name) => format!("\"other\",\"from\":{}", quoted(name)),
         PartSource::Default => "\"fixed\"".to_string(),
         PartSource::Missing => "\"missing\"".to_string(),
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -2,13 +2,16 @@
 //! time from the shutdown signal to the end of the process.
 use cottondyke_types::Time;
 
-/// Until then aggregations are answered with all their parts; after it, with the parts that are available.
+/// Fraction of the shutdown timeout until which aggregations may wait for all their parts. By then all of them end,
+/// with the parts that are available.
 pub const FULL_AGGREGATIONS_UNTIL: f64 = 0.9;
-/// From then on no connection is accepted. The admission controller has answered all requests by 0.95.
+/// Fraction of the shutdown timeout from which on no connection is accepted. From then on, the process ends as soon
+/// as no connection is open and every request is answered.
 const STOP_ACCEPTING_AT: f64 = 0.88;
-/// From then on idle connections are closed, and the process ends as soon as everything it read is answered.
+/// Fraction of the shutdown timeout from which on idle connections are closed. The admission controller has answered
+/// all requests by 0.95.
 const CLOSE_IDLE_AT: f64 = 0.955;
-/// From then on the process ends even if a sidecar has not read its responses.
+/// Fraction of the shutdown timeout from which on the process ends even if a sidecar has not read its responses.
 const FORCE_END_AT: f64 = 0.985;
 
 /// The phases, in the order in which they follow each other.
--- a/crates/server/src/signal.rs
+++ b/crates/server/src/signal.rs
@@ -20,8 +20,8 @@
 }
 
 /// Forwards signals to the dispatcher: SIGHUP as a reload with the files read again, any other as a shutdown, of which
-/// the dispatcher acts only on the first. Evaluating a script may take seconds: signals are still received meanwhile,
-/// and any number of SIGHUPs in that time causes one more reading.
+/// the dispatcher acts only on the first. Evaluating the operator file may take seconds: signals are still received
+/// meanwhile, and any number of SIGHUPs in that time causes one more reading.
 pub async fn watch(mut signals: Signals, files: ConfigFiles, events: Sender<Event>) {
     let mut pending_read = None;
     let mut read_again = false;
@@ -38,7 +38,7 @@
                 read_again = true;
                 continue;
             }
-            // Without a script, reading the files is too short to need a thread.
+            // Without an operator file, reading the files is too short to need a thread.
             Some(SignalEvent::Signal(Ok(Signal::Hup))) if files.operator.is_none() => {
                 Event::Reload(files.read().map(Box::new))
             }
