--- a/crates/server/src/cluster/data_dir.rs
+++ b/crates/server/src/cluster/data_dir.rs
@@ -93,7 +93,7 @@
     })
 }
 
-/// Records an incarnation number durably before the incarnation begins: syncs the new file, renames it into place, and
+/// Writes an incarnation number to disk before the incarnation begins: syncs the new file, renames it into place, and
 /// syncs the directory.
 fn write_incarnation(directory: &Path, incarnation: u64) -> io::Result<()> {
     let new = directory.join(NEW_INCARNATION_FILE);
@@ -104,7 +104,7 @@
     File::open(directory)?.sync_all()
 }
 
-/// The number of the last operation of a durable batch, or the error of the storage.
+/// The number of the last operation of a batch that is on disk, or the error of the storage.
 pub(super) type StorageResult = Result<u64, StorageError>;
 
 /// The thread that writes the replica's file. Operations that are queued are written as one batch.
--- a/crates/server/src/cluster/demand.rs
+++ b/crates/server/src/cluster/demand.rs
@@ -23,7 +23,7 @@
 pub(super) struct DemandTracker(BTreeMap<String, Demand>);
 
 impl DemandTracker {
-    /// Records the start of a run of this value that may call `dependency`.
+    /// Records the start of a run that may call `dependency`; `value` is the value of its request.
     pub(super) fn record_start(&mut self, dependency: &str, value: f64) {
         for budget in [call_budget_name(dependency), rate_budget_name(dependency)] {
             let demand = self.0.entry(budget).or_insert(Demand {
--- a/crates/server/src/cluster/error.rs
+++ b/crates/server/src/cluster/error.rs
@@ -34,7 +34,7 @@
         /// The directory.
         path: PathBuf,
     },
-    /// The file of the incarnation number holds something else.
+    /// The file of the incarnation number does not contain a number.
     #[error(
         "data: {} does not contain an incarnation number: expected the file that cottondyke wrote",
         .path.display()
--- a/crates/server/src/cluster/mod.rs
+++ b/crates/server/src/cluster/mod.rs
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Records the start of a run of this value that may call `dependency`.
+    /// Records the start of a run that may call `dependency`; `value` is the value of its request.
     pub fn record_start(&self, dependency: &str, value: f64) {
         self.demand.borrow_mut().record_start(dependency, value);
     }
--- a/crates/server/src/cluster/start.rs
+++ b/crates/server/src/cluster/start.rs
@@ -153,7 +153,10 @@
 }
 
 impl StartedCluster {
-    /// Runs the tasks for links, datagrams and storage, and the node's timers. A panic of one of the tasks ends it.
+    /// Runs the tasks for links, datagrams and storage, and the node's timers. Once one of the tasks has ended, the
+    /// timers no longer run here, and a panic of the task for links is passed on, which ends the server. That task
+    /// never ends by itself: a panic of another task, or the end of the storage task after an error, is not passed on,
+    /// and the timers then run only with other inputs, such as `ClusterDriver::record_usage`.
     pub async fn run(self) {
         let StartedCluster {
             driver,
@@ -174,7 +177,7 @@
             let next = driver.node.borrow().next_timer();
             let next = next.min(now + USAGE_INTERVAL).max(now + MIN_TIMER_STEP);
             Timer::at(driver.clock.instant(next)).await;
-            // A task that panicked must be awaited, so that its panic is passed on and ends the server.
+            // A panic of a task is passed on, and ends the server, only when the task is awaited.
             let has_ended = accepting.is_finished()
                 || receiving.is_finished()
                 || storing.as_ref().is_some_and(Task::is_finished);
--- a/crates/server/src/config/capacity.rs
+++ b/crates/server/src/config/capacity.rs
@@ -2,23 +2,25 @@
 use super::ConfigError;
 use cottondyke_operator_config::OperatorConfig;
 
-/// The fewest descriptors reserved for engine, calls, control plane, listener, timers and log.
+/// The fewest descriptors reserved for engine, calls to the records service, control plane, listener, timers and log.
 const MIN_RESERVED_SOCKETS: u64 = 96;
-/// Reserved descriptors that are not used for calls.
+/// Reserved descriptors that are not used for calls to the records service.
 const NON_CALL_SOCKETS: u64 = 32;
-/// The most calls in flight per core that the admission controller allows (its `MAX_CALLS_PER_CORE`). Each call uses a
-/// descriptor of its own.
-const CALLS_PER_CORE: u64 = 4;
+/// The most calls to the records service in flight per core that the admission controller allows (its
+/// `MAX_CALLS_PER_CORE`). Each call uses a descriptor of its own.
+const RECORDS_CALLS_PER_CORE: u64 = 4;
 /// Idle connections to a dependency for each call that may be in flight there: as many may be idle as in use.
 const IDLE_CONNECTIONS_PER_CALL: u64 = 1;
 /// The largest fraction of the memory limit that cached responses may take.
 const MAX_CACHE_FRACTION: f64 = 0.25;
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 
-/// The number of descriptors that are reserved, of `sockets` in all. It grows with the calls that the cores may have in
-/// flight, but only up to half of `sockets`: a server without descriptors for sidecars would reject everything.
+/// The number of descriptors that are reserved, of `sockets` in all. It grows with the calls to the records service
+/// that the cores may have in flight, but only up to half of `sockets`: a server without descriptors for sidecars would
+/// reject everything.
 fn reserved_sockets(sockets: u64, cores: f64) -> u64 {
-    MIN_RESERVED_SOCKETS.max((NON_CALL_SOCKETS + CALLS_PER_CORE * cores as u64).min(sockets / 2))
+    MIN_RESERVED_SOCKETS
+        .max((NON_CALL_SOCKETS + RECORDS_CALLS_PER_CORE * cores as u64).min(sockets / 2))
 }
 
 /// The number of sidecar connections that this many descriptors allow.
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -144,10 +144,10 @@
         /// The operator's file.
         file: String,
     },
-    /// The operator's script could not be evaluated.
+    /// The operator's file could not be evaluated.
     #[error("{path}: cannot be evaluated: {source}")]
     Evaluation {
-        /// The script.
+        /// The operator's file.
         path: String,
         /// The reason.
         source: EvaluationError,
@@ -200,7 +200,7 @@
         /// The limit in seconds.
         seconds: u64,
     },
-    /// The evaluator failed, usually because the script exceeded its limits.
+    /// The evaluator failed, usually because the operator's file exceeded its limits.
     #[error(
         "{evaluator} ended with {status}: expected the script to use less memory and CPU time"
     )]
--- a/crates/server/src/config/files.rs
+++ b/crates/server/src/config/files.rs
@@ -1,6 +1,7 @@
-//! Reads the program's two files: the platform's configuration and the operator's script, of which either may be
-//! omitted. A separate program evaluates the script under the system's resource limits, since no interpreter bounds
-//! what a single step may take, and since the interpreter's memory would otherwise stay with this process for ever.
+//! Reads the program's two files: the platform's configuration and the operator's file, of which either may be omitted.
+//! The operator's file is a Starlark script. A separate program evaluates it under the system's resource limits, since
+//! the interpreter does not limit the memory and the time that a single step takes, and since this process would
+//! otherwise keep the memory that the interpreter has used as long as it runs.
 use crate::config::{Config, ConfigError, EvaluationError};
 use cottondyke_operator_config::{ConfigError as OperatorConfigError, OperatorConfig};
 use std::io::{self, Read};
@@ -13,7 +14,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// The most bytes that are read of the evaluator's result.
 const MAX_RESULT_BYTES: u64 = 16 << 20;
-/// The program that evaluates the script, installed in the same directory as this one.
+/// The program that evaluates the operator's file, installed in the same directory as this one.
 const EVALUATOR: &str = "cottondyke-script";
 
 /// The paths of the files.
@@ -21,7 +22,7 @@
 pub struct ConfigFiles {
     /// The platform's configuration.
     pub config: Option<String>,
-    /// The operator's script.
+    /// The operator's file.
     pub operator: Option<String>,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Evaluates the script to the configuration that it declares.
+/// Evaluates the operator's file to the configuration that it declares.
 fn evaluate(path: &str) -> Result<OperatorConfig, ConfigError> {
     let result = run_evaluator(path).map_err(|source| ConfigError::Evaluation {
         path: path.to_string(),
--- a/crates/server/src/config/mod.rs
+++ b/crates/server/src/config/mod.rs
@@ -1,4 +1,7 @@
-//! The program's configuration, read from the platform's configuration file, the operator's file, or both.
+//! The program's configuration, read from the platform's configuration file, the operator's file, or both. The
+//! platform's configuration is a JSON document: addresses of the engine, the control plane and the records service,
+//! limits, and the settings of the admission controller. The operator's file is a Starlark script that declares
+//! dependencies, how handlers call them, and, without the platform's configuration, the server and its handlers.
 mod capacity;
 pub mod error;
 pub mod files;
@@ -33,7 +36,8 @@
     pub dedup_window: Time,
 }
 
-/// How the callers that share the credit are counted.
+/// How the callers are counted among which the admission controller divides the number of requests in flight
+/// (`AdviceFormat::Credit`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerSource {
     /// By `family_info.upstreams`, as configured (the default).
@@ -73,7 +77,7 @@
     pub times: Vec<HandlerTimes>,
     /// How long the response to a read may be reused for other requests.
     pub read_cache_ttl: Time,
-    /// The names of handlers and tenants, and the columns of the CPU gauges.
+    /// The names of handlers and tenants, and the positions of the CPU gauges among the engine's load gauges.
     pub names: WireNames,
     /// How callers are counted.
     pub caller_source: CallerSource,
--- a/crates/server/src/config/reload.rs
+++ b/crates/server/src/config/reload.rs
@@ -11,8 +11,10 @@
 }
 
 impl Config {
-    /// Applies `new`, which was read while the server runs, to this configuration. An operator's file is applied
-    /// completely or not at all: it is an error if any of it cannot be applied.
+    /// Applies `new`, which was read while the server runs, to this configuration. An operator's file with an invalid
+    /// declaration, or with a changed one that cannot change while the server runs, is rejected as a whole. The
+    /// exception is `peers(...)`: it cannot be added or removed, but changed arguments other than `keepers` only keep
+    /// their old values, and the rest of the file is applied.
     pub fn reload(&self, new: Config) -> Result<Reloaded, ConfigError> {
         let unchangeable = self.unchangeable_differences(&new);
         if let Some(operator) = &new.operator {
@@ -24,7 +26,8 @@
                 .validate(&self.handler_specs())
                 .map_err(ConfigError::Operator)?;
         }
-        // While calls under leased or fixed quotas are in flight, the two kinds of quota cannot be told apart.
+        // With `peers(...)` the quotas of shared budgets are leased, without it they are fixed. The kind cannot change
+        // while calls are in flight: they are not counted by the kind under which they were issued.
         if self.has_peers() != new.has_peers() {
             let file = match &new.operator {
                 Some(operator) => operator.file.clone(),
--- a/crates/server/src/config/standalone.rs
+++ b/crates/server/src/config/standalone.rs
@@ -7,8 +7,9 @@
 use cottondyke_types::Idempotency;
 use serde_json::{json, Value};
 
-/// The admission controller uses 0.85 of the concurrency that is configured as survivable. The inverse makes `at_once`
-/// itself the largest number of requests that run.
+/// The admission controller of a warm server runs at most `n_cores * overload_factor * 0.85` requests (its
+/// `CEILING_FRACTION`). The inverse makes `n_cores`, which is `at_once` of the operator's file, itself the largest
+/// number of requests that run.
 const OVERLOAD_FACTOR: f64 = 1.0 / 0.85 + 1e-6;
 /// Requests may take half of the memory: of each megabyte, this many kilobytes.
 const REQUEST_KB_PER_MB: f64 = 512.0;
--- a/crates/server/src/config/validate.rs
+++ b/crates/server/src/config/validate.rs
@@ -10,11 +10,13 @@
 const OVERLOAD_FACTOR: RangeInclusive<f64> = 1.0..=1e9;
 /// The range of time limits and windows, in milliseconds.
 const DURATION_MS: RangeInclusive<f64> = 0.1..=1e12;
-/// The values of `below`: what this server calls.
+/// The values of `below`: `none` if this server calls no records service, `common` if all servers call the same one, of
+/// which `dep_share` may state this server's share, and `next_hop` for any other one.
 const BELOW: [&str; 3] = ["none", "common", "next_hop"];
 
-/// Reads `front.callers`: how the callers that share the credit are counted. Only one way may be configured, since a
-/// configured number of callers could contradict the number of connections.
+/// Reads `front.callers`: how the callers are counted among which the admission controller divides the number of
+/// requests in flight (`AdviceFormat::Credit`). Only one way may be configured, since a configured number of callers
+/// could contradict the number of connections.
 pub(super) fn caller_source(document: &Value, conf: &Value) -> Result<CallerSource, ConfigError> {
     let Some(front) = settings::non_null(document, "front") else {
         return Ok(CallerSource::Configured);
@@ -49,14 +51,15 @@
     Ok(())
 }
 
-/// Checks the section `settings`. The caller adds its name to errors.
+/// Checks the section `settings`. `Config::parse` adds the name of the section to the errors.
 pub(super) fn check_settings(config: &Config) -> Result<(), ConfigError> {
     let info = section(&config.settings, "family_info")?;
     let rules = section(&config.settings, "obligations")?;
     check_number(info, "n_cores", CORES)?;
     check_number(info, "mem_limit_kb", MEMORY_KB)?;
     check_number(rules, "overload_factor", OVERLOAD_FACTOR)?;
-    // Without `fall_ms` there is no slow-start budget: an invalid value must not be treated as a missing one.
+    // `fall_ms` is the overload window, over which the slow-start budget limits the work that a cold server starts.
+    // Without it there is no budget: an invalid value must not be treated as a missing one.
     if settings::non_null(rules, "fall_ms").is_some() {
         check_number(rules, "fall_ms", DURATION_MS)?;
     }
--- a/crates/server/src/cpu_usage.rs
+++ b/crates/server/src/cpu_usage.rs
@@ -2,7 +2,8 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant};
 
-/// A shorter window is too short for a meaningful sample.
+/// The minimum time between two samples. Over a shorter time, the ratio of CPU time to elapsed time says too little
+/// about the load.
 const MIN_SAMPLE_WINDOW: Duration = Duration::from_millis(5);
 const MAX_NANOS: i64 = 999_999_999;
 
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -14,7 +14,8 @@
 
 /// Pause after a failed `accept`, for example when the system has no descriptor left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Length of the listen queue. A connection attempt that does not fit is lost, or late by seconds.
+/// Length of the listen queue. The kernel drops a connection attempt that does not fit: it is lost, or succeeds seconds
+/// later if the client's side retries it.
 const BACKLOG: i32 = 1_024;
 /// Minimum time between log lines about a reached connection limit.
 const FULL_LOG_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/server/src/protocol/engine.rs
+++ b/crates/server/src/protocol/engine.rs
@@ -74,12 +74,12 @@
     to.extend(LINE_END);
 }
 
-/// The state of the engine at its start, as reported in its hello.
+/// The engine's state according to its hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineStart {
-    /// It was starting up and not yet at full speed.
+    /// The hello says `starting`: not yet at full speed.
     Cold,
-    /// It was already running at full speed.
+    /// The hello says anything else: at full speed.
     Warm,
 }
 
@@ -88,7 +88,7 @@
 pub enum EngineMessage {
     /// The first message of a connection.
     Hello {
-        /// The state of the engine when it started.
+        /// The engine's state according to this message.
         start: EngineStart,
         /// How long ago the engine started, in milliseconds.
         age_ms: f64,
@@ -134,7 +134,7 @@
         /// The run that the command referred to, if any.
         id: Option<WireId>,
     },
-    /// A numbered message without effect.
+    /// A message without effect, with its number if that can be parsed.
     Note(Option<MessageNumber>),
     /// A line of an unknown kind.
     Unknown(String),
--- a/crates/server/src/protocol/sidecar/mod.rs
+++ b/crates/server/src/protocol/sidecar/mod.rs
@@ -15,8 +15,8 @@
 const FRAME_LENGTH: RangeInclusive<usize> = 5..=262_144;
 /// Size of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Maximum number of used stream numbers that are stored above a gap; beyond it, the numbers of the lowest gap count as
-/// used. This limits the memory for stream numbers that come out of order.
+/// Maximum number of used stream numbers that are stored because lower ones are still unused. Beyond it, all numbers up
+/// to the lowest stored one count as used. This limits the memory for stream numbers that come out of order.
 const MAX_STREAMS_AHEAD: usize = 1_024;
 
 const REQUEST: u8 = 1;
--- a/crates/server/src/protocol/sidecar/request.rs
+++ b/crates/server/src/protocol/sidecar/request.rs
@@ -24,12 +24,12 @@
     pub handler: HandlerId,
     /// The tenant; `None` if the settings define no tenants.
     pub tenant: Option<TenantId>,
-    /// When it reached the machine, in milliseconds since the Unix epoch.
+    /// When it reached the machine, in milliseconds since the Unix epoch, as the sidecar sent it (field `at`). The
+    /// clock that it comes from may differ from this machine's.
     pub arrived_unix_ms: u64,
     /// Whether the caller marked it as a retry.
     pub is_retry: bool,
-    /// How much longer the caller was going to wait when the request reached the machine, in milliseconds, if callers
-    /// send that.
+    /// How much longer the caller was going to wait at `arrived_unix_ms`, in milliseconds, if callers send that.
     pub client_wait_ms: Option<f64>,
     /// Expected work in milliseconds, if the caller sent it.
     pub cost_hint_ms: Option<f64>,
@@ -52,6 +52,7 @@
     let tenant = fields.tenant(settings)?;
     let id = fields.required("id")?;
     let arrived = fields.required("at")?;
+    // The sender must be a number, but is not used.
     let sender = fields.required("from")?;
     sender
         .parse::<u64>()
--- a/crates/server/src/protocol/sidecar/response.rs
+++ b/crates/server/src/protocol/sidecar/response.rs
@@ -77,7 +77,8 @@
         self.settles_request() || matches!(self, Response::HealthStatus { .. })
     }
 
-    /// Appends the encoded frame; `advice` is the load advice that applies from this response on.
+    /// Appends the encoded frame. `advice` is the load advice, which tells the sidecar how much to send to this server
+    /// from this response on, in the format that the settings select (`AdviceFormat`).
     pub fn encode(&self, advice: Option<f64>, to: &mut Vec<u8>) {
         let start = to.len();
         to.extend([0; LENGTH_BYTES]);
--- a/crates/server/src/resource_limits.rs
+++ b/crates/server/src/resource_limits.rs
@@ -1,5 +1,6 @@
-//! The limits on connections and memory. Everything that uses either is checked against them here. The configuration
-//! sets both limits, and sets them again on SIGHUP.
+//! The limits on connections, and on the memory for incomplete frames and retained results. The configuration sets the
+//! number of connections and the memory of the whole program, and sets both again on SIGHUP. Cached responses and
+//! requests are limited elsewhere: by the configuration and by the admission controller.
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -9,7 +10,8 @@
 const FRAME_BUFFER_DIVISOR: usize = 8;
 const RETAINED_RESULTS_DIVISOR: usize = 8;
 /// Above this fraction of the connection limit the least useful connections are evicted, so that a burst of new ones
-/// still finds free slots while the evicted ones close.
+/// still finds free slots while the evicted ones close. The least useful are those on which nothing was ever sent or
+/// received, except very new ones; then those idle for the longest time.
 const EVICTION_THRESHOLD: f64 = 0.85;
 /// Size of the read buffer that all connections share: what one reads is decoded before the next one reads.
 const READ_BUFFER_BYTES: usize = 32_768;
@@ -132,7 +134,8 @@
 }
 
 impl BufferReservation {
-    /// Reserves `bytes` instead of the previous amount. Returns false if all reservations together exceed the limit.
+    /// Reserves `bytes` instead of the previous amount, even beyond the limit. Returns whether all reservations
+    /// together are within it; always true for 0 bytes.
     pub fn resize(&mut self, bytes: usize) -> bool {
         let reserved = &self.limits.frame_bytes;
         reserved.set(reserved.get() - self.bytes + bytes);
