--- a/crates/quota/src/command.rs
+++ b/crates/quota/src/command.rs
@@ -18,6 +18,7 @@
         /// Units that all members together may use.
         units: u32,
         /// See [`Budget::expiry_grace`](crate::Budget::expiry_grace), in tenths of a millisecond.
+        #[serde(rename = "post_cancel_grace")]
         expiry_grace: i64,
     },
     /// Grants a holder more units; rejected if they are not free.
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -27,6 +27,7 @@
     pub units: u32,
     /// How long a unit can stay in use at most after its holder's lease expired, in tenths of a millisecond: for a
     /// budget of calls the longest duration of a call, for a budget of calls per second the window of the rate.
+    #[serde(rename = "post_cancel_grace")]
     pub expiry_grace: i64,
     /// The quotas in force, quarantined ones included.
     pub quotas: BTreeMap<Holder, Quota>,
